--- a/crates/scale/src/workload.rs
+++ b/crates/scale/src/workload.rs
@@ -111,6 +111,7 @@
         deadline_s: None,
         limit_s: None,
         after: vec![],
+        needs: vec![],
     };
     Plan {
         spec,
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -83,6 +83,9 @@
             Ok(spec) => spec,
             Err(e) => return Answer::error(400, &e),
         };
+        if spec.needs.contains(&spec.id) {
+            return Answer::error(422, "Awaits: a job can't need itself");
+        }
         match self.never_runs(&spec) {
             Ok(Some(text)) => Answer::error(422, &text),
             Ok(None) if self.too_large(&self.new_job(now, spec)) => {
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -1,5 +1,7 @@
 //! A job, its tasks, and how both are kept in the store.
 
+use super::inheritance::Inherited;
+use super::needs::Needs;
 use super::places::{Place, Places};
 use super::records::Purpose;
 use super::room::Room;
@@ -82,6 +84,8 @@
     pub need: Room,
     pub seq: u64,
     pub arrived: Time,
+    /// When the last job that it needs was done; when it arrived, if it needs none.
+    pub ready: Time,
     pub submitted: Wall,
     pub cancelled: bool,
     /// Version of the first part that says so; told only once stored.
@@ -128,6 +132,16 @@
     /// Which can't be met any more, and were told so by a hold: released, that
     /// hold does not come back.
     pub never: u32,
+    /// Jobs that are to be done before anything of this one starts.
+    pub needs: Needs,
+    /// How many of them were done since the job was last stored.
+    pub needs_met_unsaved: u32,
+    /// When the last of them was done, if it needed any.
+    pub ready_at: Option<Wall>,
+    /// The job that it needed and that was cancelled, by which it is cancelled.
+    pub cancelled_with: Option<JobId>,
+    /// What it takes over from jobs that need it.
+    pub(super) inherited: Inherited,
     /// Of a job whose tasks wait for those of another: which need not wait any
     /// more, and how many still do.
     opened: Vec<u64>,
@@ -171,6 +185,10 @@
     met: u32,
     #[serde(default, skip_serializing_if = "none_met")]
     never: u32,
+    #[serde(default, skip_serializing_if = "Needs::is_empty")]
+    needs: Needs,
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    ready_at: Option<u64>,
     /// Of a record from before there were histories there is none.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     history: Option<serde_json::Value>,
@@ -207,13 +225,15 @@
 }
 
 impl Job {
-    pub fn new(spec: JobSpec, seq: u64, now: Time, wall: Wall, part_size: u32) -> Job {
+    pub fn new(mut spec: JobSpec, seq: u64, now: Time, wall: Wall, part_size: u32) -> Job {
         let n = spec.tasks;
+        let needs = std::mem::take(&mut spec.needs);
         Job {
             need: Room::of_task(&spec),
             spec,
             seq,
             arrived: now,
+            ready: now,
             submitted: wall,
             cancelled: false,
             cancel_ver: 0,
@@ -244,6 +264,11 @@
             ended: None,
             met: 0,
             never: 0,
+            needs: needs.into_iter().collect(),
+            needs_met_unsaved: 0,
+            ready_at: None,
+            cancelled_with: None,
+            inherited: Inherited::default(),
             opened: vec![],
             closed: 0,
             damaged: false,
@@ -263,6 +288,11 @@
         }
     }
 
+    /// It is cancelled, and a later leader will find that.
+    pub fn cancellation_stored(&self) -> bool {
+        self.cancelled && self.parts[0].stored >= self.cancel_ver
+    }
+
     /// The state to show to users, of what is stored.
     pub fn state(&self) -> JobState {
         if self.cancelled {
@@ -473,6 +503,8 @@
                 holds: self.holds.clone(),
                 met: self.met,
                 never: self.never,
+                needs: self.needs.clone(),
+                ready_at: self.ready_at.map(|w| w.0),
                 history: Some(history),
                 rest: self.rest.clone(),
             })
@@ -496,7 +528,11 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        job.arrived = Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(h.at)));
+        let time_of = |at: u64| Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)));
+        job.arrived = time_of(h.at);
+        job.ready = h.ready_at.map_or(job.arrived, time_of);
+        job.ready_at = h.ready_at.map(Wall);
+        job.needs = h.needs;
         job.cancelled = h.cancelled;
         job.median = super::estimate::median(&h.runtimes);
         job.runtimes = h.runtimes;
--- a/src/sched/life.rs
+++ b/src/sched/life.rs
@@ -1,7 +1,7 @@
 //! A job's life beyond placing: holds, limits of retries, what has happened and
 //! what was used. All of it is stored with the job's records, and told once it is.
 
-use super::after::Came;
+use super::dependencies::ParentOutcome;
 use super::job::{Final, Job, Live, Phase, Waiting};
 use super::records::Purpose;
 use super::users::view;
@@ -33,6 +33,8 @@
             self.no_proof(req);
         } else if self.unreadable.contains_key(id) {
             self.answer(req, Answer::later("the job's record can't be read", 30));
+        } else if !self.ancestors_known(id) {
+            self.answer(req, Answer::later("what it needs is being looked up", 1));
         } else if let Some(j) = self.jobs.get_mut(id) {
             if j.closing.is_some() {
                 // Told with its final state, once that is stored.
@@ -227,7 +229,7 @@
                 tracing::info!(job = %t.job, why = %hold.why, "held at its limit");
                 let id = t.job.clone();
                 self.put_hold(now, &id, hold, Purpose::Start);
-                self.came(now, &id, Came::Failed);
+                self.announce(&id, ParentOutcome::Failed);
             }
         }
     }
@@ -262,10 +264,14 @@
         let changed = std::mem::take(&mut self.dirty.changed);
         let mut lines = Vec::with_capacity(changed.len());
         for id in changed {
+            if !self.ancestors_known(&id) {
+                self.dirty.changed.insert(id);
+                continue;
+            }
             match self.jobs.get(&id) {
                 // What is not stored is not told: it could go back.
                 Some(j) if j.parts[0].stored == 0 => {}
-                Some(j) if j.cancelled && j.parts[0].stored < j.cancel_ver => {}
+                Some(j) if j.cancelled && !j.cancellation_stored() => {}
                 Some(j) => lines.push((id, Ok(j.detail().line()))),
                 None => {
                     let state = self.finals.get(&id).map(|f| f.state);
@@ -284,9 +290,13 @@
         if self.unreadable.contains_key(&id) {
             return self.answer(req, Answer::later("the job's record can't be read", 30));
         }
-        let stored = |j: &&Job| j.parts[0].stored > 0 && j.closing.is_none();
+        if !self.ancestors_known(&id) {
+            return self.answer(req, Answer::later("what it needs is being looked up", 1));
+        }
+        let open = |j: &Job| j.closing.is_none() || j.cancelled_with.is_some();
+        let stored = |j: &Job| j.parts[0].stored > 0 && open(j);
         match self.jobs.get(&id) {
-            Some(j) if stored(&j) && (!j.cancelled || j.parts[0].stored >= j.cancel_ver) => {
+            Some(j) if stored(j) && (!j.cancelled || j.cancellation_stored()) => {
                 let body = serde_json::to_string(&j.detail()).unwrap_or_default();
                 self.answer(req, Answer::new(200, body));
             }
@@ -432,7 +442,17 @@
 
     /// All that is known of the job.
     pub fn detail(&self) -> JobDetail {
-        self.facts().detail(self.job_view(), &self.shown)
+        let detail = self.facts().detail(self.job_view(), &self.shown);
+        JobDetail {
+            needs: self.shown_needs(),
+            needs_count: self.needs.len(),
+            ..detail
+        }
+    }
+
+    /// For whoever asks: not all of them, if there are very many.
+    fn shown_needs(&self) -> Vec<JobId> {
+        self.needs.iter().take(NEEDS_SHOWN).cloned().collect()
     }
 
     fn facts(&self) -> Facts {
@@ -446,6 +466,7 @@
             ended: self.ended.map(|w| w.0),
             due: s.deadline_s.map(|d| self.submitted.0 + (d * 1000.0) as u64),
             history: self.history.encode(FINAL_HISTORY),
+            cancelled_with: self.cancelled_with.clone(),
         }
     }
 
@@ -457,6 +478,8 @@
     }
 }
 
+/// Needed jobs that are told one by one.
+const NEEDS_SHOWN: usize = 100;
 /// Bytes for the history of a finished job.
 const FINAL_HISTORY: usize = 500;
 
@@ -480,6 +503,9 @@
     due: Option<u64>,
     #[serde(rename = "h")]
     history: Value,
+    /// The job that it needed and that was cancelled.
+    #[serde(rename = "cw", default, skip_serializing_if = "Option::is_none")]
+    cancelled_with: Option<JobId>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -515,6 +541,9 @@
             ended_ms: self.ended,
             due_ms: self.due,
             held: holds.iter().cloned().collect(),
+            needs: vec![],
+            needs_count: 0,
+            cancelled_with: self.cancelled_with.clone(),
             counts: What::ALL.iter().map(times).filter(|c| c.1 > 0).collect(),
             useful: of(h.usage().useful_ms),
             lost: of(h.usage().lost_ms),
@@ -541,6 +570,7 @@
         ended: None,
         due: None,
         history: Value::Null,
+        cancelled_with: None,
     };
     let facts = r.facts.unwrap_or_else(none);
     Some(facts.detail(job, &Holds::default()))
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -2,20 +2,23 @@
 //! in as an event with its time; what is to be done goes out as effects.
 
 mod admission;
-mod after;
 mod allowed_zones;
 mod audit;
 mod beats;
 mod catchup;
+mod dependencies;
 mod direct;
 mod estimate;
 mod fences;
 mod fleet;
 mod gang;
 mod hearing;
+mod inheritance;
 pub mod job;
 mod life;
 pub mod machine;
+mod named_jobs;
+pub mod needs;
 mod order;
 mod overview;
 mod place;
@@ -41,6 +44,7 @@
     Attempt, Build, CallId, Class, Epoch, Host, JobId, Label, ReqId, TaskId, Token, Zone,
 };
 use crate::settings::{Settings, Tuning, Workers};
+use crate::store::RecordFormat;
 use crate::store::budget::Budget;
 use crate::time::{Span, Time, Wall};
 use crate::wire::cloud::{Flavor, Hire, Listed};
@@ -194,6 +198,8 @@
     pub machines: BTreeMap<Host, Machine>,
     pub flavors: BTreeMap<Build, Flavor>,
     pub dirty: DirtyQueue,
+    /// The form in which records are written.
+    record_format: RecordFormat,
     teams: team::Teams,
     /// Classes that want to start sooner than a machine can be rented.
     quick: BTreeSet<Class>,
@@ -207,8 +213,9 @@
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
     finals_order: VecDeque<JobId>,
-    /// Who waits for whom.
-    waits: after::Waits,
+    dependencies: dependencies::Dependencies,
+    inheritance: inheritance::InheritanceQueue,
+    look_ups_for_submissions: named_jobs::LookUps,
     /// When running tasks reach their limit.
     time_limits: BTreeSet<(Time, TaskId)>,
     reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
@@ -272,6 +279,7 @@
 
 impl Sched {
     pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: Wall) -> Sched {
+        let look_ups = 2.0 * cfg.look_ups;
         Sched {
             teams: team::Teams::new(&cfg.teams),
             quick: BTreeSet::new(),
@@ -291,9 +299,12 @@
             machines: BTreeMap::new(),
             flavors: BTreeMap::new(),
             dirty: DirtyQueue::default(),
+            record_format: RecordFormat::default(),
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
-            waits: Default::default(),
+            dependencies: Default::default(),
+            inheritance: Default::default(),
+            look_ups_for_submissions: named_jobs::LookUps::new(look_ups),
             time_limits: BTreeSet::new(),
             reads: HashMap::new(),
             counter: 0,
@@ -325,6 +336,18 @@
         }
     }
 
+    /// The form in which records are written from now on. The compact one is never
+    /// given up again.
+    pub fn set_format(&mut self, format: RecordFormat) {
+        self.record_format = self.record_format.max(format);
+    }
+
+    /// Jobs that wait for others may be taken: every controller knows what their
+    /// records say.
+    pub fn accepts_dependencies(&self) -> bool {
+        self.record_format == RecordFormat::Compact
+    }
+
     /// The only way in: an event at a time leads to effects.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.dirty.now = now;
@@ -361,6 +384,8 @@
                 self.tick(now);
             }
         }
+        self.tell_children(now);
+        self.inherit();
         if may_pass && self.replan && now >= self.pass_due() && self.may_start(now) {
             self.replan = false;
             self.pass_at = now + self.cfg.pass_every;
@@ -393,7 +418,9 @@
     pub fn wake_at(&self) -> Option<Time> {
         let pass = self.replan.then_some(self.pass_due());
         let ready = (!self.ready.is_empty()).then_some(Time::default());
-        let due = [pass, ready, self.held_until()];
+        let goes_on = self.dependencies.is_announcing() || !self.inheritance.is_empty();
+        let goes_on = goes_on.then_some(Time::default());
+        let due = [pass, ready, goes_on, self.held_until()];
         due.into_iter().flatten().min()
     }
 
@@ -512,7 +539,7 @@
         }
         self.fleet.first_own = self.next_seq;
         self.book_loaded(now);
-        self.load_waiting(now);
+        self.load_dependencies(now);
         self.dirty.changed.extend(self.jobs.keys().cloned());
         self.replan = true;
     }
@@ -545,6 +572,7 @@
         self.push_all(now);
         self.look_at_shares(now);
         self.read_parents(now);
+        self.go_on_looking_up(now);
         self.end_overlong(now);
         // What waits for time alone, such as a back-off, is tried again.
         self.replan = true;
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -1,6 +1,7 @@
 //! The order in which jobs are served, worked out once for each pass.
 
 use super::fleet::Short;
+use super::inheritance::LATE_FACTOR;
 use super::job::Job;
 use super::{Room, Sched, estimate};
 use crate::ids::{JobId, Team};
@@ -107,7 +108,7 @@
         let rank = |j: &Job| {
             let within = within.contains(j.id());
             let first = self.books.goes_first(j.id());
-            let tier = match j.spec.priority {
+            let tier = match j.priority() {
                 _ if first => 0,
                 Priority::Production => 0,
                 Priority::High => 1,
@@ -123,7 +124,10 @@
             (j.id().clone(), Rank { tier, due, seq })
         };
         let ranks = self.jobs.values().map(rank).collect();
-        let plain_wanted = self.jobs.values().any(|j| !j.spec.spot);
+        let plain_wanted = self
+            .jobs
+            .values()
+            .any(|j| !j.spec.spot && j.needs.is_empty());
         let gang = |s: &Short| {
             let j = self.jobs.get(&s.job);
             j.is_some_and(|j| j.spec.kind == Kind::Gang && !j.spec.spot)
@@ -138,9 +142,11 @@
     }
 
     /// Jobs that fit within their team's guarantee along with the team's
-    /// earlier unfinished ones.
+    /// earlier unfinished ones. What needs others is not among these before they are
+    /// done, and comes in the order in which that happened.
     fn within_guarantee(&self) -> HashSet<JobId> {
-        let mut by_seq: Vec<_> = self.jobs.values().filter(|j| !j.cancelled).collect();
+        let counts = |j: &&Job| !j.cancelled && j.needs.is_empty();
+        let mut by_seq: Vec<_> = self.jobs.values().filter(counts).collect();
         by_seq.sort_by_key(|j| j.seq);
         let mut used: BTreeMap<&Team, (Room, Room)> = BTreeMap::new();
         let mut within = HashSet::new();
@@ -164,6 +170,7 @@
         let run = estimate::of(j).as_secs();
         let run = if run > 1e9 { 0.0 } else { run };
         let arrived = j.arrived.0 as f64 / 1e6;
+        let ready = j.ready.0 as f64 / 1e6;
         let now = now.0 as f64 / 1e6;
         let mut best = f64::INFINITY;
         let mut take = |start: f64| {
@@ -173,15 +180,20 @@
         };
         if let Some(d) = j.spec.deadline_s {
             take(arrived + d - run);
-            take(arrived + 1.5 * d - run);
+            take(arrived + LATE_FACTOR * d - run);
+        }
+        // For the last of those that need it, on the longest way.
+        let inherited = j.inherited.due;
+        for due in [inherited.in_time, inherited.late].into_iter().flatten() {
+            take(due.0 as f64 / 1e6 - run);
         }
         for o in &self.cfg.objectives {
             let mine = o.class.as_ref() == Some(&j.spec.class);
             let Some(s) = o.within_s else { continue };
             match o.kind.as_str() {
-                "finished" if mine => take(arrived + s - run),
-                "wait" if mine => take(arrived + s),
-                "guarantee" if within => take(arrived + s),
+                "finished" if mine => take(ready + s - run),
+                "wait" if mine => take(ready + s),
+                "guarantee" if within => take(ready + s),
                 _ => {}
             }
         }
@@ -201,8 +213,12 @@
             .iter()
             .filter(class)
             .filter_map(|o| o.within_s);
-        let deadline = j.spec.deadline_s.into_iter().flat_map(|d| [d, 1.5 * d]);
-        let all = aims.chain(deadline).map(|s| j.arrived + Span::secs(s));
+        let aims = aims.map(|s| j.ready + Span::secs(s));
+        let deadline = j.spec.deadline_s.into_iter();
+        let deadline = deadline.flat_map(|d| [d, LATE_FACTOR * d]);
+        let deadline = deadline.map(|s| j.arrived + Span::secs(s));
+        let inherited = [j.inherited.due.in_time, j.inherited.due.late];
+        let all = aims.chain(deadline).chain(inherited.into_iter().flatten());
         all.filter(|t| *t > now).min()
     }
 
@@ -215,7 +231,7 @@
             _ => false,
         };
         let aims = self.cfg.objectives.iter().filter(counts);
-        let by = aims.filter_map(|o| Some(j.arrived + Span::secs(o.within_s?)));
+        let by = aims.filter_map(|o| Some(j.ready + Span::secs(o.within_s?)));
         by.filter(|t| *t > now).min()
     }
 }
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -62,7 +62,7 @@
 
 impl Claim<'_> {
     fn urgent(&self) -> bool {
-        self.job.spec.priority <= Priority::High
+        self.job.priority() <= Priority::High
     }
 }
 
@@ -151,7 +151,7 @@
             // A gang needs whole machines in one place: stopping a task here
             // and there made no room for it, and went on as it stayed short.
             let gang = job.spec.kind == Kind::Gang;
-            let may = (job.spec.priority != Priority::Low || within) && !gang;
+            let may = (job.priority() != Priority::Low || within) && !gang;
             let rank = order.rank(id)?;
             let allowed = AllowedZones::of(self, job);
             let shut = |z: &&Zone| !allowed.contains(z);
@@ -265,8 +265,9 @@
             return false;
         }
         let (theirs, ours) = (&v.job.spec, &c.job.spec);
-        let lower = theirs.priority > ours.priority;
-        let urgent = ours.priority <= Priority::High;
+        let (their_priority, our_priority) = (v.job.priority(), c.job.priority());
+        let lower = their_priority > our_priority;
+        let urgent = our_priority <= Priority::High;
         if lower && (urgent || v.cheap) {
             return allowed(ours, v.machine);
         }
@@ -278,7 +279,7 @@
             && v.lost < BORROWED_S
             && fetch.as_secs() < BORROWED_S
             && theirs.team != ours.team
-            && theirs.priority >= ours.priority
+            && their_priority >= our_priority
             && !order.within(v.job.id())
             && self.teams.beyond_guarantee(&theirs.team)
             && allowed(ours, v.machine)
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -1,6 +1,6 @@
 //! Which records wait to be written, and what happens when they are.
 
-use super::after::Came;
+use super::dependencies::ParentOutcome;
 use super::job::{Final, Job};
 use super::{Effect, Sched};
 use crate::ids::{JobId, TaskIx};
@@ -175,7 +175,12 @@
             return;
         }
         j.ended = Some(self.wall);
-        j.touch(0, &mut self.dirty, Purpose::End);
+        // That it is cancelled with another is on record by that one.
+        let purpose = match j.cancelled_with {
+            Some(_) => Purpose::Progress,
+            None => Purpose::End,
+        };
+        j.touch(0, &mut self.dirty, purpose);
     }
 
     pub fn final_of(&self, id: &JobId) -> Option<Final> {
@@ -206,8 +211,10 @@
                 let Some(j) = self.jobs.get_mut(&id) else {
                     return;
                 };
+                let cancelled_before = j.cancellation_stored();
                 let p = &mut j.parts[part];
                 p.stored = p.stored.max(ver);
+                let cancelled_now = j.cancellation_stored() && !cancelled_before;
                 self.dirty.changed.insert(id.clone());
                 if part == 0 {
                     if ver >= j.holds_ver {
@@ -219,6 +226,9 @@
                     j.waiters = rest;
                     self.tell_waiters(now, &id, ready);
                 }
+                if cancelled_now {
+                    self.announce(&id, ParentOutcome::Cancelled);
+                }
                 self.open_counterparts(&id, part, None);
                 self.note_ready(&id);
             }
@@ -236,11 +246,14 @@
                     JobState::Cancelled => What::Cancelled,
                     _ => What::Done,
                 };
-                self.book(now, &id, what);
+                // What still needed others never counted as having come.
+                if self.jobs.get(&id).is_some_and(|j| j.needs.is_empty()) {
+                    self.book(now, &id, what);
+                }
                 if let Some(j) = self.jobs.remove(&id) {
                     self.tell_waiters_final(&id, j.waiters, f);
                 }
-                self.came(now, &id, Came::Over(f.state));
+                self.announce(&id, ParentOutcome::Over(f.state));
             }
         }
     }
@@ -275,7 +288,7 @@
         }
         self.remember_final(&id, f);
         self.tell_waiters_final(&id, waiters, f);
-        self.came(now, &id, Came::Over(f.state));
+        self.announce(&id, ParentOutcome::Over(f.state));
     }
 
     pub(super) fn read_final(&mut self, id: &JobId) {
--- a/src/sched/report.rs
+++ b/src/sched/report.rs
@@ -1,7 +1,7 @@
 //! What workers' reports say, what they are told, and when an attempt is proven
 //! gone. How reports are answered is in `beats`.
 
-use super::after::Came;
+use super::dependencies::ParentOutcome;
 use super::hearing::SessionSeen;
 use super::job::{Phase, Stop};
 use super::machine::{Life, Machine};
@@ -192,7 +192,7 @@
             let since = if l.inherited { l.placed } else { now };
             l.running_since = Some(since);
             let after_s = (now - l.placed).as_secs();
-            let waited_s = (now - job.arrived).as_secs();
+            let waited_s = (now - job.ready).as_secs();
             tracing::debug!(task = %r.task, class = %job.spec.class, %host, after_s, waited_s, %image, gb, "running");
             let first = job.history.first_start().is_none();
             if !l.inherited || first {
@@ -206,7 +206,7 @@
             self.note_limit(&r.task, since);
             if first {
                 self.book(now, &r.task.job, Begun);
-                self.came(now, &r.task.job, Came::Started);
+                self.announce(&r.task.job, ParentOutcome::Started);
             }
         }
         true
--- a/src/sched/served.rs
+++ b/src/sched/served.rs
@@ -138,7 +138,7 @@
 /// Since when a job has waited for a start of the tasks that it still has.
 fn waits_since(j: &Job) -> Time {
     let latest = j.live.values().map(|l| l.placed).max();
-    latest.map_or(j.arrived, |t| t.max(j.arrived))
+    latest.map_or(j.ready, |t| t.max(j.ready))
 }
 
 impl Sched {
@@ -156,7 +156,7 @@
 
     /// Jobs that a new leader finds on record.
     pub(super) fn book_loaded(&mut self, now: Time) {
-        for j in self.jobs.values() {
+        for j in self.jobs.values().filter(|j| j.needs.is_empty()) {
             let (class, team) = (&j.spec.class, &j.spec.team);
             self.books.note(now, class, team, What::Came);
             self.books.came(class, j.spec.tasks);
@@ -174,7 +174,7 @@
                 What::Came => self.books.came(class, j.spec.tasks),
                 What::Begun => {
                     if let Some(l) = self.books.largest.get_mut(class) {
-                        l.begun(j.spec.tasks as u64, now - j.arrived);
+                        l.begun(j.spec.tasks as u64, now - j.ready);
                     }
                 }
                 _ => {}
@@ -197,7 +197,7 @@
         let waits = |j: &&Job| j.pending() > 0 && !j.fails_everywhere();
         for j in self.jobs.values().filter(waits) {
             let (tasks, waited) = (j.pending() as u64, now - waits_since(j));
-            let came = now - j.arrived;
+            let came = now - j.ready;
             let p = patience.get(&j.spec.class).copied().unwrap_or(usual);
             let class = by_class.entry(j.spec.class.clone()).or_default();
             class.note(tasks, came, waited, p);
@@ -235,7 +235,7 @@
         };
         let ahead = |j: &Job| {
             let waiting = j.pending() as u64;
-            floor.goes_ahead(j.spec.tasks as u64, waiting, now - j.arrived) as i64
+            floor.goes_ahead(j.spec.tasks as u64, waiting, now - j.ready) as i64
         };
         let mut late: Vec<(&Job, i64)> = self
             .jobs
@@ -244,7 +244,7 @@
             .map(|j| (j, ahead(j)))
             .filter(|(_, n)| *n > 0)
             .collect();
-        late.sort_by_key(|(j, _)| (j.arrived, j.seq));
+        late.sort_by_key(|(j, _)| (j.ready, j.seq));
         let fleet: i64 = self.machines.values().map(|m| m.capacity.cpu).sum();
         let mut left = (fleet as f64 * AHEAD) as i64;
         let mut first = BTreeSet::new();
--- a/src/sched/users.rs
+++ b/src/sched/users.rs
@@ -1,13 +1,13 @@
 //! What users ask: submissions, polls and cancellations.
 
 use super::Sched;
-use super::after::Came;
+use super::dependencies::ParentOutcome;
 use super::job::{Final, Job, Waiting};
 use super::records::Purpose;
 use crate::ids::{JobId, ReqId};
 use crate::time::{Span, Time};
 use crate::wire::peer::{Answer, Ask};
-use crate::wire::user::{JobSpec, JobState, JobView, Kind};
+use crate::wire::user::{JobSpec, JobState, JobView};
 use hookworks_fairness::JobEvent as What;
 
 /// A submission waits no longer than that for the next pass.
@@ -57,12 +57,15 @@
         self.answer(req, Answer::later(text, 1));
     }
 
-    fn submit(&mut self, now: Time, req: ReqId, spec: JobSpec, _body: Vec<u8>) {
+    fn submit(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
         let id = spec.id.clone();
         if let Some(f) = self.finals.get(&id) {
             let f = *f;
             return self.answer(req, final_answer(&id, f));
         }
+        if let Some(a) = self.cancelled_for_ever(&id) {
+            return self.answer(req, a);
+        }
         if let Some(state) = self.unreadable.get(&id).filter(|_| self.may_start(now)) {
             // Accepted once, for certain.
             let a = Answer::new(200, view(&id, *state, 0, 0));
@@ -82,14 +85,14 @@
         if !self.may_start(now) {
             return self.no_proof(req);
         }
-        if self.named_jobs(req, &spec, &_body) {
+        if self.look_up_named(now, req, &spec, &body) {
             return;
         }
-        self.submit_named(now, req, spec, _body);
+        self.submit_named(now, req, spec, body);
     }
 
     /// The jobs that it names are known.
-    pub(super) fn submit_named(&mut self, now: Time, req: ReqId, spec: JobSpec, _body: Vec<u8>) {
+    pub(super) fn submit_named(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
         let id = spec.id.clone();
         // A repeated submission must never get 400 or 422, so what would be
         // refused is only refused after a look at what is over already.
@@ -98,7 +101,7 @@
                 self.books.note(now, &spec.class, &spec.team, What::Refused);
                 return self.answer(req, Answer::later(&e, 1));
             }
-            Ok(Some(_)) => return self.look_up(now, req, id, Ask::Submit(_body)),
+            Ok(Some(_)) => return self.look_up(now, req, id, Ask::Submit(body)),
             Ok(None) => {}
         }
         if self.jobs.len() >= self.cfg.most_jobs {
@@ -107,29 +110,29 @@
         }
         let mut job = self.new_job(now, spec);
         if self.too_large(&job) {
-            return self.look_up(now, req, id, Ask::Submit(_body));
+            return self.look_up(now, req, id, Ask::Submit(body));
         }
         self.next_seq += 1;
-        if self.is_quick(&job.spec.class) && job.spec.kind != Kind::Gang {
-            self.arrivals.note(now, &job);
-        }
         // Written after the next pass, so that one write holds the job and
         // what it starts with.
         job.parts[0].ver = 1;
         job.waiters.push((1, req, Waiting::Accept));
         self.taken.push(id.clone());
-        if self.is_quick(&job.spec.class) {
-            self.pass_at = now;
-        }
         // Its user waits: the next pass comes soon.
         self.pass_at = self.pass_at.min(now + SOON);
+        let needs_none = job.needs.is_empty();
         self.jobs.insert(id.clone(), job);
-        self.book(now, &id, What::Came);
-        self.begin_waiting(now, &id);
+        if needs_none {
+            self.note_ready_to_run(now, &id);
+        }
+        self.register_dependencies(now, &id);
         self.replan = true;
     }
 
     fn tell_live(&mut self, req: ReqId, id: &JobId) {
+        if !self.ancestors_known(id) {
+            return self.answer(req, Answer::later("what it needs is being looked up", 1));
+        }
         if let Some(j) = self.jobs.get_mut(id) {
             // Whoever reads the state service may have told the final state already:
             // any other answer could be older. It is known in a moment.
@@ -151,6 +154,8 @@
         if let Some(f) = self.finals.get(id) {
             let f = *f;
             self.answer(req, final_answer(id, f));
+        } else if let Some(a) = self.cancelled_for_ever(id) {
+            self.answer(req, a);
         } else if !self.may_start(now) {
             self.no_proof(req);
         } else {
@@ -202,6 +207,7 @@
             j.waiters.push((ver, req, Waiting::Cancel));
             self.stop_all(now, &id);
             self.finish_if_over(&id);
+            self.withdraw_from_parents(&id);
             self.replan = true;
         } else if j.parts[0].stored >= j.cancel_ver {
             let a = Answer::new(200, view(&id, JobState::Cancelled, j.done_count, 0));
@@ -256,7 +262,7 @@
         };
         if let Ok(Some(f)) = r {
             self.remember_final(&id, f);
-            self.came(now, &id, Came::Over(f.state));
+            self.announce(&id, ParentOutcome::Over(f.state));
         }
         for (req, ask) in asked {
             let a = match (&r, &ask) {
@@ -302,8 +308,7 @@
                     continue;
                 }
             };
-            let stored = |j: &Job| j.cancelled && j.parts[0].stored >= j.cancel_ver;
-            let cancelled = self.jobs.get(id).is_some_and(stored);
+            let cancelled = self.jobs.get(id).is_some_and(Job::cancellation_stored);
             let state = if cancelled {
                 JobState::Cancelled
             } else {
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -334,9 +334,7 @@
         let standing = match j.spec.kind {
             Kind::Service => Standing::Replica,
             Kind::Gang if !whole || l.stop.is_some() => Standing::Broken,
-            _ if j.spec.priority <= Priority::High || self.is_quick(&j.spec.class) => {
-                Standing::Urgent
-            }
+            _ if j.priority() <= Priority::High || self.is_quick(&j.spec.class) => Standing::Urgent,
             _ => Standing::Other,
         };
         Stake {
@@ -453,5 +451,5 @@
 
 /// Production and urgent work may have room made by it.
 fn gives_way(j: &Job) -> bool {
-    j.spec.kind == Kind::Array && j.spec.priority > Priority::High
+    j.spec.kind == Kind::Array && j.priority() > Priority::High
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -3,8 +3,8 @@
 use crate::ids::{Build, Class, Image, JobId, Team, Zone};
 use hookworks_job_lifecycle::{HistoryEntry, Hold, JobEvent};
 use hookworks_listing::Line;
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use serde::{Deserialize, Deserializer, Serialize, de};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Most tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
@@ -61,6 +61,28 @@
     /// What must come about before the job starts anything; ours.
     #[serde(rename = "After", default, skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<After>,
+    /// Jobs of any team that must be done before any task of this one starts
+    /// (DAG dependency). Empty in records: what is not met is kept beside the spec.
+    #[serde(
+        rename = "Awaits",
+        default,
+        deserialize_with = "job_ids",
+        skip_serializing_if = "Vec::is_empty"
+    )]
+    pub needs: Vec<JobId>,
+}
+
+/// A list of well-formed ids, each once; null is none.
+fn job_ids<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<JobId>, D::Error> {
+    let names = Option::<Vec<String>>::deserialize(d)?.unwrap_or_default();
+    let mut ids = BTreeSet::new();
+    for name in names {
+        if !JobId::well_formed(&name) {
+            return Err(de::Error::custom("must be a list of ids, job- and digits"));
+        }
+        ids.insert(JobId::from(name.as_str()));
+    }
+    Ok(ids.into_iter().collect())
 }
 
 /// A condition on another job of the same team.
@@ -79,6 +101,10 @@
     !*b
 }
 
+fn is_zero(n: &usize) -> bool {
+    *n == 0
+}
+
 /// What a job may wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -205,6 +231,19 @@
     pub due_ms: Option<u64>,
     #[serde(rename = "Holds", default, skip_serializing_if = "Vec::is_empty")]
     pub held: Vec<Hold>,
+    /// Jobs that are to be done before this one starts; the first of them.
+    #[serde(rename = "Awaits", default, skip_serializing_if = "Vec::is_empty")]
+    pub needs: Vec<JobId>,
+    /// How many there are.
+    #[serde(rename = "AwaitsCount", default, skip_serializing_if = "is_zero")]
+    pub needs_count: usize,
+    /// The job that it needed and whose cancellation cancelled it.
+    #[serde(
+        rename = "CancelledWith",
+        default,
+        skip_serializing_if = "Option::is_none"
+    )]
+    pub cancelled_with: Option<JobId>,
     #[serde(rename = "Counts", default)]
     pub counts: BTreeMap<JobEvent, u32>,
     #[serde(rename = "Useful", default)]
