--- a/src/sched/inheritance.rs
+++ b/src/sched/inheritance.rs
@@ -87,6 +87,11 @@
         self.spec.priority.min(inherited)
     }
 
+    /// By when it must be done for the deadline of the last job that needs it.
+    pub fn inherited_due(&self) -> Option<Time> {
+        self.inherited.due.in_time
+    }
+
     fn own_due(&self) -> Due {
         let after = |factor: f64| {
             let deadline = self.spec.deadline_s?;
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -251,7 +251,9 @@
                     self.book(now, &id, what);
                 }
                 if let Some(j) = self.jobs.remove(&id) {
-                    self.tell_waiters_final(&id, j.waiters, f);
+                    // Cancelled with one that it needs before its own first write.
+                    let new = j.cancelled_with.is_some();
+                    self.tell_waiters_final(&id, j.waiters, f, new);
                 }
                 self.announce(&id, ParentOutcome::Over(f.state));
             }
@@ -287,7 +289,7 @@
             self.dirty.changed.insert(id.clone());
         }
         self.remember_final(&id, f);
-        self.tell_waiters_final(&id, waiters, f);
+        self.tell_waiters_final(&id, waiters, f, false);
         self.announce(&id, ParentOutcome::Over(f.state));
     }
 
--- a/src/sched/users.rs
+++ b/src/sched/users.rs
@@ -318,16 +318,20 @@
         }
     }
 
+    /// `new`: the job was not known to anybody before this write.
     pub(super) fn tell_waiters_final(
         &mut self,
         id: &JobId,
         waiters: Vec<(u64, ReqId, Waiting)>,
         f: Final,
+        new: bool,
     ) {
         for (_, req, what) in waiters {
             let mut a = final_answer(id, f);
-            if matches!(what, Waiting::Hold(_)) {
-                a.status = 409;
+            match what {
+                Waiting::Hold(_) => a.status = 409,
+                Waiting::Accept if new => a.status = 201,
+                _ => {}
             }
             self.answer(req, a);
         }
