--- a/crates/listing/src/lib.rs
+++ b/crates/listing/src/lib.rs
@@ -60,6 +60,19 @@
     /// Who holds it, and why; empty if nobody does.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub held: Vec<String>,
+    /// Jobs that are to be done before it starts; the first of them.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub awaits: Vec<String>,
+    /// How many there are.
+    #[serde(default, skip_serializing_if = "is_zero")]
+    pub awaits_count: usize,
+    /// The job that it needed and whose cancellation cancelled it.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub cancelled_with: Option<String>,
+}
+
+fn is_zero(n: &usize) -> bool {
+    *n == 0
 }
 
 impl Line {
--- a/crates/listing/tests/rows.rs
+++ b/crates/listing/tests/rows.rs
@@ -12,6 +12,9 @@
             class: "c".repeat(200),
             team: "t".repeat(200),
             held: vec!["h".repeat(230); 3],
+            awaits: vec!["j".repeat(64); 10],
+            awaits_count: 5000,
+            cancelled_with: Some("j".repeat(64)),
             ..Line::default()
         };
         b.put(line, 0);
--- a/src/sched/dependencies.rs
+++ b/src/sched/dependencies.rs
@@ -14,16 +14,17 @@
 use super::job::Job;
 use super::records::Purpose;
 use crate::ids::{JobId, TaskIx};
+use crate::store::budget::Budget;
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
 use crate::wire::user::{After, JobState, Kind, When};
 use hookworks_fairness::JobEvent;
 use hookworks_job_lifecycle::{Hold, HoldKind};
 use std::collections::{BTreeSet, HashMap, VecDeque};
+use std::ops::Bound;
 
-/// Final states of parents asked for at a time.
-const MAX_READS: usize = 64;
-/// A parent's final state that could not be read is asked for again after so long.
+/// Once all final states that are wanted were asked for, those that could not be read
+/// are asked for again after so long.
 const READ_AGAIN: Span = Span(3_000_000);
 /// Who holds a job whose condition can't be met any more.
 const HELD_BY: &str = "dependency";
@@ -75,17 +76,50 @@
 }
 
 /// Who depends on whom.
-#[derive(Default)]
 pub(super) struct Dependencies {
     /// By the job that is waited for.
     children: HashMap<JobId, Vec<JobId>>,
     announcements: VecDeque<Announcement>,
     /// Ended before this leader came, or unknown why not: to be read.
     unread: BTreeSet<JobId>,
-    read_at: Time,
+    /// The latest of them that was asked for, the next round, and what there is for
+    /// that of the state service's requests.
+    asked_up_to: Option<JobId>,
+    ask_at: Time,
+    budget: Budget,
 }
 
 impl Dependencies {
+    /// With so many reads of final states a second.
+    pub fn new(reads_per_s: f64) -> Dependencies {
+        Dependencies {
+            children: HashMap::new(),
+            announcements: VecDeque::new(),
+            unread: BTreeSet::new(),
+            asked_up_to: None,
+            ask_at: Time::default(),
+            budget: Budget::new(reads_per_s, (2.0 * reads_per_s).max(1.0)),
+        }
+    }
+
+    /// The next one to be read, each once a round.
+    fn next_unread(&mut self, now: Time) -> Option<JobId> {
+        if now < self.ask_at || !self.budget.has(now, 1.0) {
+            return None;
+        }
+        let from = match &self.asked_up_to {
+            Some(id) => Bound::Excluded(id),
+            None => Bound::Unbounded,
+        };
+        let next = self.unread.range((from, Bound::Unbounded)).next().cloned();
+        match &next {
+            Some(_) => self.budget.take(now, 1.0),
+            None => self.ask_at = now + READ_AGAIN,
+        }
+        self.asked_up_to = next.clone();
+        next
+    }
+
     pub fn children_of(&self, id: &JobId) -> &[JobId] {
         self.children.get(id).map_or(&[], |c| c)
     }
@@ -447,18 +481,10 @@
 
     /// Asks for final states that are not known yet.
     pub(super) fn read_parents(&mut self, now: Time) {
-        if self.dependencies.unread.is_empty() || now < self.dependencies.read_at {
+        if self.dependencies.unread.is_empty() {
             return;
         }
-        self.dependencies.read_at = now + READ_AGAIN;
-        let some: Vec<JobId> = self
-            .dependencies
-            .unread
-            .iter()
-            .take(MAX_READS)
-            .cloned()
-            .collect();
-        for id in some {
+        while let Some(id) = self.dependencies.next_unread(now) {
             self.read_final(&id);
         }
     }
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -528,10 +528,11 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        let time_of = |at: u64| Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)));
-        job.arrived = time_of(h.at);
-        job.ready = h.ready_at.map_or(job.arrived, time_of);
+        job.arrived = time_of(Wall(h.at), now, wall);
         job.ready_at = h.ready_at.map(Wall);
+        job.ready = job
+            .ready_at
+            .map_or(job.arrived, |at| time_of(at, now, wall));
         job.needs = h.needs;
         job.cancelled = h.cancelled;
         job.median = super::estimate::median(&h.runtimes);
@@ -570,6 +571,12 @@
     }
 }
 
+/// A time of day on the steady clock.
+fn time_of(at: Wall, now: Time, wall: Wall) -> Time {
+    let ago = crate::time::Span::millis(wall.0.saturating_sub(at.0));
+    Time(now.0.saturating_sub(ago.0))
+}
+
 /// How many tasks share a record, so that a full one stays under the limit.
 pub fn part_size(value_kb: f64) -> u32 {
     let n = ((value_kb * 1024.0 - HEADER) / PER_TASK).max(64.0) as u32;
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -302,7 +302,7 @@
             record_format: RecordFormat::default(),
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
-            dependencies: Default::default(),
+            dependencies: dependencies::Dependencies::new(look_ups),
             inheritance: Default::default(),
             look_ups_for_submissions: named_jobs::LookUps::new(look_ups),
             time_limits: BTreeSet::new(),
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -6,7 +6,7 @@
 use crate::ids::{JobId, TaskIx};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobState, Kind};
+use crate::wire::user::{JobState, Kind, Priority};
 use hookworks_fairness::JobEvent as What;
 use std::collections::{HashSet, VecDeque};
 
@@ -175,10 +175,14 @@
             return;
         }
         j.ended = Some(self.wall);
-        // That it is cancelled with another is on record by that one.
-        let purpose = match j.cancelled_with {
-            Some(_) => Purpose::Progress,
-            None => Purpose::End,
+        let needed = !self.dependencies.children_of(id).is_empty();
+        let purpose = match j.closing {
+            // That it is cancelled with another is on record by that one.
+            _ if j.cancelled_with.is_some() => Purpose::Progress,
+            // Others start once this is stored.
+            Some(JobState::Done) if needed && j.priority() <= Priority::High => Purpose::Now,
+            Some(JobState::Done) if needed => Purpose::Start,
+            _ => Purpose::End,
         };
         j.touch(0, &mut self.dirty, purpose);
     }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -10,6 +10,8 @@
 pub const MAX_TASKS: u32 = 100_000;
 /// Longest duration in seconds, and largest image in GB, of a job.
 const MAX_AMOUNT: f64 = 1e9;
+/// Needed jobs that a line of a list names.
+const NEEDS_IN_LINE: usize = 10;
 /// Most conditions that a job may wait for.
 pub const MAX_AFTER: usize = 16;
 
@@ -263,6 +265,7 @@
             "" => h.by.clone(),
             why => format!("{}: {why}", h.by),
         };
+        let awaits = self.needs.iter().take(NEEDS_IN_LINE);
         Line {
             id: self.job.id.to_string(),
             status: self.job.state.as_str().into(),
@@ -278,6 +281,9 @@
             due_ms: self.due_ms,
             late: matches!((self.due_ms, self.ended_ms), (Some(d), Some(e)) if e > d),
             held: self.held.iter().map(hold).collect(),
+            awaits: awaits.map(JobId::to_string).collect(),
+            awaits_count: self.needs_count,
+            cancelled_with: self.cancelled_with.as_ref().map(JobId::to_string),
         }
     }
 }
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -541,6 +541,50 @@
     assert!(d.s.jobs.len() <= 1 && !placed(&d, 400));
 }
 
+/// What an earlier leader did not note as done is read: within the budget, each in its
+/// turn, also behind those that can't be read.
+#[test]
+fn ends_that_a_new_leader_has_to_read_are_read_in_turn() {
+    let mut d = desk(5, vec![]);
+    let mut found = vec![];
+    for n in 1..=100 {
+        d.submit(&job(n, 1));
+        d.submit(&needing(1000 + n, [n]));
+        found.push(on_record(&d, 1000 + n));
+    }
+    let mut next = desk(6, found);
+    let mut asked: Vec<usize> = vec![];
+    let mut done = std::collections::BTreeSet::new();
+    while done.len() < 90 && asked.len() < 400 {
+        next.wait(0.25);
+        let fx = std::mem::take(&mut next.fx);
+        let read = fx.into_iter().filter_map(|f| match f {
+            Effect::ReadFinal(i) => Some(i),
+            _ => None,
+        });
+        let read: Vec<JobId> = read.collect();
+        asked.push(read.len());
+        for i in read {
+            // The first ten never answer.
+            let answers = i > id(10);
+            let r = answers.then(|| Some(over(JobState::Done))).ok_or(());
+            next.event(Event::FinalRead(i.clone(), r));
+            done.extend(answers.then_some(i));
+        }
+    }
+    let seconds: Vec<usize> = asked.chunks(4).map(|c| c.iter().sum()).collect();
+    assert_eq!(done.len(), 90, "{seconds:?}");
+    // A fifth of the requests that the state service takes, twice that at first.
+    let most = next.s.cfg.look_ups * 2.0;
+    let later = seconds.iter().skip(1).all(|n| *n as f64 <= most + 1.0);
+    assert!(
+        later && seconds[0] as f64 <= 3.0 * most + 1.0,
+        "{seconds:?}"
+    );
+    assert_eq!(poll(&mut next, 1001).0, 503);
+    assert_eq!(poll(&mut next, 1100).0, 200);
+}
+
 /// Its user sets priority and deadline on the last job alone.
 #[test]
 fn a_job_counts_with_the_priority_and_the_deadline_of_the_last_that_needs_it() {
@@ -574,6 +618,41 @@
     assert_eq!(due(&d, 1), None);
 }
 
+/// Others start only once it is stored.
+#[test]
+fn the_end_of_a_job_that_others_need_is_written_ahead_of_other_ends() {
+    let mut d = desk(5, vec![]);
+    machines(&mut d, 1);
+    for n in 1..=3 {
+        d.submit(&job(n, 1));
+    }
+    d.submit(&needing(4, [2]));
+    let mut urgent = needing(5, [3]);
+    urgent.priority = Priority::High;
+    d.submit(&urgent);
+    for n in 1..=3 {
+        run(&mut d, n, 10 * n);
+    }
+    d.stores = false;
+    let ends = (1..=3).map(|n| {
+        let a = d.attempt(id(n).as_str(), 0).expect("placed");
+        ended(id(n).as_str(), 0, a, Cause::Done)
+    });
+    let mut r = report(1, 100, Token(5 << 24));
+    (r.addr, r.tasks) = (None, ends.collect());
+    d.beat(&r);
+    let mut written = vec![];
+    while let Some(next) = d.s.dirty.pop() {
+        let Some(j) = d.s.jobs.get_mut(&next.job) else {
+            continue;
+        };
+        if j.unqueue(next.part, next.purpose) {
+            written.push(next.job);
+        }
+    }
+    assert_eq!(written, [id(3), id(2), id(1)]);
+}
+
 /// A thousand that need one, and a chain above it: no event looks at all of them.
 #[test]
 fn what_is_inherited_goes_up_a_bounded_number_of_steps_at_a_time() {
