--- a/tests/world/acts.rs
+++ b/tests/world/acts.rs
@@ -40,6 +40,7 @@
     }
 
     pub(super) fn effect(&mut self, i: usize, epoch: Epoch, f: Effect) {
+        self.effect_log.add(self.now, i, epoch, &f);
         let d = self.delay();
         match f {
             Effect::Answer(req, a) => {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -8,6 +8,7 @@
 pub mod close_looks;
 mod cloud;
 pub mod desk;
+pub mod effect_log;
 pub mod followers;
 pub mod given;
 pub mod handover;
@@ -206,6 +207,7 @@
     pub done_tasks: BTreeSet<TaskId>,
     pub submissions: submissions::Submissions,
     pub handover: handover::HandOver,
+    pub effect_log: effect_log::EffectLog,
 }
 
 const S: u64 = 1_000_000;
@@ -278,6 +280,7 @@
             done_tasks: BTreeSet::new(),
             submissions: submissions::Submissions::default(),
             handover: Default::default(),
+            effect_log: Default::default(),
         };
         for i in 0..controllers {
             let c = w.new_ctl(i, 1);
