--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -41,6 +41,7 @@
     Attempt, Build, CallId, Class, Epoch, Host, JobId, Label, ReqId, TaskId, Token, Zone,
 };
 use crate::settings::{Settings, Tuning, Workers};
+use crate::store::RecordFormat;
 use crate::store::budget::Budget;
 use crate::time::{Span, Time, Wall};
 use crate::wire::cloud::{Flavor, Hire, Listed};
@@ -194,6 +195,8 @@
     pub machines: BTreeMap<Host, Machine>,
     pub flavors: BTreeMap<Build, Flavor>,
     pub dirty: DirtyQueue,
+    /// The form in which records are written.
+    record_format: RecordFormat,
     teams: team::Teams,
     /// Classes that want to start sooner than a machine can be rented.
     quick: BTreeSet<Class>,
@@ -291,6 +294,7 @@
             machines: BTreeMap::new(),
             flavors: BTreeMap::new(),
             dirty: DirtyQueue::default(),
+            record_format: RecordFormat::default(),
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
             waits: Default::default(),
@@ -325,6 +329,18 @@
         }
     }
 
+    /// The form in which records are written from now on. The compact one is never
+    /// given up again.
+    pub fn set_format(&mut self, format: RecordFormat) {
+        self.record_format = self.record_format.max(format);
+    }
+
+    /// Jobs that wait for others may be taken: every controller knows what their
+    /// records say.
+    pub fn accepts_dependencies(&self) -> bool {
+        self.record_format == RecordFormat::Compact
+    }
+
     /// The only way in: an event at a time leads to effects.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.dirty.now = now;
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -7,6 +7,7 @@
 
 use super::budget::Budget;
 use super::client::Outcome;
+use super::format::RecordFormat;
 use super::{FENCES, LEADER, final_key, part_key};
 use crate::ids::{JobId, Stamp, TxnId};
 use crate::sched::job::Final;
@@ -43,6 +44,7 @@
 pub struct Committer {
     leader: Stamp,
     limits: StateLimits,
+    format: RecordFormat,
     stamps: HashMap<String, Stamp>,
     under_way: HashMap<TxnId, Vec<Work>>,
     /// Jobs in a transaction or being read back: nothing else of them is sent.
@@ -74,6 +76,7 @@
         Committer {
             leader,
             limits: limits.clone(),
+            format: RecordFormat::default(),
             stamps: HashMap::new(),
             under_way: HashMap::new(),
             busy: HashSet::new(),
@@ -87,6 +90,12 @@
         }
     }
 
+    /// The form in which records are written from now on. The compact one is never
+    /// given up again.
+    pub fn set_format(&mut self, format: RecordFormat) {
+        self.format = self.format.max(format);
+    }
+
     /// Records found when the leader loaded its state.
     pub fn know(&mut self, key: String, stamp: Stamp) {
         self.stamps.insert(key, stamp);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -3,9 +3,11 @@
 pub mod budget;
 pub mod client;
 pub mod commit;
+pub mod format;
 
 pub use client::{Outcome, StateClient};
 pub use commit::Committer;
+pub use format::{FORMAT, RecordFormat};
 
 use crate::ids::JobId;
 
