--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -80,6 +80,8 @@
     Instance, u64);
 number!(/// Who may command a worker: the larger token wins.
     Token, u64);
+number!(/// What a controller understands: all that smaller ones do, and more.
+    ControllerVersion, u32);
 number!(/// A term of leadership; each is new and larger.
     Epoch, u64);
 number!(/// Tells one start of a task from another.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -14,7 +14,7 @@
 //! be taken for proof: who leads is decided in the state service, and a controller
 //! that is suspected may well be alive.
 
-use hookworks_base::ids::{Epoch, Instance, Label};
+use hookworks_base::ids::{ControllerVersion, Epoch, Instance, Label};
 use hookworks_base::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -38,8 +38,19 @@
     pub workers: u32,
     /// How many workers it can hold.
     pub workers_most: Option<u32>,
-    /// The version of the requests that it understands.
-    pub version: u32,
+    /// What it understands.
+    pub version: ControllerVersion,
+}
+
+/// The version of a controller, as its latest process has reported it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReportedVersion {
+    /// Which process it was; none in versions that don't report it.
+    pub instance: Option<Instance>,
+    /// What it understands.
+    pub version: ControllerVersion,
+    /// When that was last heard.
+    pub at: Time,
 }
 
 /// What a ping has changed.
@@ -74,6 +85,8 @@
     replaced: BTreeMap<Label, VecDeque<Instance>>,
     /// The latest process of each label; kept while it is suspected.
     latest: BTreeMap<Label, Instance>,
+    /// The version of the latest process of each label; kept while it is suspected.
+    versions: BTreeMap<Label, ReportedVersion>,
     /// The last epoch that a replaced process of the label led.
     ended_epochs: BTreeMap<Label, Epoch>,
     /// The leader, as far as this controller itself knows.
@@ -90,6 +103,7 @@
             pings: BTreeMap::new(),
             replaced: BTreeMap::new(),
             latest: BTreeMap::new(),
+            versions: BTreeMap::new(),
             ended_epochs: BTreeMap::new(),
             leader: None,
         }
@@ -135,6 +149,12 @@
             Some(i) => self.latest.insert(from.clone(), i),
             None => self.latest.remove(from),
         };
+        let reported = ReportedVersion {
+            instance: status.instance,
+            version: status.version,
+            at: now,
+        };
+        self.versions.insert(from.clone(), reported);
         let known = self.live_status(now, from).is_some();
         self.pings.insert(
             from.clone(),
@@ -259,10 +279,10 @@
         self.live_status(now, l).filter(|_| self.reachable(now, l))
     }
 
-    /// Whether that controller understands requests of this version, as of its latest
-    /// ping.
-    pub fn supports(&self, to: &Label, needs: u32) -> bool {
-        let version = self.pings.get(to).map(|ping| ping.status.version);
-        needs == 0 || version.is_some_and(|v| v >= needs)
+    /// The version of each controller that was ever heard, in touch or not.
+    pub fn versions(&self) -> impl Iterator<Item = (&Label, ReportedVersion)> {
+        self.versions
+            .iter()
+            .map(|(label, reported)| (label, *reported))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod settings;
 pub mod store;
 pub mod time;
+pub mod versions;
 pub mod wire;
 
 pub use hookworks_base::ids;
--- a/src/node/asks.rs
+++ b/src/node/asks.rs
@@ -103,19 +103,20 @@
 
     /// A follower passes everything on to the leader.
     pub(super) fn pass_on(&mut self, now: Time, req: ReqId, ask: Ask) {
-        match follow::route(&ask, self.known_leader(&ask)) {
+        let leader = self.known_leader(&ask);
+        match follow::route(&ask, leader) {
             Route::PassOn(leader, epoch) => self.pass_on_to(req, ask, leader, epoch),
             route => self.without_leader(now, req, ask, route),
         }
     }
 
     /// Who leads elsewhere, as far as is known here, and whether this may go there.
-    fn known_leader(&self, ask: &Ask) -> Option<KnownLeader> {
+    fn known_leader(&mut self, ask: &Ask) -> Option<KnownLeader> {
         let me = &self.settings.platform.label;
         let (label, epoch) = self.peers.best_leader().filter(|l| l.0 != *me)?;
         Some(KnownLeader {
             reachable: self.peers.reachable(&label),
-            understands: self.peers.speaks(&label, ask.needs()),
+            understands: self.understands(&label, ask.needs()),
             label,
             epoch,
         })
--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -72,6 +72,7 @@
                 "state": self.store.len(), "cloud": self.cloud.len(), "workers": self.agents.len(),
             },
         });
+        v["versions"] = self.upgrade.overview();
         if let Role::Leader(t) = &mut self.role {
             v["scheduler"] = t.sched.overview(now);
             let (changes, requests) = t.commit.budgets_used(now);
--- a/src/node/load.rs
+++ b/src/node/load.rs
@@ -6,7 +6,7 @@
 use crate::sched::job::Job;
 use crate::settings::Settings;
 use crate::store::client::{ReadError, State};
-use crate::store::{FENCES, LIVE, PARTS, StateClient};
+use crate::store::{FENCES, FORMAT, FormatRecord, LIVE, PARTS, RecordFormat, StateClient};
 use crate::time::{Clock, Time, Wall, wall};
 use crate::wire::state::Item;
 use crate::wire::user::JobState;
@@ -26,6 +26,15 @@
     pub unreadable: BTreeMap<JobId, JobState>,
     /// Zones that earlier terms did not answer.
     pub fences: Option<FenceRecord>,
+    /// The switch to compact records, once it is on record.
+    pub format: Option<FormatRecord>,
+}
+
+impl Loaded {
+    /// The form in which records are written.
+    pub fn record_format(&self) -> RecordFormat {
+        self.format.map_or(RecordFormat::Legacy, |f| f.records)
+    }
 }
 
 /// Reads in a thread of its own, so that the leadership is kept up meanwhile.
@@ -75,6 +84,7 @@
         litter: vec![],
         unreadable: BTreeMap::new(),
         fences: None,
+        format: None,
     };
     for i in all(state, LIVE)? {
         let id = JobId::from(i.key.trim_start_matches(LIVE));
@@ -116,6 +126,7 @@
         l.fences = serde_json::from_value(i.value).ok();
         l.stamps.push((i.key, i.stamp));
     }
+    l.format = state.get(FORMAT)?.map(|i| FormatRecord::read(&i.value));
     for (_, mut j) in jobs {
         // What is loaded is stored: versions go on from 1.
         for p in &mut j.parts {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -8,6 +8,7 @@
 pub mod lists;
 pub mod load;
 mod terms;
+mod upgrade;
 
 use crate::api::{self, Incoming, Notice, Published};
 use crate::ids::{Epoch, Instance, JobId, Label, ReqId, TxnId};
@@ -20,6 +21,7 @@
 use crate::store::commit::{Committer, Step};
 use crate::store::{Outcome, final_key};
 use crate::time::{Clock, Span, Time, wall};
+use crate::versions::Switch;
 use crate::wire::cloud::Flavor;
 use crate::wire::peer::{Answer, PeerMsg};
 use crate::wire::state::{Item, Txn};
@@ -32,6 +34,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
+use upgrade::Upgrade;
 
 /// Small stacks: the machine is small, and nothing here recurses deeply.
 const STACK: usize = 256 * 1024;
@@ -80,6 +83,8 @@
     Listed(ReqId, Answer),
     /// A look-up of a final state without a leader.
     Look(ReqId, JobId, Result<Option<Final>, ()>),
+    /// Versions of controllers, and the switch to compact records.
+    Upgrade(upgrade::UpgradeNews),
 }
 
 /// Work for the threads that talk to the state service.
@@ -124,6 +129,7 @@
     commit: Committer,
     /// What readers are shown of the unfinished jobs.
     board: Board,
+    switch: Switch,
 }
 
 struct Node {
@@ -162,11 +168,12 @@
     started: Time,
     stopping: Option<Time>,
     election: Sender<duties::ToElection>,
+    upgrade: Upgrade,
 }
 
 /// Sockets that this controller may need for its own calls.
 pub fn sockets_for_calls() -> usize {
-    duties::SOCKETS + load::SOCKETS
+    duties::SOCKETS + load::SOCKETS + upgrade::SOCKETS
 }
 
 /// Runs a controller until the process ends.
@@ -201,6 +208,7 @@
     let agents = duties::agents(clock, inbox.clone());
     let lists = lists::start(&settings, clock, notice.clone(), inbox.clone());
     let (election, elections) = duties::election(&settings, clock, me);
+    let upgrade = Upgrade::start(&settings, clock, instance, inbox.clone());
     let tx = inbox.clone();
     if let Err(e) = ctrlc::set_handler(move || {
         let _ = tx.send(Msg::Stop);
@@ -241,6 +249,7 @@
         started: now,
         stopping: None,
         election,
+        upgrade,
     };
     node.run(rx, elections);
     Ok(())
@@ -393,6 +402,7 @@
             Msg::Look(req, id, r) => {
                 self.answer(now, req, follow::answer_read(&id, r));
             }
+            Msg::Upgrade(news) => self.upgrade_news(now, news),
         }
     }
 
@@ -548,6 +558,7 @@
         for req in lost {
             self.look_elsewhere(now, req);
         }
+        self.switch_format(now);
         self.balance(now);
         self.publish(now);
         let ok = self.stopping.is_none() && self.can_serve(now);
--- a/src/node/terms.rs
+++ b/src/node/terms.rs
@@ -8,6 +8,7 @@
 use crate::sched::{Config, Event, Sched};
 use crate::store::commit::Committer;
 use crate::time::{Span, Time, wall};
+use crate::versions::Switch;
 use crate::wire::peer::Answer;
 use hookworks_listing::Board;
 use std::sync::atomic::Ordering;
@@ -77,6 +78,8 @@
         if !matches!(self.role, Role::Loading(e) if e == l.epoch) {
             return;
         }
+        let switch = Switch::new(l.stamp, l.record_format());
+        let format = l.format;
         let limits = &self.settings.platform.params.state;
         let mut commit = Committer::new(l.stamp, limits);
         for (k, s) in l.stamps {
@@ -99,7 +102,11 @@
             sched,
             commit,
             board: Board::new(l.epoch.0),
+            switch,
         }));
+        if let Some(format) = format {
+            self.learn_format(now, format);
+        }
         let me = self.settings.platform.label.clone();
         self.peers.set_leader(Some((me, l.epoch)));
         self.term.store(l.epoch.0, Ordering::SeqCst);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -3,13 +3,14 @@
 //! passes requests on; through the third controller where the direct way is cut.
 //! What follows from all that is [`hookworks_membership`]'s; here are the sockets.
 
-use crate::ids::{Epoch, Instance, Label};
+use crate::ids::{ControllerVersion, Epoch, Instance, Label};
 use crate::settings::Seed;
 use crate::time::{Clock, Span, Time};
-use crate::wire::peer::{PeerMsg, PingMore, PingSelf, SPEAKS};
+use crate::versions;
+use crate::wire::peer::{PeerMsg, PingMore, PingSelf};
 use crate::wire::peer_frame::{self, MAX_FRAME_BYTES};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
-use hookworks_membership::{LinkId, Membership, PeerStatus, PingOutcome};
+use hookworks_membership::{LinkId, Membership, PeerStatus, PingOutcome, ReportedVersion};
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -158,7 +159,7 @@
     fn more(&self) -> (PingMore, PingSelf) {
         let more = PingMore {
             workers_most: Some(self.me.most),
-            speaks: SPEAKS,
+            speaks: versions::OWN.0,
         };
         let instance = self.me.instance.0;
         (more, PingSelf { instance })
@@ -205,9 +206,11 @@
         self.members().unreachable(self.now())
     }
 
-    /// Whether that controller understands what needs this.
-    pub fn speaks(&self, to: &Label, needs: u32) -> bool {
-        self.members().supports(to, needs)
+    /// The version of each controller that was ever heard, in touch or not.
+    pub fn versions(&self) -> Vec<(Label, ReportedVersion)> {
+        let members = self.members();
+        let owned = |(label, reported): (&Label, _)| (label.clone(), reported);
+        members.versions().map(owned).collect()
     }
 
     pub fn reachable(&self, to: &Label) -> bool {
@@ -328,7 +331,7 @@
                         leader: leader.map(|(l, e)| (l.as_str().into(), Epoch(e))),
                         workers,
                         workers_most: more.workers_most,
-                        version: more.speaks,
+                        version: ControllerVersion(more.speaks),
                     };
                     if !self.hear(from.as_str().into(), id, told, inbox) {
                         break;
--- a/src/store/format.rs
+++ b/src/store/format.rs
@@ -25,4 +25,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRecord {
     pub records: RecordFormat,
+    /// When that was decided, in milliseconds of the time of day; for display.
+    #[serde(default)]
+    pub since: u64,
+}
+
+impl FormatRecord {
+    /// Reads the value under [`FORMAT`]. That there is one says that every controller
+    /// reads compact records, also where a later version has stored a form of its own.
+    pub fn read(value: &serde_json::Value) -> FormatRecord {
+        FormatRecord::deserialize(value).unwrap_or_else(|error| {
+            tracing::error!(%error, %value, "the form of records is not one of this version");
+            FormatRecord {
+                records: RecordFormat::Compact,
+                since: 0,
+            }
+        })
+    }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,7 +7,7 @@
 
 pub use client::{Outcome, StateClient};
 pub use commit::Committer;
-pub use format::{FORMAT, RecordFormat};
+pub use format::{FORMAT, FormatRecord, RecordFormat};
 
 use crate::ids::JobId;
 
@@ -17,6 +17,9 @@
 pub const EPOCH: &str = "hookworks/epoch";
 /// Zones whose workers are not answered.
 pub const FENCES: &str = "hookworks/fences";
+/// Versions of controllers, until all can read compact records; each goes with a lease
+/// of its own.
+pub const VERSIONS: &str = "hookworks/versions/";
 /// Unfinished jobs.
 pub const LIVE: &str = "hookworks/live/";
 /// Further tasks of large unfinished jobs.
--- /dev/null
+++ b/src/versions/announce.rs
@@ -0,0 +1,145 @@
+//! A process tells its version by way of the state service, for a leader that it can't
+//! reach: a key of its own, attached to a lease, for as long as the switch to compact
+//! records is not on record.
+
+use super::{OWN, VersionTable};
+use crate::ids::{ControllerVersion, Instance, Label};
+use crate::store::client::{Outcome, State};
+use crate::store::{FORMAT, FormatRecord, VERSIONS};
+use crate::time::{Span, Time};
+use crate::wire::state::{Change, Item, Txn};
+use serde::{Deserialize, Serialize};
+
+/// The lease of the key, and how often it is renewed.
+const LEASE: Span = Span(10_000_000);
+const RENEW_EVERY: Span = Span(3_000_000);
+/// After a request that failed: at first, and at the most.
+const RETRY: (Span, Span) = (Span(300_000), Span(5_000_000));
+
+/// The value of a controller's key under [`VERSIONS`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct VersionRecord {
+    pub speaks: ControllerVersion,
+    pub instance: Instance,
+}
+
+/// The key under which a controller tells its version.
+pub fn version_key(label: &Label) -> String {
+    format!("{VERSIONS}{label}")
+}
+
+/// Takes what a key under [`VERSIONS`] says.
+pub fn take_stored(now: Time, item: &Item, versions: &mut VersionTable) {
+    let label = Label::from(item.key.trim_start_matches(VERSIONS));
+    let Ok(record) = VersionRecord::deserialize(&item.value) else {
+        tracing::warn!(key = %item.key, "the version of a controller can't be read");
+        return;
+    };
+    if let Some(version) = versions.record_stored(now, &label, record.instance, record.speaks) {
+        tracing::info!(%label, %version, source = "record", "version of a controller");
+    }
+}
+
+/// Tells the version of this process, a step at a time; whoever drives it does the
+/// waiting.
+pub struct Announcer<S> {
+    state: S,
+    label: Label,
+    instance: Instance,
+    /// The lease of the key, once that is written.
+    lease: Option<u64>,
+    /// The pause after the next failure.
+    retry: Span,
+    pause: Span,
+}
+
+impl<S: State> Announcer<S> {
+    /// Nothing is told yet.
+    pub fn new(state: S, label: Label, instance: Instance) -> Announcer<S> {
+        Announcer {
+            state,
+            label,
+            instance,
+            lease: None,
+            retry: RETRY.0,
+            pause: Span::ZERO,
+        }
+    }
+
+    /// How long to wait before the next step.
+    pub fn pause(&self) -> Span {
+        self.pause
+    }
+
+    /// The state service, for other requests of the same thread.
+    pub fn state(&self) -> &S {
+        &self.state
+    }
+
+    /// Writes or renews the key. Returns the switch once it is on record; there is
+    /// nothing left to tell then.
+    pub fn step(&mut self) -> Option<FormatRecord> {
+        match self.state.get(FORMAT) {
+            Ok(Some(item)) => {
+                self.end();
+                return Some(FormatRecord::read(&item.value));
+            }
+            Ok(None) if self.told() => {
+                self.pause = RENEW_EVERY;
+                self.retry = RETRY.0;
+            }
+            Ok(None) | Err(_) => {
+                self.pause = self.retry;
+                self.retry = Span(2 * self.retry.0).min(RETRY.1);
+            }
+        }
+        None
+    }
+
+    /// The key stands, as far as is known.
+    fn told(&mut self) -> bool {
+        match self.lease.map(|lease| self.state.renew(lease)) {
+            Some(Ok(true)) => true,
+            Some(Err(_)) => false,
+            Some(Ok(false)) | None => self.write(),
+        }
+    }
+
+    fn write(&mut self) -> bool {
+        self.lease = None;
+        let Ok(lease) = self.state.grant(LEASE.0 / 1000) else {
+            return false;
+        };
+        let record = VersionRecord {
+            speaks: OWN,
+            instance: self.instance,
+        };
+        let put = Change::Put {
+            key: version_key(&self.label),
+            value: serde_json::to_value(record).unwrap_or_default(),
+            lease: Some(lease),
+        };
+        let txn = Txn {
+            conditions: vec![],
+            changes: vec![put],
+        };
+        match self.state.txn(&txn) {
+            Outcome::Ok(_) => {
+                self.lease = Some(lease);
+                true
+            }
+            _ => {
+                // Carried out late, it goes with this lease.
+                self.state.revoke(lease);
+                false
+            }
+        }
+    }
+
+    /// The key goes with its lease.
+    fn end(&mut self) {
+        if let Some(lease) = self.lease.take() {
+            self.state.revoke(lease);
+        }
+    }
+}
--- /dev/null
+++ b/src/versions/mod.rs
@@ -0,0 +1,39 @@
+//! The versions of the controllers: what each can do, which one each runs, and when
+//! all of them can read compact records.
+//!
+//! During an upgrade controllers of two versions serve side by side, and either may
+//! lead. Records in the compact form, which the earlier version can't read, are
+//! therefore written only once every controller of the settings is known to run a
+//! version that reads them. That decision is stored, conditioned on the leader's key,
+//! before anything rests on it, and is never withdrawn.
+//!
+//! Nothing here does I/O or reads a clock, but for [`announce`], which is handed the
+//! state service by its caller.
+
+pub mod announce;
+pub mod switch;
+mod table;
+
+pub use announce::Announcer;
+pub use switch::Switch;
+pub use table::{VersionSource, VersionTable};
+
+use crate::ids::ControllerVersion;
+use crate::store::RecordFormat;
+
+/// Submissions, polls, cancellations and reports.
+pub const EARLIEST: ControllerVersion = ControllerVersion(0);
+/// Holds, histories and lists.
+pub const JOB_LIFECYCLE: ControllerVersion = ControllerVersion(1);
+/// Compact records, and jobs that wait for others.
+pub const JOB_CHAINS: ControllerVersion = ControllerVersion(2);
+/// The version of this program.
+pub const OWN: ControllerVersion = JOB_CHAINS;
+
+/// The newest form of records that a controller of this version reads.
+pub fn reads(version: ControllerVersion) -> RecordFormat {
+    match version >= JOB_CHAINS {
+        true => RecordFormat::Compact,
+        false => RecordFormat::Legacy,
+    }
+}
--- /dev/null
+++ b/src/versions/table.rs
@@ -0,0 +1,172 @@
+//! Which version each controller runs, from what its processes have said.
+
+use super::{OWN, reads};
+use crate::ids::{ControllerVersion, Instance, Label};
+use crate::store::RecordFormat;
+use crate::time::{Span, Time};
+use hookworks_membership::ReportedVersion;
+use std::collections::BTreeMap;
+
+/// A controller that was heard by a ping within this time is not looked up in the
+/// state service: pings come twice a second, and are newer.
+const HEARD_LATELY: Span = Span(2_000_000);
+
+/// How the version of a controller is known.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
+#[serde(rename_all = "snake_case")]
+pub enum VersionSource {
+    /// A ping of its latest process.
+    Ping,
+    /// What its process wrote to the state service.
+    Record,
+    /// All controllers were found to run at least this version, which is on record.
+    Format,
+}
+
+/// A version that a controller was found to run, other than by a ping.
+#[derive(Clone, Copy, Debug)]
+struct Recorded {
+    instance: Option<Instance>,
+    version: ControllerVersion,
+    source: VersionSource,
+    /// When this was first read here.
+    since: Time,
+}
+
+/// What is known of one controller.
+#[derive(Clone, Debug, Default)]
+struct Evidence {
+    ping: Option<ReportedVersion>,
+    record: Option<Recorded>,
+}
+
+impl Evidence {
+    /// The version of the latest process that is known of. A ping that was heard after
+    /// the record was first read is of a later process, unless it is of the same one.
+    fn version(&self) -> Option<(ControllerVersion, VersionSource)> {
+        let by_ping = |p: ReportedVersion| (p.version, VersionSource::Ping);
+        let by_record = |r: Recorded| (r.version, r.source);
+        match (self.ping, self.record) {
+            (Some(p), Some(r)) if p.instance.is_some() && p.instance == r.instance => {
+                Some(by_ping(p))
+            }
+            (Some(p), Some(r)) if p.at >= r.since => Some(by_ping(p)),
+            (_, Some(r)) => Some(by_record(r)),
+            (p, None) => p.map(by_ping),
+        }
+    }
+}
+
+/// The versions of all controllers of the settings.
+#[derive(Clone, Debug)]
+pub struct VersionTable {
+    own: (Label, ControllerVersion),
+    others: BTreeMap<Label, Evidence>,
+}
+
+impl VersionTable {
+    /// Nothing is known of the others yet.
+    pub fn new(me: Label, others: impl IntoIterator<Item = Label>) -> VersionTable {
+        let unknown = |label| (label, Evidence::default());
+        VersionTable {
+            own: (me, OWN),
+            others: others.into_iter().map(unknown).collect(),
+        }
+    }
+
+    /// Takes the version that the latest process of a controller reports in its pings.
+    /// Returns the controller's version if that was not known before.
+    pub fn record_ping(
+        &mut self,
+        label: &Label,
+        reported: ReportedVersion,
+    ) -> Option<ControllerVersion> {
+        self.update(label, |evidence| evidence.ping = Some(reported))
+    }
+
+    /// Takes what the state service holds of a controller's process. Returns the
+    /// controller's version if that was not known before.
+    pub fn record_stored(
+        &mut self,
+        now: Time,
+        label: &Label,
+        instance: Instance,
+        version: ControllerVersion,
+    ) -> Option<ControllerVersion> {
+        self.update(label, |evidence| {
+            let known = evidence.record.and_then(|r| r.instance) == Some(instance);
+            if !known {
+                evidence.record = Some(Recorded {
+                    instance: Some(instance),
+                    version,
+                    source: VersionSource::Record,
+                    since: now,
+                });
+            }
+        })
+    }
+
+    /// Takes that this form of records is on record, which says that all controllers
+    /// were found to read it.
+    pub fn record_format(&mut self, now: Time, version: ControllerVersion) {
+        for evidence in self.others.values_mut() {
+            if evidence.version().is_none_or(|(v, _)| v < version) {
+                evidence.record = Some(Recorded {
+                    instance: None,
+                    version,
+                    source: VersionSource::Format,
+                    since: now,
+                });
+            }
+        }
+    }
+
+    fn update(
+        &mut self,
+        label: &Label,
+        change: impl FnOnce(&mut Evidence),
+    ) -> Option<ControllerVersion> {
+        // Controllers that the settings don't name don't count.
+        let evidence = self.others.get_mut(label)?;
+        let before = evidence.version().map(|(version, _)| version);
+        change(evidence);
+        let after = evidence.version().map(|(version, _)| version);
+        after.filter(|_| after != before)
+    }
+
+    /// The version of a controller, and how it is known.
+    pub fn version(&self, label: &Label) -> Option<(ControllerVersion, VersionSource)> {
+        self.others.get(label)?.version()
+    }
+
+    /// Whether a controller is known to understand what needs this version.
+    pub fn understands(&self, label: &Label, needs: ControllerVersion) -> bool {
+        needs == super::EARLIEST || self.version(label).is_some_and(|(v, _)| v >= needs)
+    }
+
+    /// Every controller of the settings is known to read this form of records.
+    pub fn all_read(&self, format: RecordFormat) -> bool {
+        let versions = self.others.values().map(|e| e.version().map(|(v, _)| v));
+        let mut all = versions.chain([Some(self.own.1)]);
+        all.all(|version| version.is_some_and(|v| reads(v) >= format))
+    }
+
+    /// Some controller is neither known to read this form nor in touch: what its
+    /// process may have written to the state service can tell.
+    pub fn is_record_needed(&self, now: Time, format: RecordFormat) -> bool {
+        self.others.values().any(|evidence| {
+            let known = evidence.version().is_some_and(|(v, _)| reads(v) >= format);
+            let heard = evidence.ping.is_some_and(|p| now - p.at < HEARD_LATELY);
+            !known && !heard
+        })
+    }
+
+    /// All controllers, this one included, with their versions as far as known.
+    pub fn all(
+        &self,
+    ) -> impl Iterator<Item = (&Label, Option<(ControllerVersion, VersionSource)>)> {
+        let others = self.others.iter().map(|(l, e)| (l, e.version()));
+        // What a process says of itself needs no proof.
+        others.chain([(&self.own.0, Some((self.own.1, VersionSource::Ping)))])
+    }
+}
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -1,5 +1,8 @@
 //! Talk among controllers: length-prefixed `bincode` frames.
 
+use crate::ids::ControllerVersion;
+use crate::versions::{EARLIEST, JOB_CHAINS, JOB_LIFECYCLE};
+use crate::wire::user;
 use bincode::{Decode, Encode};
 /// A finished answer, ready to be written to the asker.
 pub use hookworks_http_server::Answer;
@@ -11,7 +14,7 @@
     Poll(String),
     Cancel(String),
     Report(Vec<u8>),
-    /// Understood by those that speak 1; so are all that follow.
+    /// Understood from [`JOB_LIFECYCLE`] on; so are all that follow.
     Hold(String, Vec<u8>),
     Release(String, Vec<u8>),
     Show(String),
@@ -21,15 +24,15 @@
     Events(String),
 }
 
-/// What this version understands.
-pub const SPEAKS: u32 = 1;
-
 impl Ask {
-    /// What a controller must speak to understand this.
-    pub fn needs(&self) -> u32 {
+    /// The version from which on a controller understands this.
+    pub fn needs(&self) -> ControllerVersion {
         match self {
-            Ask::Submit(_) | Ask::Poll(_) | Ask::Cancel(_) | Ask::Report(_) => 0,
-            Ask::Hold(..) | Ask::Release(..) | Ask::Show(_) | Ask::List(_) | Ask::Events(_) => 1,
+            Ask::Submit(body) if user::awaits_others(body) => JOB_CHAINS,
+            Ask::Submit(_) | Ask::Poll(_) | Ask::Cancel(_) | Ask::Report(_) => EARLIEST,
+            Ask::Hold(..) | Ask::Release(..) | Ask::Show(_) | Ask::List(_) | Ask::Events(_) => {
+                JOB_LIFECYCLE
+            }
         }
     }
 }
@@ -63,7 +66,7 @@
 pub struct PingMore {
     /// How many workers the sender can hold.
     pub workers_most: Option<u32>,
-    /// What it understands, see [`SPEAKS`].
+    /// Its version, see [`crate::versions`].
     pub speaks: u32,
 }
 
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -243,6 +243,31 @@
     }
 }
 
+/// The field of a submission with the jobs that have to be done before it starts.
+const AWAITS: &str = "Awaits";
+
+/// Whether a submission names jobs that have to be done before it starts. A version
+/// that doesn't know the field would take it for a job that may start at once.
+pub fn awaits_others(body: &[u8]) -> bool {
+    #[derive(Deserialize)]
+    struct Submission {
+        #[serde(rename = "Awaits", default)]
+        awaits: serde_json::Value,
+    }
+    // The name of a field may be written with escapes.
+    let named = body.windows(AWAITS.len()).any(|w| w == AWAITS.as_bytes());
+    if !named && !body.contains(&b'\\') {
+        return false;
+    }
+    match serde_json::from_slice::<Submission>(body).map(|s| s.awaits) {
+        Ok(serde_json::Value::Null) => false,
+        Ok(serde_json::Value::Array(jobs)) => !jobs.is_empty(),
+        // What is malformed is told so by whoever knows the field.
+        Ok(_) => true,
+        Err(_) => named,
+    }
+}
+
 impl JobSpec {
     /// Reads a submission; the error names the field that is wrong.
     pub fn parse(body: &[u8]) -> Result<JobSpec, String> {
