--- a/crates/scale/src/controllers.rs
+++ b/crates/scale/src/controllers.rs
@@ -29,14 +29,10 @@
 
 /// The settings file of a controller.
 pub fn settings(o: &RunOptions, l: &Layout, number: usize) -> Value {
-    let (cpus, cpus_max) = team_cpus(o);
-    let team = |t| json!({"name": workload::team(t), "cpus": cpus, "cpus_max": cpus_max, "gpus": 0.0, "gpus_max": 0.0});
-    let teams: Vec<Value> = (0..o.teams).map(team).collect();
     let zone_of = |c| l.zone(l.zone_of_controller(c));
     let others = (0..o.controllers).filter(|c| *c != number);
     let seed = |c| json!({"label": l.label(c), "zone": zone_of(c), "peer_addr": l.link(number, c)});
     let seeds: Vec<Value> = others.map(seed).collect();
-    let zones: Vec<_> = (0..o.zones).map(|z| l.zone(z)).collect();
     json!({
         "label": l.label(number),
         "zone": zone_of(number),
@@ -44,26 +40,51 @@
         "cluster_listen": l.cluster(number),
         "seeds": seeds,
         "services": {"cloud": l.cloud(number), "state": l.state(number)},
-        "params": {
-            "count": o.controllers,
-            "zones": zones,
-            "teams": teams,
-            "objectives": [
-                {"kind": "wait", "class": workload::URGENT, "within_s": 2.0, "share": 0.9},
-                {"kind": "guarantee", "within_s": 5.0, "share": 0.9}
-            ],
-            "workers": {"report_s": o.report_s, "lease_s": o.lease_s, "gang_wait_s": 50.0,
-                        "gang_peer_s": 8.0, "cancel_s": o.cancel_s},
-            "state": {"rps": o.state_rps, "write_rps": o.state_write_rps,
-                      "value_kb": o.value_kb, "txn_ops": o.txn_ops},
-            "cloud": {"rps": 8.0, "list_lag_s": 3.0},
-            "machine_limits": {"core_share": 0.24, "ram_mb": o.controller_mb,
-                               "max_connections": o.max_connections},
-            "clock_error_ms": 100.0
-        }
+        "params": platform(o, l)
+    })
+}
+
+/// What all controllers are told of the platform.
+fn platform(o: &RunOptions, l: &Layout) -> Value {
+    let (cpus, cpus_max) = team_cpus(o);
+    let team = |t| json!({"name": workload::team(t), "cpus": cpus, "cpus_max": cpus_max, "gpus": 0.0, "gpus_max": 0.0});
+    let teams: Vec<Value> = (0..o.teams).map(team).collect();
+    let zones: Vec<_> = (0..o.zones).map(|z| l.zone(z)).collect();
+    json!({
+        "count": o.controllers,
+        "zones": zones,
+        "teams": teams,
+        "objectives": [
+            {"kind": "wait", "class": workload::URGENT, "within_s": 2.0, "share": 0.9},
+            {"kind": "guarantee", "within_s": 5.0, "share": 0.9}
+        ],
+        "workers": {"report_s": o.report_s, "lease_s": o.lease_s, "gang_wait_s": 50.0,
+                    "gang_peer_s": 8.0, "cancel_s": o.cancel_s},
+        "state": state_limits(o),
+        "cloud": {"rps": 8.0, "list_lag_s": 3.0},
+        "machine_limits": {"core_share": 0.24, "ram_mb": o.controller_mb,
+                           "max_connections": o.max_connections},
+        "clock_error_ms": 100.0
     })
 }
 
+/// The state service's limits, with those of later if they are announced.
+fn state_limits(o: &RunOptions) -> Value {
+    let mut limits = json!({
+        "rps": o.state_rps, "write_rps": o.state_write_rps,
+        "value_kb": o.value_kb, "txn_ops": o.txn_ops
+    });
+    let next = &o.next_limits;
+    if next.is_any() && !next.unannounced {
+        limits["next"] = json!({
+            "write_rps": next.write_rps.unwrap_or(o.state_write_rps),
+            "value_kb": next.value_kb.unwrap_or(o.value_kb),
+            "txn_ops": next.txn_ops.unwrap_or(o.txn_ops)
+        });
+    }
+    limits
+}
+
 /// All controllers of a run. They are ended when this is dropped.
 #[derive(Clone)]
 pub struct Controllers {
@@ -127,6 +148,7 @@
         }
     }
 
+    /// Ends all controllers at once.
     pub fn kill_all(&self) {
         let children = self.children().len();
         for number in 0..children {
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -2,6 +2,7 @@
 
 use crate::judge::Verdict;
 use crate::options::RunOptions;
+use crate::pipeline::PipelineFigures;
 use crate::tally::{Amounts, Asked, Counterpart};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -54,7 +55,7 @@
     /// Load average of the machine, which others share, before and after.
     pub load_average: [f64; 2],
     pub measured_s: f64,
-    /// Tasks of all jobs that came, over the run's length.
+    /// Tasks of all jobs that came and needed no others, over the run's length.
     pub arrivals_per_s: f64,
     pub starts_per_s: f64,
     /// The largest mean over five seconds.
@@ -68,6 +69,8 @@
     pub polls: u64,
     pub polls_failed: u64,
     pub cancelled: u64,
+    /// What became of pipelines; none were submitted in a run without.
+    pub pipelines: Option<PipelineFigures>,
     pub refusals: u64,
     pub lost_tasks: u64,
     pub lease_ends: u64,
@@ -156,6 +159,9 @@
             self.finished_jobs
         )?;
         self.write_times(p)?;
+        if let Some(pipelines) = &self.pipelines {
+            pipelines.write(p)?;
+        }
         writeln!(
             p,
             "refusals and failed requests: {}; tasks lost: {}; leases that ended: {}; polls: {} ({} failed)",
--- a/crates/scale/src/http.rs
+++ b/crates/scale/src/http.rs
@@ -22,9 +22,13 @@
 /// A whole request.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// GET, POST or DELETE.
     pub method: String,
+    /// What is before `?`.
     pub path: String,
+    /// What is behind `?`.
     pub query: String,
+    /// What follows the headers.
     pub body: Vec<u8>,
     /// The sender closes the connection after this.
     pub close: bool,
@@ -41,9 +45,13 @@
 /// A whole response.
 #[derive(Clone, Debug)]
 pub struct Response {
+    /// 200 and so on.
     pub status: u16,
+    /// What follows the headers.
     pub body: Vec<u8>,
+    /// Seconds after which the sender asks to be tried again.
     pub retry_after: Option<u32>,
+    /// The sender closes the connection after this.
     pub close: bool,
 }
 
@@ -63,6 +71,7 @@
         Response::json(status, &serde_json::json!({ "error": text }))
     }
 
+    /// The bytes of a response.
     pub fn encode(&self) -> Vec<u8> {
         let status = self.status;
         let length = self.body.len();
@@ -173,8 +182,11 @@
 
 /// A response with the bytes that went out and came in for it.
 pub struct Exchange {
+    /// What came in.
     pub response: Response,
+    /// Bytes of the request.
     pub sent: usize,
+    /// Bytes of the response.
     pub received: usize,
 }
 
--- a/crates/scale/src/judge.rs
+++ b/crates/scale/src/judge.rs
@@ -1,11 +1,17 @@
 //! Judges the protocol's rules from the stand-ins' own record. It is told what
 //! happened, with its time, in the order in which it happened; it does no I/O.
 
+mod dependencies;
+mod record;
+
+pub use record::JobOutcome;
+
 use crate::workload::Plan;
 use hookworks::ids::{Host, JobId, TaskId, Team, Zone};
 use hookworks::wire::user::JobState;
+use record::JobRecord;
 use serde::Serialize;
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -14,6 +20,8 @@
 /// An accepted job whose every poll fails for so long is forgotten, if most
 /// others get answers.
 const NO_ANSWER: Duration = Duration::from_secs(90);
+/// Sums of processors are exact up to this.
+const ROUNDING: f64 = 1e-6;
 
 /// The rules of the protocol that are judged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -27,14 +35,22 @@
     WrongPlace,
     /// A task was on a machine, or started, too long after its job was cancelled.
     RanCancelled,
-    /// An accepted job was not found, refused, or never answered for.
+    /// An accepted job was not found, refused, or never answered for; or one that
+    /// needs accepted jobs was refused.
     Forgotten,
-    /// A job that nobody submitted was answered for.
+    /// A job that nobody submitted was answered for, or one accepted that needs
+    /// such a job.
     Invented,
     /// A job was called done before all of its tasks were.
     NotDone,
-    /// A final state changed, or a job was cancelled that nobody cancelled.
+    /// A final state changed, or a job was cancelled although nobody cancelled it
+    /// or a job that it needs.
     WentBack,
+    /// A task started before all jobs that its job needs were done.
+    TooEarly,
+    /// A job was called queued or running too long after its user was told that
+    /// a job that it needs, directly or through others, is cancelled.
+    Orphaned,
     /// No task was started.
     NothingRan,
 }
@@ -63,28 +79,15 @@
     Nothing,
 }
 
-#[derive(Debug)]
-struct Known {
-    plan: Arc<Plan>,
-    accepted: Option<Instant>,
-    asked_to_cancel: bool,
-    /// The first final state that was told, and when.
-    last_word: Option<(Instant, JobState)>,
-    /// Since when every poll has failed.
-    no_answer_since: Option<Instant>,
-    done: HashSet<u32>,
-    first_start: Option<Instant>,
-    submitted: Instant,
-}
-
 /// The record, and what broke by it.
 pub struct Judge {
     start: Instant,
     cancel_within: Duration,
     limits: HashMap<Team, f64>,
     used: HashMap<Team, f64>,
-    jobs: HashMap<JobId, Known>,
-    on: HashMap<TaskId, Vec<Host>>,
+    jobs: HashMap<JobId, JobRecord>,
+    /// The machines that each task is on.
+    hosts: HashMap<TaskId, Vec<Host>>,
     starts: u64,
     answered_polls: u64,
     failed_polls: u64,
@@ -102,7 +105,7 @@
             limits,
             used: HashMap::new(),
             jobs: HashMap::new(),
-            on: HashMap::new(),
+            hosts: HashMap::new(),
             starts: 0,
             answered_polls: 0,
             failed_polls: 0,
@@ -121,108 +124,98 @@
 
     /// A user submits a job for the first time.
     pub fn submitted(&mut self, now: Instant, plan: Arc<Plan>) {
-        let known = Known {
-            plan: plan.clone(),
-            accepted: None,
-            asked_to_cancel: false,
-            last_word: None,
-            no_answer_since: None,
-            done: HashSet::new(),
-            first_start: None,
-            submitted: now,
-        };
-        self.jobs.insert(plan.spec.id.clone(), known);
+        let job = plan.spec.id.clone();
+        self.jobs.insert(job, JobRecord::new(plan, now));
     }
 
     /// The plan of a job that was submitted.
     pub fn plan(&self, job: &JobId) -> Option<Arc<Plan>> {
-        self.jobs.get(job).map(|k| k.plan.clone())
+        self.jobs.get(job).map(|record| record.plan.clone())
     }
 
     /// The task has completed before; its result is kept.
     pub fn is_done(&self, task: &TaskId) -> bool {
-        let job = self.jobs.get(&task.job);
-        job.is_some_and(|k| k.done.contains(&task.ix.0))
+        let record = self.jobs.get(&task.job);
+        record.is_some_and(|r| r.done.contains(&task.ix.0))
     }
 
     /// How long after its submission the job's first task started.
     pub fn first_start(&self, job: &JobId) -> Option<Duration> {
-        let known = self.jobs.get(job)?;
-        Some(
-            known
-                .first_start?
-                .saturating_duration_since(known.submitted),
-        )
+        let record = self.jobs.get(job)?;
+        let first = record.first_start?;
+        Some(first.saturating_duration_since(record.submitted))
+    }
+
+    /// What became of a job so far; none if it was never submitted.
+    pub fn outcome(&self, job: &JobId) -> Option<JobOutcome> {
+        self.jobs.get(job).map(JobRecord::outcome)
     }
 
     /// A task is on its machine: it has its image.
     pub fn started(&mut self, now: Instant, task: &TaskId, host: &Host, zone: &Zone) {
         self.starts += 1;
-        let others = self.on.entry(task.clone()).or_default();
+        let others = self.hosts.entry(task.clone()).or_default();
         others.push(host.clone());
         if others.len() > 1 {
             let what = format!("{task} on {others:?}");
             self.broke(Rule::RanTwice, now, what);
         }
-        let Some(known) = self.jobs.get_mut(&task.job) else {
+        let Some(record) = self.jobs.get_mut(&task.job) else {
             return self.broke(Rule::Invented, now, format!("{task} of no job"));
         };
-        known.first_start.get_or_insert(now);
-        let plan = known.plan.clone();
-        let late = known
-            .cancelled_for(now)
-            .is_some_and(|t| t > self.cancel_within);
-        if late {
+        record.first_start.get_or_insert(now);
+        let plan = record.plan.clone();
+        if record.is_cancelled_for_longer(now, self.cancel_within) {
             self.broke(Rule::RanCancelled, now, format!("{task} started"));
         }
         if plan.spec.zone.as_ref().is_some_and(|z| z != zone) {
             self.broke(Rule::WrongPlace, now, format!("{task} in {zone}"));
         }
+        self.check_needs(now, task, &plan);
+        self.use_cpus(now, task, &plan);
+    }
+
+    /// Counts a started task's processors towards its team's limit.
+    fn use_cpus(&mut self, now: Instant, task: &TaskId, plan: &Plan) {
         let team = &plan.spec.team;
         let used = self.used.entry(team.clone()).or_default();
         *used += plan.spec.cpus;
         let (used, limit) = (*used, self.limits.get(team).copied());
-        if limit.is_some_and(|l| used > l + 1e-6) {
+        if limit.is_some_and(|l| used > l + ROUNDING) {
             self.broke(Rule::Quota, now, format!("{team} uses {used} with {task}"));
         }
     }
 
     /// A task that was on its machine is no longer; `done`: it completed.
     pub fn gone(&mut self, now: Instant, task: &TaskId, host: &Host, done: bool) {
-        let Some(hosts) = self.on.get_mut(task) else {
+        let Some(hosts) = self.hosts.get_mut(task) else {
             return;
         };
         if let Some(i) = hosts.iter().position(|h| h == host) {
             hosts.swap_remove(i);
         }
         if hosts.is_empty() {
-            self.on.remove(task);
+            self.hosts.remove(task);
         }
-        let Some(known) = self.jobs.get_mut(&task.job) else {
+        let Some(record) = self.jobs.get_mut(&task.job) else {
             return;
         };
         if done {
-            known.done.insert(task.ix.0);
+            record.task_done(now, task.ix.0);
         }
-        if let Some(used) = self.used.get_mut(&known.plan.spec.team) {
-            *used -= known.plan.spec.cpus;
+        if let Some(used) = self.used.get_mut(&record.plan.spec.team) {
+            *used -= record.plan.spec.cpus;
         }
-        if known
-            .cancelled_for(now)
-            .is_some_and(|t| t > self.cancel_within)
-        {
-            self.broke(
-                Rule::RanCancelled,
-                now,
-                format!("{task} was there until now"),
-            );
+        if record.is_cancelled_for_longer(now, self.cancel_within) {
+            let what = format!("{task} was there until now");
+            self.broke(Rule::RanCancelled, now, what);
         }
     }
 
     /// A user begins to ask for a cancellation.
     pub fn asked_to_cancel(&mut self, job: &JobId) {
-        if let Some(known) = self.jobs.get_mut(job) {
-            known.asked_to_cancel = true;
+        if let Some(record) = self.jobs.get_mut(job) {
+            record.asked_to_cancel = true;
         }
     }
 
@@ -232,75 +225,84 @@
             Told::Nothing => self.failed_polls += 1,
             _ => self.answered_polls += 1,
         }
-        let Some(known) = self.jobs.get_mut(job) else {
+        let Some(record) = self.jobs.get_mut(job) else {
             if matches!(told, Told::State(_)) {
                 self.broke(Rule::Invented, now, format!("{job} was never submitted"));
             }
             return;
         };
         if told == Told::Nothing {
-            known.no_answer_since.get_or_insert(asked);
+            record.no_answer_since.get_or_insert(asked);
         } else {
-            known.no_answer_since = None;
+            record.no_answer_since = None;
         }
-        let was_accepted = known.accepted.is_some_and(|t| t <= asked);
+        let was_accepted = record.accepted.is_some_and(|t| t <= asked);
         match told {
             Told::Nothing => {}
             Told::NotFound | Told::Refused if was_accepted => {
                 self.broke(Rule::Forgotten, now, format!("{job}: {told:?}"));
             }
-            Told::NotFound | Told::Refused => {}
+            Told::Refused => self.check_refused(asked, now, job),
+            Told::NotFound => {}
             Told::State(state) => self.told_state(asked, now, job, state),
         }
     }
 
     fn told_state(&mut self, asked: Instant, now: Instant, job: &JobId, state: JobState) {
-        let Some(known) = self.jobs.get_mut(job) else {
+        let Some(record) = self.jobs.get_mut(job) else {
             return;
         };
-        known.accepted.get_or_insert(now);
-        let before = known.last_word;
+        record.accepted.get_or_insert(now);
+        let before = record.final_state;
         let is_final = matches!(state, JobState::Done | JobState::Cancelled);
         if is_final && before.is_none() {
-            known.last_word = Some((now, state));
+            record.final_state = Some((now, state));
+        }
+        if state == JobState::Done && record.completed.is_none() {
+            self.broke(Rule::NotDone, now, format!("{job} is called done"));
         }
-        let complete = known.done.len() == known.plan.spec.tasks as usize;
-        let unasked = state == JobState::Cancelled && !known.asked_to_cancel;
         if before.is_some_and(|(at, was)| at <= asked && was != state) {
+            let what = format!("{job}: {before:?}, now {state:?}");
+            self.broke(Rule::WentBack, now, what);
+        }
+        if state == JobState::Cancelled && !self.may_be_cancelled(job) {
             self.broke(
                 Rule::WentBack,
                 now,
-                format!("{job}: {before:?}, now {state:?}"),
+                format!("{job}: nobody cancelled it or a job that it needs"),
             );
         }
-        if unasked {
-            self.broke(Rule::WentBack, now, format!("{job}: nobody cancelled it"));
-        }
-        if state == JobState::Done && !complete {
-            self.broke(Rule::NotDone, now, format!("{job} is called done"));
+        if !is_final {
+            self.check_orphaned(asked, now, job, state);
         }
     }
 
     /// Looks for what has lasted too long.
     pub fn sweep(&mut self, now: Instant) {
         let within = self.cancel_within;
-        let late = self.on.iter().filter(|(task, _)| {
-            let job = self.jobs.get(&task.job);
-            job.and_then(|k| k.cancelled_for(now))
-                .is_some_and(|t| t > within)
+        let late = self.hosts.iter().filter(|(task, _)| {
+            let record = self.jobs.get(&task.job);
+            record.is_some_and(|r| r.is_cancelled_for_longer(now, within))
         });
         let late: Vec<String> = late.map(|(t, h)| format!("{t} is on {h:?}")).collect();
         for what in late {
             self.broke(Rule::RanCancelled, now, what);
         }
+        self.sweep_silent(now);
+    }
+
+    /// Looks for accepted jobs that nobody answers for any more.
+    fn sweep_silent(&mut self, now: Instant) {
         if self.failed_polls >= self.answered_polls {
             return;
         }
-        let silent = self.jobs.iter_mut().filter_map(|(job, k)| {
-            let since = k.no_answer_since.filter(|_| k.accepted.is_some())?;
+        let silent = self.jobs.iter_mut().filter_map(|(job, record)| {
+            let since = record
+                .no_answer_since
+                .filter(|_| record.accepted.is_some())?;
             let forgotten = now.saturating_duration_since(since) > NO_ANSWER;
             forgotten.then(|| {
-                k.no_answer_since = None;
+                record.no_answer_since = None;
                 format!("{job}: no answer for {NO_ANSWER:?}")
             })
         });
@@ -316,18 +318,18 @@
 
     /// Tasks on machines now.
     pub fn on_machines(&self) -> usize {
-        self.on.len()
+        self.hosts.len()
     }
 
     /// Accepted jobs that have been told to be neither done nor cancelled.
     pub fn unfinished(&self) -> usize {
-        let open = |k: &&Known| k.accepted.is_some() && k.last_word.is_none();
-        self.jobs.values().filter(open).count()
+        self.jobs.values().filter(|r| r.is_unfinished()).count()
     }
 
     /// Jobs that were told to be done or cancelled.
     pub fn finished(&self) -> usize {
-        self.jobs.values().filter(|k| k.last_word.is_some()).count()
+        let over = |r: &&JobRecord| r.final_state.is_some();
+        self.jobs.values().filter(over).count()
     }
 
     /// The verdict at the end of the run.
@@ -343,16 +345,6 @@
     }
 }
 
-impl Known {
-    /// How long ago the user was told that the job is cancelled.
-    fn cancelled_for(&self, now: Instant) -> Option<Duration> {
-        match self.last_word {
-            Some((at, JobState::Cancelled)) => Some(now.saturating_duration_since(at)),
-            _ => None,
-        }
-    }
-}
-
 /// Which rules broke, how often, and the first of the breaches.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -9,23 +9,25 @@
 
 pub mod bounds;
 pub mod capacity;
-mod controllers;
+pub mod controllers;
 mod faults;
 mod figures;
 pub mod fit;
-mod http;
+pub mod http;
 pub mod judge;
 pub mod layout;
 mod links;
 pub mod machine;
 mod measure;
 pub mod options;
+pub mod pipeline;
 mod plot;
 mod process;
 pub mod run;
 pub mod slopes;
 mod standin;
-mod tally;
+pub mod tally;
 pub mod workload;
 
 pub use standin::cloud::place;
+pub use standin::state::{Limits, StateService};
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -1,6 +1,7 @@
 //! What a run notes while it goes on, and the figures worked out at its end.
 
 use crate::figures::{ControllerFigures, Figures, Sample, Times};
+use crate::pipeline::{self, PipelineFigures};
 use crate::process::Usage;
 use crate::run::Site;
 use crate::tally::{Amounts, Asked};
@@ -80,6 +81,9 @@
             polls: seen.polls,
             polls_failed: seen.polls_failed,
             cancelled: seen.cancelled,
+            pipelines: o
+                .has_pipelines()
+                .then(|| PipelineFigures::of(&judge, &pipeline::pipelines(o), now)),
             refusals: tally.refusals.load(Ordering::Relaxed),
             lost_tasks: tally.lost_tasks.load(Ordering::Relaxed),
             lease_ends: tally.lease_ends.load(Ordering::Relaxed),
--- a/crates/scale/src/options.rs
+++ b/crates/scale/src/options.rs
@@ -1,5 +1,11 @@
 //! What a scale run is told, and what is refused before anything starts.
 
+mod next_limits;
+mod pipelines;
+
+pub use next_limits::NextLimitsOptions;
+pub use pipelines::PipelineOptions;
+
 use clap::Args;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -79,6 +85,12 @@
     /// Size of a stored value at the most.
     #[arg(long, default_value_t = 4.0)]
     pub value_kb: f64,
+    /// The smaller limits that the state service gets later.
+    #[command(flatten)]
+    pub next_limits: NextLimitsOptions,
+    /// The pipelines that users submit.
+    #[command(flatten)]
+    pub pipelines: PipelineOptions,
     /// Memory that a controller is told it has.
     #[arg(long, default_value_t = 158.0)]
     pub controller_mb: f64,
@@ -88,7 +100,10 @@
     /// Fault: the controller with the lease is killed so long after the first arrival.
     #[arg(long)]
     pub kill_leader_after_s: Option<f64>,
-    /// It is started again so much later.
+    /// How many controllers are killed at that moment: that one, and others.
+    #[arg(long, default_value_t = 1)]
+    pub killed: usize,
+    /// They are started again so much later.
     #[arg(long, default_value_t = 6.0)]
     pub back_after_s: f64,
     /// Fault: the workers of one zone are cut off so long after the first arrival.
@@ -166,9 +181,16 @@
         /// How many there may be.
         limit: u64,
     },
-    #[error("--zone-away-after-s and --kill-leader-after-s: must lie within the run's length")]
+    #[error(
+        "--zone-away-after-s, --kill-leader-after-s and --limits-fall-after-s: must lie within the run's length"
+    )]
     /// A fault would come after the end.
     LateFault,
+    #[error(
+        "--limits-fall-after-s and --next-unannounced: need one of --next-value-kb, --next-txn-ops, --next-write-rps"
+    )]
+    /// Limits would change, but none is given.
+    NoNextLimits,
 }
 
 fn within(option: &'static str, value: f64, least: f64, most: f64) -> Result<(), BadInput> {
@@ -189,12 +211,26 @@
     /// # Errors
     /// Names the first option that is not.
     pub fn check_ranges(&self) -> Result<(), BadInput> {
+        self.check_sizes()?;
+        self.check_rates()?;
+        self.check_state_limits()?;
+        self.check_faults()
+    }
+
+    fn check_sizes(&self) -> Result<(), BadInput> {
         within("workers", self.workers as f64, 1.0, 20_000.0)?;
         within("controllers", self.controllers as f64, 1.0, 6.0)?;
         within("teams", self.teams as f64, 1.0, 1000.0)?;
         within("zones", self.zones as f64, 1.0, 64.0)?;
         within("regions", self.regions as f64, 1.0, self.zones as f64)?;
         within("region-delay-ms", self.region_delay_ms, 0.0, 1000.0)?;
+        within("controller-mb", self.controller_mb, 32.0, 8192.0)?;
+        within("max-connections", self.max_connections as f64, 64.0, 1e5)?;
+        within("network", f64::from(self.network), 1.0, 255.0)?;
+        within("port", f64::from(self.port), 1024.0, 65_534.0)
+    }
+
+    fn check_rates(&self) -> Result<(), BadInput> {
         within("starts", self.starts, 0.1, 2000.0)?;
         within("urgent", self.urgent, 0.0, self.starts)?;
         within("job-tasks", f64::from(self.job_tasks), 1.0, 10_000.0)?;
@@ -205,18 +241,27 @@
         within("report-s", self.report_s, 0.5, 60.0)?;
         within("lease-s", self.lease_s, self.report_s, 600.0)?;
         within("cancel-s", self.cancel_s, self.lease_s + 1.1, 1200.0)?;
+        self.pipelines.check_ranges()
+    }
+
+    fn check_state_limits(&self) -> Result<(), BadInput> {
         within("state-rps", self.state_rps, 1.0, 1e6)?;
         within("state-write-rps", self.state_write_rps, 1.0, 1e6)?;
         within("txn-ops", self.txn_ops as f64, 4.0, 1000.0)?;
         within("value-kb", self.value_kb, 2.0, 64.0)?;
-        within("controller-mb", self.controller_mb, 32.0, 8192.0)?;
-        within("max-connections", self.max_connections as f64, 64.0, 1e5)?;
+        self.next_limits.check_ranges(self)
+    }
+
+    fn check_faults(&self) -> Result<(), BadInput> {
+        within("killed", self.killed as f64, 1.0, self.controllers as f64)?;
         within("back-after-s", self.back_after_s, 0.0, LONGEST_S)?;
         within("zone-away-for-s", self.zone_away_for_s, 0.0, LONGEST_S)?;
         within("machine-ends", self.machine_ends, 0.0, 100.0)?;
-        within("network", f64::from(self.network), 1.0, 255.0)?;
-        within("port", f64::from(self.port), 1024.0, 65_534.0)?;
-        let faults = [self.kill_leader_after_s, self.zone_away_after_s];
+        let faults = [
+            self.kill_leader_after_s,
+            self.zone_away_after_s,
+            self.next_limits.after_s,
+        ];
         let fits = |s: &f64| (0.0..=self.length_s).contains(s);
         match faults.iter().flatten().all(fits) {
             true => Ok(()),
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -10,6 +10,7 @@
 use crate::machine::Rhythm;
 use crate::measure::{Log, Snapshot};
 use crate::options::{BadInput, RunOptions};
+use crate::pipeline;
 use crate::standin::Shared;
 use crate::standin::cloud::Cloud;
 use crate::standin::state::{Limits, StateService};
@@ -106,9 +107,9 @@
     site.wait(Duration::from_secs_f64(o.warm_up_s), interrupted)?;
     let first = site.snapshot();
     let from = Instant::now();
-    let plans = workload::plans(o);
+    let (plans, pipelines) = (workload::plans(o), pipeline::pipelines(o));
     site.users
-        .start(from, plans)
+        .start(from, plans, pipelines)
         .map_err(start_error("users"))?;
     let mut log = Log {
         last_usage: first.usages.clone(),
@@ -153,12 +154,7 @@
         let remove = Box::new(move |numbers: &[usize]| remover.remove(numbers));
         let site = Site {
             options: o.clone(),
-            state: Arc::new(StateService::new(Limits {
-                requests: o.state_rps,
-                changes: o.state_write_rps,
-                txn_ops: o.txn_ops,
-                value_bytes: (o.value_kb * 1024.0) as usize,
-            })),
+            state: Arc::new(StateService::new(Limits::at_start(o))),
             cloud: Arc::new(Cloud::new(&layout, o.workers, remove)),
             users: Arc::new(Users::new(shared.clone())),
             shared,
--- a/crates/scale/src/standin/state.rs
+++ b/crates/scale/src/standin/state.rs
@@ -1,6 +1,7 @@
 //! The state service: a small store with stamps, leases, a watch and limits.
 
 use crate::http::{Request, Response};
+use crate::options::RunOptions;
 use crate::tally::Tally;
 use hookworks::ids::Stamp;
 use hookworks::store::budget::Budget;
@@ -18,17 +19,94 @@
 const PAGE_ITEMS: usize = 1000;
 const PAGE_BYTES: usize = 512 * 1024;
 const TXN_BYTES: usize = 64 * 1024;
+/// Conditions of a transaction at the most, for each change that it may have.
+const CONDITIONS_PER_CHANGE: usize = 4;
 const LONGEST_WATCH_MS: u64 = 60_000;
 
 /// What the service takes.
-#[derive(Clone, Copy, Debug)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
+    /// Requests a second.
     pub requests: f64,
+    /// Puts and deletes a second.
     pub changes: f64,
+    /// Puts and deletes of a transaction at the most.
     pub txn_ops: usize,
+    /// Size of a value at the most.
     pub value_bytes: usize,
 }
 
+impl Limits {
+    /// The limits with which a run begins.
+    pub fn at_start(o: &RunOptions) -> Limits {
+        Limits {
+            requests: o.state_rps,
+            changes: o.state_write_rps,
+            txn_ops: o.txn_ops,
+            value_bytes: bytes(o.value_kb),
+        }
+    }
+
+    /// The limits that come into force later in the run.
+    pub fn later(o: &RunOptions) -> Limits {
+        let (now, next) = (Limits::at_start(o), &o.next_limits);
+        Limits {
+            requests: now.requests,
+            changes: next.write_rps.unwrap_or(now.changes),
+            txn_ops: next.txn_ops.unwrap_or(now.txn_ops),
+            value_bytes: next.value_kb.map_or(now.value_bytes, bytes),
+        }
+    }
+}
+
+impl Limits {
+    /// Reads a transaction that is within the limits.
+    fn admit(&self, body: &[u8]) -> Result<Txn, Rejection> {
+        let parsed = serde_json::from_slice::<Txn>(body);
+        let txn = parsed.map_err(|_| Rejection::Malformed)?;
+        let conditions = CONDITIONS_PER_CHANGE * self.txn_ops;
+        if body.len() > TXN_BYTES || txn.conditions.len() > conditions {
+            return Err(Rejection::Malformed);
+        }
+        if txn.changes.len() > self.txn_ops {
+            return Err(Rejection::TooManyOperations);
+        }
+        match txn.changes.iter().all(|c| self.value_fits(c)) {
+            true => Ok(txn),
+            false => Err(Rejection::ValueTooLarge),
+        }
+    }
+
+    fn value_fits(&self, change: &Change) -> bool {
+        match change {
+            Change::Put { value, .. } => value.to_string().len() <= self.value_bytes,
+            Change::Delete { .. } => true,
+        }
+    }
+}
+
+fn bytes(kb: f64) -> usize {
+    (kb * 1024.0) as usize
+}
+
+/// Why a transaction is refused with 400, as it is counted.
+#[derive(Clone, Copy, Debug)]
+enum Rejection {
+    Malformed,
+    ValueTooLarge,
+    TooManyOperations,
+}
+
+impl Rejection {
+    fn name(self) -> &'static str {
+        match self {
+            Rejection::Malformed => "malformed",
+            Rejection::ValueTooLarge => "value too large",
+            Rejection::TooManyOperations => "too many operations",
+        }
+    }
+}
+
 struct LeaseEntry {
     life: Duration,
     ends: Instant,
@@ -40,13 +118,13 @@
     leases: HashMap<u64, LeaseEntry>,
     next_lease: u64,
     history: VecDeque<(u64, String, Option<Value>)>,
+    limits: Limits,
     requests: Budget,
     changes: Budget,
 }
 
 /// The service; shared by all its connections.
 pub struct StateService {
-    limits: Limits,
     clock: Clock,
     store: Mutex<Store>,
     changed: Condvar,
@@ -59,6 +137,7 @@
 }
 
 impl StateService {
+    /// A service that holds nothing.
     pub fn new(limits: Limits) -> StateService {
         let store = Store {
             revision: 1,
@@ -66,17 +145,25 @@
             leases: HashMap::new(),
             next_lease: 1,
             history: VecDeque::new(),
+            limits,
             requests: Budget::new(limits.requests, limits.requests),
             changes: Budget::new(limits.changes, limits.changes),
         };
         StateService {
-            limits,
             clock: Clock::start(),
             store: Mutex::new(store),
             changed: Condvar::new(),
         }
     }
 
+    /// From now on these limits hold; what is stored stays readable.
+    pub fn set_limits(&self, limits: Limits) {
+        let mut store = self.store();
+        store.limits = limits;
+        store.requests = Budget::new(limits.requests, limits.requests);
+        store.changes = Budget::new(limits.changes, limits.changes);
+    }
+
     fn store(&self) -> MutexGuard<'_, Store> {
         let mut store = self.store.lock().unwrap_or_else(|e| e.into_inner());
         store.expire(Instant::now());
@@ -168,17 +255,19 @@
     }
 
     fn txn(&self, body: &[u8], tally: &Tally) -> Response {
-        let parsed = serde_json::from_slice::<Txn>(body);
-        let Some(txn) = parsed.ok().filter(|t| self.is_within(t, body.len())) else {
-            tally.asked_state("malformed", &[], true);
-            return Response::error(400, "malformed");
+        let mut store = self.store();
+        let txn = match store.limits.admit(body) {
+            Ok(txn) => txn,
+            Err(rejection) => {
+                tally.asked_state(rejection.name(), &[], true);
+                return Response::error(400, rejection.name());
+            }
         };
         let purposes: Vec<String> = txn.changes.iter().map(|c| purpose(c.key())).collect();
         let name = purposes
             .first()
             .map_or("compare", String::as_str)
             .to_string();
-        let mut store = self.store();
         let now = self.clock.now();
         let cost = txn.changes.len() as f64;
         if !store.changes.has(now, cost) {
@@ -193,17 +282,6 @@
         response
     }
 
-    fn is_within(&self, txn: &Txn, bytes: usize) -> bool {
-        let value_fits = |c: &Change| match c {
-            Change::Put { value, .. } => value.to_string().len() <= self.limits.value_bytes,
-            Change::Delete { .. } => true,
-        };
-        txn.changes.len() <= self.limits.txn_ops
-            && txn.conditions.len() <= 4 * self.limits.txn_ops
-            && bytes <= TXN_BYTES
-            && txn.changes.iter().all(value_fits)
-    }
-
     fn grant(&self, body: &[u8]) -> Response {
         let Ok(request) = serde_json::from_slice::<LeaseRequest>(body) else {
             return Response::error(400, "malformed");
--- a/crates/scale/src/standin/users.rs
+++ b/crates/scale/src/standin/users.rs
@@ -3,11 +3,12 @@
 use super::Shared;
 use crate::http::{Client, Exchange};
 use crate::judge::Told;
+use crate::pipeline::{Pipeline, Pipelines};
 use crate::tally::Counterpart;
 use crate::workload::Plan;
 use hdrhistogram::Histogram;
 use hookworks::ids::JobId;
-use hookworks::wire::user::JobView;
+use hookworks::wire::user::{JobState, JobView};
 use std::cmp::Ordering as Order;
 use std::collections::BinaryHeap;
 use std::sync::atomic::Ordering;
@@ -27,6 +28,9 @@
 const TRIES: usize = 3;
 /// Every so many polls somebody asks about a job that nobody submitted.
 const STRAY_EVERY: u64 = 50;
+/// After so many accepted jobs that need others, somebody submits one that needs
+/// a job that nobody submitted.
+const STRAY_NEED_EVERY: u64 = 20;
 /// Longest time that the histogram tells apart.
 const LONGEST_MS: u64 = 120_000;
 
@@ -75,6 +79,8 @@
     pub polls: u64,
     pub polls_failed: u64,
     pub cancelled: u64,
+    /// Accepted jobs that need others.
+    pub accepted_with_needs: u64,
     pub urgent: Vec<(JobId, Instant)>,
 }
 
@@ -83,6 +89,7 @@
     shared: Arc<Shared>,
     actions: Mutex<BinaryHeap<Action>>,
     more: Condvar,
+    pipelines: Mutex<Pipelines>,
     seen: Mutex<Seen>,
 }
 
@@ -102,12 +109,14 @@
             polls: 0,
             polls_failed: 0,
             cancelled: 0,
+            accepted_with_needs: 0,
             urgent: vec![],
         };
         Users {
             shared,
             actions: Mutex::default(),
             more: Condvar::new(),
+            pipelines: Mutex::default(),
             seen: Mutex::new(seen),
         }
     }
@@ -120,21 +129,28 @@
         self.actions.lock().unwrap_or_else(|e| e.into_inner())
     }
 
+    fn pipelines(&self) -> MutexGuard<'_, Pipelines> {
+        self.pipelines.lock().unwrap_or_else(|e| e.into_inner())
+    }
+
     /// Starts the users; the first arrival counts from `from`.
     ///
     /// # Errors
     /// When a thread can't be started.
-    pub fn start(self: &Arc<Self>, from: Instant, plans: Vec<Plan>) -> std::io::Result<()> {
+    pub fn start(
+        self: &Arc<Self>,
+        from: Instant,
+        plans: Vec<Plan>,
+        pipelines: Vec<Pipeline>,
+    ) -> std::io::Result<()> {
         for plan in plans {
-            let due = from + plan.at;
-            let plan = Arc::new(plan);
-            let deed = Deed::Submit;
-            self.actions().push(Action {
-                due,
-                deed,
-                plan,
-                first: due,
-            });
+            self.submit_at(from + plan.at, Arc::new(plan));
+        }
+        for pipeline in pipelines {
+            let at = from + pipeline.at;
+            for plan in self.pipelines().begin(pipeline) {
+                self.submit_at(at, plan);
+            }
         }
         for number in 0..AT_A_TIME {
             let users = self.clone();
@@ -169,6 +185,24 @@
         }
     }
 
+    fn submit_at(&self, due: Instant, plan: Arc<Plan>) {
+        self.actions().push(Action {
+            due,
+            deed: Deed::Submit,
+            plan,
+            first: due,
+        });
+        self.more.notify_one();
+    }
+
+    /// Submits the next jobs of a pipeline.
+    fn submit_now(&self, plans: Vec<Arc<Plan>>) {
+        let now = Instant::now();
+        for plan in plans {
+            self.submit_at(now, plan);
+        }
+    }
+
     fn later(&self, action: &Action, deed: Deed, after: Duration) {
         let now = Instant::now();
         let first = if deed == action.deed {
@@ -204,21 +238,21 @@
                 seen.urgent.push((job.clone(), a.first));
             }
         }
-        let body = serde_json::to_vec(&a.plan.spec).unwrap_or_default();
+        let body = a.plan.submission();
         let asked = Instant::now();
         let exchange = self.call(caller, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
         let now = Instant::now();
         let told = told(exchange.as_ref(), &[400, 422]);
         self.shared.judge().told(asked, now, job, told);
         match (told, &a.deed) {
-            (Told::State(_), Deed::Submit) => self.accepted(a, now),
+            (Told::State(_), Deed::Submit) => self.accepted(caller, a, now),
             (Told::State(_), _) => {}
             (Told::Refused, _) => self.seen().given_up += 1,
             _ => self.try_again(a, exchange.as_ref()),
         }
     }
 
-    fn accepted(&self, a: &Action, now: Instant) {
+    fn accepted(&self, caller: &mut Caller, a: &Action, now: Instant) {
         let took = now.saturating_duration_since(a.first);
         let ms = (took.as_millis() as u64).clamp(1, LONGEST_MS);
         self.seen().submissions.saturating_record(ms);
@@ -229,6 +263,36 @@
         if let Some(after) = a.plan.cancel_after {
             self.later(a, Deed::Cancel, after);
         }
+        let next = self.pipelines().accepted(&a.plan.spec.id);
+        self.submit_now(next);
+        if !a.plan.needs.is_empty() {
+            self.count_needs(caller, &a.plan);
+        }
+    }
+
+    fn count_needs(&self, caller: &mut Caller, plan: &Plan) {
+        let accepted = {
+            let mut seen = self.seen();
+            seen.accepted_with_needs += 1;
+            seen.accepted_with_needs
+        };
+        if accepted % STRAY_NEED_EVERY == 0 {
+            self.submit_stray(caller, plan, accepted);
+        }
+    }
+
+    /// Submits a job that needs one which nobody submitted; the judge doesn't know
+    /// either, so that an acceptance breaks a rule.
+    fn submit_stray(&self, caller: &mut Caller, plan: &Plan, number: u64) {
+        let mut stray = plan.clone();
+        stray.spec.id = JobId::from(format!("job-8{number:08}").as_str());
+        stray.needs = vec![stray_job(number)];
+        let asked = Instant::now();
+        let body = stray.submission();
+        let exchange = self.call(caller, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
+        let told = told(exchange.as_ref(), &[400, 422]);
+        let mut judge = self.shared.judge();
+        judge.told(asked, Instant::now(), &stray.spec.id, told);
     }
 
     fn try_again(&self, a: &Action, exchange: Option<&Exchange>) {
@@ -257,15 +321,17 @@
         if polls % STRAY_EVERY == 0 {
             self.stray(caller, polls);
         }
-        use hookworks::wire::user::JobState::{Cancelled, Done};
-        if !matches!(told, Told::State(Done | Cancelled)) {
+        if matches!(told, Told::State(JobState::Done | JobState::Cancelled)) {
+            let next = self.pipelines().over(job);
+            self.submit_now(next);
+        } else {
             self.later(a, Deed::Poll, POLL_EVERY);
         }
     }
 
     /// Asks about a job that nobody submitted.
     fn stray(&self, caller: &mut Caller, number: u64) {
-        let job = JobId::from(format!("job-9{number:08}").as_str());
+        let job = stray_job(number);
         let asked = Instant::now();
         let exchange = self.call(caller, "GET", &format!("/v2/runs/{job}"), b"", POLL_TIMEOUT);
         let told = told(exchange.as_ref(), &[]);
@@ -323,6 +389,11 @@
     }
 }
 
+/// A job that nobody submits.
+fn stray_job(number: u64) -> JobId {
+    JobId::from(format!("job-9{number:08}").as_str())
+}
+
 fn told(exchange: Option<&Exchange>, refusals: &[u16]) -> Told {
     let Some(e) = exchange else {
         return Told::Nothing;
--- a/crates/scale/src/tally.rs
+++ b/crates/scale/src/tally.rs
@@ -14,14 +14,18 @@
     Reports,
     /// Commands that go straight to workers.
     Commands,
+    /// Submissions, polls and cancellations.
     Users,
+    /// The state service.
     State,
+    /// The cloud.
     Cloud,
     /// Other controllers; messages are pieces of the stream here.
     Peers,
 }
 
 impl Counterpart {
+    /// Each of them, in the order of their numbers.
     pub const ALL: [Counterpart; 6] = [
         Counterpart::Reports,
         Counterpart::Commands,
@@ -42,12 +46,16 @@
 /// Messages and bytes so far.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Amount {
+    /// Requests with their responses, or pieces of a stream.
     pub messages: u64,
+    /// Bytes that the controller received.
     pub to_controller: u64,
+    /// Bytes that the controller sent.
     pub from_controller: u64,
 }
 
 impl Amount {
+    /// What was added since `before`.
     pub fn since(self, before: Amount) -> Amount {
         Amount {
             messages: self.messages - before.messages,
@@ -60,8 +68,11 @@
 /// What the state service was asked for under one purpose.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Asked {
+    /// Requests, refused ones too.
     pub requests: u64,
+    /// Puts and deletes that were carried out.
     pub changes: u64,
+    /// Requests that were refused.
     pub refused: u64,
 }
 
@@ -72,12 +83,16 @@
 pub struct Tally {
     controllers: Vec<[Traffic; Counterpart::ALL.len()]>,
     state: Mutex<BTreeMap<String, Asked>>,
+    /// Requests of users and workers that failed or were refused.
     pub refusals: AtomicU64,
+    /// Tasks that ended otherwise than by completion or command.
     pub lost_tasks: AtomicU64,
+    /// Workers' leases that ended.
     pub lease_ends: AtomicU64,
 }
 
 impl Tally {
+    /// Counters of so many controllers, all at zero.
     pub fn new(controllers: usize) -> Tally {
         Tally {
             controllers: (0..controllers).map(|_| Default::default()).collect(),
@@ -96,6 +111,7 @@
         t.from_controller.fetch_add(from as u64, Ordering::Relaxed);
     }
 
+    /// What a controller exchanged so far.
     pub fn amounts(&self, controller: usize) -> Amounts {
         let one = |c: Counterpart| {
             let t = &self.controllers[controller][c as usize];
@@ -123,6 +139,7 @@
         }
     }
 
+    /// What the state service was asked for so far, by purpose.
     pub fn state(&self) -> BTreeMap<String, Asked> {
         self.state.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
