--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -2,7 +2,7 @@
 //! figure of it is written by hand.
 
 use crate::bounds::{Demand, JOBS_A_DAY, LINES, NOT_MEASURED, TARGET, TASKS_OF_A_JOB};
-use crate::figures::Figures;
+use crate::figures::{ControllerFigures, Figures};
 use crate::slopes::{Axis, MEASURES, Series, Size, Slopes};
 use clap::Args;
 use serde::{Deserialize, Serialize};
@@ -43,10 +43,40 @@
     pub submissions_p99_s: f64,
     /// The rules that broke.
     pub rules_broken: Vec<String>,
+    /// The most that each controller took; runs kept before this was noted have none.
+    #[serde(default)]
+    pub peaks: Vec<Peak>,
     /// The run as a size of a series.
     pub size: Size,
 }
 
+/// The most that a controller took in a run.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct Peak {
+    /// The controller.
+    pub label: String,
+    /// Threads.
+    pub threads: u64,
+    /// Open file descriptors.
+    pub descriptors: usize,
+    /// Memory.
+    pub memory_mb: f64,
+    /// Processor time of a second.
+    pub cores: f64,
+}
+
+impl Peak {
+    fn of(c: &ControllerFigures) -> Peak {
+        Peak {
+            label: c.label.clone(),
+            threads: c.most_threads,
+            descriptors: c.most_descriptors,
+            memory_mb: c.most_memory_mb,
+            cores: c.cores_peak,
+        }
+    }
+}
+
 impl Recorded {
     /// Made from a run's figures.
     pub fn of(name: &str, f: &Figures) -> Recorded {
@@ -67,6 +97,7 @@
             urgent_p99_s: Some(f.urgent.p99_s).filter(|s| s.is_finite()),
             submissions_p99_s: f.submissions.p99_s,
             rules_broken: broken.collect(),
+            peaks: f.controllers.iter().map(Peak::of).collect(),
             size: Size::of(Axis::Workers, o.workers as f64, f),
         }
     }
@@ -379,6 +410,7 @@
     if !run.faults.is_empty() {
         writeln!(p)?;
     }
+    write_peaks(p, &run.peaks)?;
     writeln!(p, "| measure | predicted | measured | difference |")?;
     writeln!(p, "| --- | ---: | ---: | ---: |")?;
     let d = Demand {
@@ -405,6 +437,26 @@
     writeln!(p)
 }
 
+fn write_peaks(p: &mut String, peaks: &[Peak]) -> std::fmt::Result {
+    if peaks.is_empty() {
+        return Ok(());
+    }
+    writeln!(
+        p,
+        "| at the most | threads | descriptors | memory MB | cores of a second |"
+    )?;
+    writeln!(p, "| --- | ---: | ---: | ---: | ---: |")?;
+    for peak in peaks {
+        let (memory, cores) = (short(peak.memory_mb), short(peak.cores));
+        writeln!(
+            p,
+            "| {} | {} | {} | {memory} | {cores} |",
+            peak.label, peak.threads, peak.descriptors
+        )?;
+    }
+    writeln!(p)
+}
+
 fn write_slopes(p: &mut String, slopes: &Slopes) -> std::fmt::Result {
     writeln!(p, "## Slopes\n")?;
     for series in slopes.series.values() {
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -18,6 +18,9 @@
     /// Cores used in this second, by controller.
     pub cores: Vec<f64>,
     pub memory_mb: Vec<f64>,
+    pub threads: Vec<u64>,
+    /// Open file descriptors, by controller.
+    pub descriptors: Vec<usize>,
     pub leader: usize,
 }
 
@@ -43,7 +46,10 @@
     pub memory_mb: f64,
     pub most_memory_mb: f64,
     pub threads: u64,
+    pub most_threads: u64,
     pub sockets: usize,
+    /// Most open file descriptors; most of them are sockets.
+    pub most_descriptors: usize,
     /// Totals between the first arrival and the end.
     pub traffic: Amounts,
 }
@@ -222,15 +228,18 @@
     fn write(&self, p: &mut String, seconds: f64) -> std::fmt::Result {
         writeln!(
             p,
-            "{}: led {:.2}; cores {:.3} mean, {:.3} peak; memory {:.0} MB, {:.0} at the most; {} threads, {} sockets",
+            "{}: led {:.2}; cores {:.3} mean, {:.3} peak; memory {:.0} MB, {:.0} at the most",
             self.label,
             self.led,
             self.cores_mean,
             self.cores_peak,
             self.memory_mb,
-            self.most_memory_mb,
-            self.threads,
-            self.sockets
+            self.most_memory_mb
+        )?;
+        writeln!(
+            p,
+            "  {} threads, {} at the most; {} sockets, {} descriptors at the most",
+            self.threads, self.most_threads, self.sockets, self.most_descriptors
         )?;
         let mut threads: Vec<_> = self.cores_by_thread.iter().collect();
         threads.sort_by(|a, b| b.1.total_cmp(a.1));
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -120,9 +120,16 @@
             cores_peak: cores().fold(0.0, f64::max),
             cores_by_thread: after.by_thread.iter().map(thread).collect(),
             memory_mb: after.memory_mb,
-            most_memory_mb: after.most_memory_mb,
+            // Of a process that was started again the earlier one counts too.
+            most_memory_mb: samples
+                .iter()
+                .filter_map(|s| s.memory_mb.get(c).copied())
+                .fold(after.most_memory_mb, f64::max),
             threads: after.threads,
+            most_threads: most(samples, |s| s.threads.get(c).copied()).max(after.threads),
             sockets: after.sockets,
+            most_descriptors: most(samples, |s| s.descriptors.get(c).copied())
+                .max(after.descriptors),
             traffic: traffic.collect(),
         }
     }
@@ -169,6 +176,11 @@
     }
 }
 
+/// The largest value that any sample has.
+fn most<T: Ord + Default>(samples: &[Sample], value: impl Fn(&Sample) -> Option<T>) -> T {
+    samples.iter().filter_map(value).max().unwrap_or_default()
+}
+
 impl Log {
     pub fn take(&mut self, site: &Site, at: Duration) {
         let leader = site.leader().unwrap_or(site.shared.leader());
@@ -202,6 +214,8 @@
             unfinished_jobs,
             cores: cores.collect(),
             memory_mb: usages.iter().map(|u| u.memory_mb).collect(),
+            threads: usages.iter().map(|u| u.threads).collect(),
+            descriptors: usages.iter().map(|u| u.descriptors).collect(),
             leader,
         });
         self.last_usage = usages;
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -17,6 +17,8 @@
     pub memory_mb: f64,
     pub most_memory_mb: f64,
     pub threads: u64,
+    /// Open file descriptors; most of a controller's are sockets.
+    pub descriptors: usize,
     pub sockets: usize,
     /// Processor seconds of the threads there are, by their names.
     pub by_thread: BTreeMap<String, f64>,
@@ -58,6 +60,7 @@
             memory_mb: status_field(&status, "VmRSS:") / 1024.0,
             most_memory_mb: status_field(&status, "VmHWM:") / 1024.0,
             threads: status_field(&status, "Threads:") as u64,
+            descriptors: std::fs::read_dir(format!("{folder}/fd")).map_or(0, Iterator::count),
             ..Usage::default()
         };
         if threads {
--- a/crates/scale/tests/capacity.rs
+++ b/crates/scale/tests/capacity.rs
@@ -101,6 +101,7 @@
         urgent_p99_s: None,
         submissions_p99_s: 0.1,
         rules_broken: vec![],
+        peaks: vec![],
         size: size(2000.0, cores, None),
     };
     let page_of = |cores| {
