--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -80,16 +80,16 @@
 impl Recorded {
     /// Made from a run's figures.
     pub fn of(name: &str, f: &Figures) -> Recorded {
-        let o = &f.options;
+        let options = &f.options;
         let broken = f.verdict.broken.keys().map(|r| format!("{r:?}"));
         Recorded {
             name: name.into(),
-            workers: o.workers,
-            starts: o.starts,
-            teams: o.teams,
-            zones: o.zones,
-            regions: o.regions,
-            run_s: o.run_s,
+            workers: options.workers,
+            starts: options.starts,
+            teams: options.teams,
+            zones: options.zones,
+            regions: options.regions,
+            run_s: options.run_s,
             measured_s: f.measured_s,
             faults: f.faults.clone(),
             lost_tasks: f.lost_tasks,
@@ -98,7 +98,7 @@
             submissions_p99_s: f.submissions.p99_s,
             rules_broken: broken.collect(),
             peaks: f.controllers.iter().map(Peak::of).collect(),
-            size: Size::of(Axis::Workers, o.workers as f64, f),
+            size: Size::of(Axis::Workers, options.workers as f64, f),
         }
     }
 
@@ -216,39 +216,39 @@
 ///
 /// # Errors
 /// When a file can't be read or written.
-pub fn write(o: &CapacityOptions) -> std::io::Result<()> {
-    let slopes = Slopes::read(&o.slopes)?;
-    let runs = read_runs(&o.runs)?;
-    std::fs::write(&o.into, page(&slopes, &runs))
+pub fn write(options: &CapacityOptions) -> std::io::Result<()> {
+    let slopes = Slopes::read(&options.slopes)?;
+    let runs = read_runs(&options.runs)?;
+    std::fs::write(&options.into, page(&slopes, &runs))
 }
 
 type Runs = BTreeMap<String, Recorded>;
 
-fn write_page(p: &mut String, slopes: &Slopes, runs: &Runs) -> std::fmt::Result {
+fn write_page(page: &mut String, slopes: &Slopes, runs: &Runs) -> std::fmt::Result {
     let model = Model::new(slopes);
-    writeln!(p, "# Capacity\n")?;
+    writeln!(page, "# Capacity\n")?;
     writeln!(
-        p,
+        page,
         "Written by `hookworks-scale capacity` from `docs/capacity/slopes.json` and\n\
          `docs/capacity/runs.json`; not to be edited. Measured by `hookworks-scale` with three\n\
          controllers on loopback ({}).\n",
         slopes.machine
     )?;
-    write_ends(p, &model, slopes, runs)?;
-    write_roles(p, &model)?;
-    write_runs(p, &model, runs)?;
-    write_slopes(p, slopes)?;
-    writeln!(p, "## Not measured\n")?;
+    write_ends(page, &model, slopes, runs)?;
+    write_roles(page, &model)?;
+    write_runs(page, &model, runs)?;
+    write_slopes(page, slopes)?;
+    writeln!(page, "## Not measured\n")?;
     for what in NOT_MEASURED {
-        writeln!(p, "- {what}")?;
+        writeln!(page, "- {what}")?;
     }
     Ok(())
 }
 
-fn write_ends(p: &mut String, model: &Model, slopes: &Slopes, runs: &Runs) -> std::fmt::Result {
-    writeln!(p, "## What ends first\n")?;
+fn write_ends(page: &mut String, model: &Model, slopes: &Slopes, runs: &Runs) -> std::fmt::Result {
+    writeln!(page, "## What ends first\n")?;
     writeln!(
-        p,
+        page,
         "Each bound with the number of machines at which the lines reach it, in the peak\n\
          second, starts in proportion to machines ({} at {}). With one of three controllers\n\
          ended the others hold half as many workers again, worked out, not measured:\n",
@@ -267,8 +267,8 @@
     let reached = reached.chain(with_one_less);
     let mut reached: Vec<_> = reached.collect();
     reached.sort_by(|a, b| a.0.total_cmp(&b.0));
-    writeln!(p, "| machines | what ends | bound | mechanism |")?;
-    writeln!(p, "| ---: | --- | --- | --- |")?;
+    writeln!(page, "| machines | what ends | bound | mechanism |")?;
+    writeln!(page, "| ---: | --- | --- | --- |")?;
     for (machines, when, line, bound, of) in reached {
         let machines = match machines {
             m if m <= 0.0 => "always".to_string(),
@@ -277,16 +277,16 @@
         };
         let (measure, bound, how) = (line.measure, short(bound), line.mechanism);
         writeln!(
-            p,
+            page,
             "| {machines} | {measure}{when} | {bound} ({of}) | {how} |"
         )?;
     }
-    writeln!(p, "\nSeen in runs of several sizes:\n")?;
+    writeln!(page, "\nSeen in runs of several sizes:\n")?;
     for series in slopes.series.values() {
         let held = series.largest_that_held.map_or("none".into(), short);
         let first = series.broke_first.as_deref().unwrap_or("nothing broke");
         writeln!(
-            p,
+            page,
             "- {:?}: the largest size that held is {held}; {first}",
             series.axis
         )?;
@@ -294,62 +294,62 @@
     for run in runs.values().filter(|r| r.size.broke.is_some()) {
         let broke = run.size.broke.as_deref().unwrap_or_default();
         writeln!(
-            p,
+            page,
             "- run \"{}\" ({} workers): {broke}",
             run.name, run.workers
         )?;
     }
-    writeln!(p)
+    writeln!(page)
 }
 
-fn write_roles(p: &mut String, model: &Model) -> std::fmt::Result {
+fn write_roles(page: &mut String, model: &Model) -> std::fmt::Result {
     let demands = Demand::all();
-    writeln!(p, "## By role\n")?;
+    writeln!(page, "## By role\n")?;
     for d in &demands {
         writeln!(
-            p,
+            page,
             "- {}: {:.0} workers, {:.0} starts a second, {:.0} teams, {:.0} zones",
             d.name, d.workers, d.starts, d.teams, d.zones
         )?;
     }
     writeln!(
-        p,
+        page,
         "\nAn ordinary second is {JOBS_A_DAY:.0} jobs a day of {TASKS_OF_A_JOB:.0} tasks. The last but one column\n\
          is the peak of the target over the bound.\n"
     )?;
-    write!(p, "| role | measure |")?;
+    write!(page, "| role | measure |")?;
     for d in &demands {
-        write!(p, " {} |", d.name)?;
+        write!(page, " {} |", d.name)?;
     }
-    writeln!(p, " bound | of the bound | carried by |")?;
+    writeln!(page, " bound | of the bound | carried by |")?;
     writeln!(
-        p,
+        page,
         "| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | --- |"
     )?;
     for line in &LINES {
-        write!(p, "| {} | {} |", line.role, line.measure)?;
+        write!(page, "| {} | {} |", line.role, line.measure)?;
         for d in &demands {
             let value = model.at(line.measure, d);
-            write!(p, " {} |", value.map_or("not measured".into(), short))?;
+            write!(page, " {} |", value.map_or("not measured".into(), short))?;
         }
         let peak = model.at(line.measure, &TARGET);
         let bound = line.bound.map(|b| b.0);
         let over = peak.zip(bound).map(|(v, b)| format!("{:.2}", v / b));
         let bound = bound.map_or("none".into(), short);
         writeln!(
-            p,
+            page,
             " {bound} | {} | {} |",
             over.unwrap_or_default(),
             line.mechanism
         )?;
     }
-    writeln!(p)
+    writeln!(page)
 }
 
-fn write_runs(p: &mut String, model: &Model, runs: &Runs) -> std::fmt::Result {
-    writeln!(p, "## Runs beside their predictions\n")?;
+fn write_runs(page: &mut String, model: &Model, runs: &Runs) -> std::fmt::Result {
+    writeln!(page, "## Runs beside their predictions\n")?;
     writeln!(
-        p,
+        page,
         "A difference over 25% is marked. Known causes: changes at the state service go with\n\
          jobs, and the series had jobs of 20 tasks where runs have other sizes; a take-over\n\
          loads the new leader; how many workers report to the leader itself differs by run, and\n\
@@ -357,19 +357,19 @@
          Runs kept before the first thread was named have no figure for the main loop.\n"
     )?;
     if runs.is_empty() {
-        return writeln!(p, "None recorded.\n");
+        return writeln!(page, "None recorded.\n");
     }
     for run in runs.values() {
-        write_run(p, model, run)?;
+        write_run(page, model, run)?;
     }
     Ok(())
 }
 
-fn write_run(p: &mut String, model: &Model, run: &Recorded) -> std::fmt::Result {
+fn write_run(page: &mut String, model: &Model, run: &Recorded) -> std::fmt::Result {
     let s = &run.size;
-    writeln!(p, "### {}\n", run.name)?;
+    writeln!(page, "### {}\n", run.name)?;
     writeln!(
-        p,
+        page,
         "{} workers, {} teams, {} zones in {} regions, {} starts a second arriving, tasks of {} s,\n\
          {:.0} s measured, load average {:.1} to {:.1}.\n",
         run.workers,
@@ -387,7 +387,7 @@
         false => format!("broken: {}", run.rules_broken.join(", ")),
     };
     writeln!(
-        p,
+        page,
         "Judged: {rules}. {:.1} starts a second; {:.0} tasks running; urgent within 2.2 s {:.3}, 99% {};\n\
          submissions within 200 ms {:.3}, 99% {:.2} s; refusals {}; tasks lost {}; leases ended {}.\n",
         s.starts_per_s,
@@ -402,17 +402,17 @@
         run.lease_ends
     )?;
     for fault in run.faults.iter().take(6) {
-        writeln!(p, "- {fault}")?;
+        writeln!(page, "- {fault}")?;
     }
     if run.faults.len() > 6 {
-        writeln!(p, "- and {} more", run.faults.len() - 6)?;
+        writeln!(page, "- and {} more", run.faults.len() - 6)?;
     }
     if !run.faults.is_empty() {
-        writeln!(p)?;
+        writeln!(page)?;
     }
-    write_peaks(p, &run.peaks)?;
-    writeln!(p, "| measure | predicted | measured | difference |")?;
-    writeln!(p, "| --- | ---: | ---: | ---: |")?;
+    write_peaks(page, &run.peaks)?;
+    writeln!(page, "| measure | predicted | measured | difference |")?;
+    writeln!(page, "| --- | ---: | ---: | ---: |")?;
     let d = Demand {
         name: "",
         workers: run.workers as f64,
@@ -432,37 +432,37 @@
         };
         let mark = if off.abs() > MARKED { " (!)" } else { "" };
         let (said, seen, off) = (short(said), short(*seen), off * 100.0);
-        writeln!(p, "| {} | {said} | {seen} | {off:+.0}%{mark} |", m.name)?;
+        writeln!(page, "| {} | {said} | {seen} | {off:+.0}%{mark} |", m.name)?;
     }
-    writeln!(p)
+    writeln!(page)
 }
 
-fn write_peaks(p: &mut String, peaks: &[Peak]) -> std::fmt::Result {
+fn write_peaks(page: &mut String, peaks: &[Peak]) -> std::fmt::Result {
     if peaks.is_empty() {
         return Ok(());
     }
     writeln!(
-        p,
+        page,
         "| at the most | threads | descriptors | memory MB | cores of a second |"
     )?;
-    writeln!(p, "| --- | ---: | ---: | ---: | ---: |")?;
+    writeln!(page, "| --- | ---: | ---: | ---: | ---: |")?;
     for peak in peaks {
         let (memory, cores) = (short(peak.memory_mb), short(peak.cores));
         writeln!(
-            p,
+            page,
             "| {} | {} | {} | {memory} | {cores} |",
             peak.label, peak.threads, peak.descriptors
         )?;
     }
-    writeln!(p)
+    writeln!(page)
 }
 
-fn write_slopes(p: &mut String, slopes: &Slopes) -> std::fmt::Result {
-    writeln!(p, "## Slopes\n")?;
+fn write_slopes(page: &mut String, slopes: &Slopes) -> std::fmt::Result {
+    writeln!(page, "## Slopes\n")?;
     for series in slopes.series.values() {
         let sizes = series.sizes.iter().map(|s| short(s.asked));
         writeln!(
-            p,
+            page,
             "Along {:?} ({}); the others at {} workers, {} starts a second, {} teams, {} zones:\n",
             series.axis,
             sizes.collect::<Vec<_>>().join(", "),
@@ -472,15 +472,15 @@
             series.zones
         )?;
         writeln!(
-            p,
+            page,
             "| measure | at zero | for each 1,000 | residual | slopes between sizes, for each 1,000 | linear |"
         )?;
-        writeln!(p, "| --- | ---: | ---: | ---: | ---: | --- |")?;
+        writeln!(page, "| --- | ---: | ---: | ---: | ---: | --- |")?;
         for (name, fit) in &series.fits {
             let linear = if fit.linear { "yes" } else { "no" };
             let (low, high) = fit.slope_range;
             writeln!(
-                p,
+                page,
                 "| {name} | {} | {} | {} | {} to {} | {linear} |",
                 short(fit.at_zero),
                 short(fit.slope * 1e3),
@@ -489,7 +489,7 @@
                 short(high * 1e3)
             )?;
         }
-        writeln!(p)?;
+        writeln!(page)?;
     }
     Ok(())
 }
--- a/crates/scale/src/controllers.rs
+++ b/crates/scale/src/controllers.rs
@@ -21,65 +21,65 @@
     "<hookworks>\n  <idle-s>1000000</idle-s>\n  <idle-spot-s>1000000</idle-spot-s>\n</hookworks>\n";
 
 /// A team's guaranteed and most processors.
-pub fn team_cpus(o: &RunOptions) -> (f64, f64) {
-    let all = o.workers as f64 * MACHINE_CPUS;
-    let guaranteed = (all * GUARANTEED / o.teams as f64).floor().max(1.0);
+pub fn team_cpus(options: &RunOptions) -> (f64, f64) {
+    let all = options.workers as f64 * MACHINE_CPUS;
+    let guaranteed = (all * GUARANTEED / options.teams as f64).floor().max(1.0);
     (guaranteed, guaranteed * LIMIT_FACTOR)
 }
 
 /// The settings file of a controller.
-pub fn settings(o: &RunOptions, l: &Layout, number: usize) -> Value {
-    let zone_of = |c| l.zone(l.zone_of_controller(c));
-    let others = (0..o.controllers).filter(|c| *c != number);
-    let seed = |c| json!({"label": l.label(c), "zone": zone_of(c), "peer_addr": l.link(number, c)});
+pub fn settings(options: &RunOptions, layout: &Layout, number: usize) -> Value {
+    let zone_of = |c| layout.zone(layout.zone_of_controller(c));
+    let others = (0..options.controllers).filter(|c| *c != number);
+    let seed = |c| json!({"label": layout.label(c), "zone": zone_of(c), "peer_addr": layout.link(number, c)});
     let seeds: Vec<Value> = others.map(seed).collect();
     json!({
-        "label": l.label(number),
+        "label": layout.label(number),
         "zone": zone_of(number),
-        "listen": l.controller(number),
-        "cluster_listen": l.cluster(number),
+        "listen": layout.controller(number),
+        "cluster_listen": layout.cluster(number),
         "seeds": seeds,
-        "services": {"cloud": l.cloud(number), "state": l.state(number)},
-        "params": platform(o, l)
+        "services": {"cloud": layout.cloud(number), "state": layout.state(number)},
+        "params": platform(options, layout)
     })
 }
 
 /// What all controllers are told of the platform.
-fn platform(o: &RunOptions, l: &Layout) -> Value {
-    let (cpus, cpus_max) = team_cpus(o);
+fn platform(options: &RunOptions, layout: &Layout) -> Value {
+    let (cpus, cpus_max) = team_cpus(options);
     let team = |t| json!({"name": workload::team(t), "cpus": cpus, "cpus_max": cpus_max, "gpus": 0.0, "gpus_max": 0.0});
-    let teams: Vec<Value> = (0..o.teams).map(team).collect();
-    let zones: Vec<_> = (0..o.zones).map(|z| l.zone(z)).collect();
+    let teams: Vec<Value> = (0..options.teams).map(team).collect();
+    let zones: Vec<_> = (0..options.zones).map(|z| layout.zone(z)).collect();
     json!({
-        "count": o.controllers,
+        "count": options.controllers,
         "zones": zones,
         "teams": teams,
         "objectives": [
             {"kind": "wait", "class": workload::URGENT, "within_s": 2.0, "share": 0.9},
             {"kind": "guarantee", "within_s": 5.0, "share": 0.9}
         ],
-        "workers": {"report_s": o.report_s, "lease_s": o.lease_s, "gang_wait_s": 50.0,
-                    "gang_peer_s": 8.0, "cancel_s": o.cancel_s},
-        "state": state_limits(o),
+        "workers": {"report_s": options.report_s, "lease_s": options.lease_s, "gang_wait_s": 50.0,
+                    "gang_peer_s": 8.0, "cancel_s": options.cancel_s},
+        "state": state_limits(options),
         "cloud": {"rps": 8.0, "list_lag_s": 3.0},
-        "machine_limits": {"core_share": 0.24, "ram_mb": o.controller_mb,
-                           "max_connections": o.max_connections},
+        "machine_limits": {"core_share": 0.24, "ram_mb": options.controller_mb,
+                           "max_connections": options.max_connections},
         "clock_error_ms": 100.0
     })
 }
 
 /// The state service's limits, with those of later if they are announced.
-fn state_limits(o: &RunOptions) -> Value {
+fn state_limits(options: &RunOptions) -> Value {
     let mut limits = json!({
-        "rps": o.state_rps, "write_rps": o.state_write_rps,
-        "value_kb": o.value_kb, "txn_ops": o.txn_ops
+        "rps": options.state_rps, "write_rps": options.state_write_rps,
+        "value_kb": options.value_kb, "txn_ops": options.txn_ops
     });
-    let next = &o.next_limits;
+    let next = &options.next_limits;
     if next.is_any() && !next.unannounced {
         limits["next"] = json!({
-            "write_rps": next.write_rps.unwrap_or(o.state_write_rps),
-            "value_kb": next.value_kb.unwrap_or(o.value_kb),
-            "txn_ops": next.txn_ops.unwrap_or(o.txn_ops)
+            "write_rps": next.write_rps.unwrap_or(options.state_write_rps),
+            "value_kb": next.value_kb.unwrap_or(options.value_kb),
+            "txn_ops": next.txn_ops.unwrap_or(options.txn_ops)
         });
     }
     limits
@@ -99,19 +99,23 @@
     ///
     /// # Errors
     /// When a file can't be written.
-    pub fn prepare(o: &RunOptions, l: &Layout, out: &Path) -> std::io::Result<Controllers> {
+    pub fn prepare(
+        options: &RunOptions,
+        layout: &Layout,
+        out: &Path,
+    ) -> std::io::Result<Controllers> {
         std::fs::create_dir_all(out)?;
         let own = out.join("tuning.xml");
         std::fs::write(&own, OWN_TUNING)?;
-        for number in 0..o.controllers {
-            let text = serde_json::to_vec_pretty(&settings(o, l, number))?;
+        for number in 0..options.controllers {
+            let text = serde_json::to_vec_pretty(&settings(options, layout, number))?;
             std::fs::write(out.join(format!("controller-{number}.json")), text)?;
         }
         Ok(Controllers {
-            program: o.program.clone(),
-            tuning: o.tuning.clone().unwrap_or(own),
+            program: options.program.clone(),
+            tuning: options.tuning.clone().unwrap_or(own),
             out: out.to_path_buf(),
-            children: Arc::new(Mutex::new((0..o.controllers).map(|_| None).collect())),
+            children: Arc::new(Mutex::new((0..options.controllers).map(|_| None).collect())),
         })
     }
 
--- a/crates/scale/src/tally.rs
+++ b/crates/scale/src/counters.rs
@@ -45,7 +45,7 @@
 
 /// Messages and bytes so far.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Amount {
+pub struct TrafficTotal {
     /// Requests with their responses, or pieces of a stream.
     pub messages: u64,
     /// Bytes that the controller received.
@@ -54,10 +54,10 @@
     pub from_controller: u64,
 }
 
-impl Amount {
+impl TrafficTotal {
     /// What was added since `before`.
-    pub fn since(self, before: Amount) -> Amount {
-        Amount {
+    pub fn since(self, before: TrafficTotal) -> TrafficTotal {
+        TrafficTotal {
             messages: self.messages - before.messages,
             to_controller: self.to_controller - before.to_controller,
             from_controller: self.from_controller - before.from_controller,
@@ -67,7 +67,7 @@
 
 /// What the state service was asked for under one purpose.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Asked {
+pub struct StateRequests {
     /// Requests, refused ones too.
     pub requests: u64,
     /// Puts and deletes that were carried out.
@@ -76,13 +76,13 @@
     pub refused: u64,
 }
 
-/// Amounts by counterpart.
-pub type Amounts = BTreeMap<Counterpart, Amount>;
+/// TrafficTotals by counterpart.
+pub type TrafficTotals = BTreeMap<Counterpart, TrafficTotal>;
 
 /// All counters of a run.
-pub struct Tally {
+pub struct Counters {
     controllers: Vec<[Traffic; Counterpart::ALL.len()]>,
-    state: Mutex<BTreeMap<String, Asked>>,
+    state: Mutex<BTreeMap<String, StateRequests>>,
     /// Requests of users and workers that failed or were refused.
     pub refusals: AtomicU64,
     /// Tasks that ended otherwise than by completion or command.
@@ -91,10 +91,10 @@
     pub lease_ends: AtomicU64,
 }
 
-impl Tally {
+impl Counters {
     /// Counters of so many controllers, all at zero.
-    pub fn new(controllers: usize) -> Tally {
-        Tally {
+    pub fn new(controllers: usize) -> Counters {
+        Counters {
             controllers: (0..controllers).map(|_| Default::default()).collect(),
             state: Mutex::default(),
             refusals: AtomicU64::new(0),
@@ -112,10 +112,10 @@
     }
 
     /// What a controller exchanged so far.
-    pub fn amounts(&self, controller: usize) -> Amounts {
+    pub fn amounts(&self, controller: usize) -> TrafficTotals {
         let one = |c: Counterpart| {
             let t = &self.controllers[controller][c as usize];
-            let amount = Amount {
+            let amount = TrafficTotal {
                 messages: t.messages.load(Ordering::Relaxed),
                 to_controller: t.to_controller.load(Ordering::Relaxed),
                 from_controller: t.from_controller.load(Ordering::Relaxed),
@@ -126,7 +126,7 @@
     }
 
     /// A request to the state service, with the purpose of each of its changes.
-    pub fn asked_state(&self, purpose: &str, changes: &[String], refused: bool) {
+    pub fn count_state_request(&self, purpose: &str, changes: &[String], refused: bool) {
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
         let asked = state.entry(purpose.to_string()).or_default();
         asked.requests += 1;
@@ -140,7 +140,7 @@
     }
 
     /// What the state service was asked for so far, by purpose.
-    pub fn state(&self) -> BTreeMap<String, Asked> {
+    pub fn state(&self) -> BTreeMap<String, StateRequests> {
         self.state.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
 }
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -34,20 +34,20 @@
 }
 
 impl Faults {
-    pub fn new(o: &RunOptions, from: Instant) -> Faults {
+    pub fn new(options: &RunOptions, from: Instant) -> Faults {
         let at = |s: Option<f64>| s.map(|s| from + Duration::from_secs_f64(s));
         Faults {
             from,
-            kill_at: at(o.kill_leader_after_s),
+            kill_at: at(options.kill_leader_after_s),
             back: None,
-            back_after: Duration::from_secs_f64(o.back_after_s),
-            cut_at: at(o.zone_away_after_s),
+            back_after: Duration::from_secs_f64(options.back_after_s),
+            cut_at: at(options.zone_away_after_s),
             heal_at: None,
-            cut_for: Duration::from_secs_f64(o.zone_away_for_s),
-            limits_fall_at: at(o.next_limits.after_s),
-            machine_ends: o.machine_ends,
+            cut_for: Duration::from_secs_f64(options.zone_away_for_s),
+            limits_fall_at: at(options.next_limits.after_s),
+            machine_ends: options.machine_ends,
             machines_ended: 0.0,
-            rng: StdRng::seed_from_u64(o.seed),
+            rng: StdRng::seed_from_u64(options.seed),
         }
     }
 
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -1,9 +1,9 @@
 //! What a run measured, as JSON and as one page of text.
 
+use crate::counters::{Counterpart, StateRequests, TrafficTotals};
 use crate::judge::Verdict;
 use crate::options::RunOptions;
 use crate::pipeline::PipelineFigures;
-use crate::tally::{Amounts, Asked, Counterpart};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -51,7 +51,7 @@
     /// Most open file descriptors; most of them are sockets.
     pub most_descriptors: usize,
     /// Totals between the first arrival and the end.
-    pub traffic: Amounts,
+    pub traffic: TrafficTotals,
 }
 
 /// All that a run measured.
@@ -81,7 +81,7 @@
     pub lost_tasks: u64,
     pub lease_ends: u64,
     pub controllers: Vec<ControllerFigures>,
-    pub state: BTreeMap<String, Asked>,
+    pub state: BTreeMap<String, StateRequests>,
     pub faults: Vec<String>,
     pub ended_by_themselves: Vec<String>,
     pub verdict: Verdict,
@@ -104,7 +104,7 @@
 
     /// Requests, changes and refusals at the state service a second.
     pub fn state_per_s(&self) -> (f64, f64, f64) {
-        let sum = |f: fn(&Asked) -> u64| self.state.values().map(f).sum::<u64>() as f64;
+        let sum = |f: fn(&StateRequests) -> u64| self.state.values().map(f).sum::<u64>() as f64;
         let per_s = |n: f64| n / self.measured_s;
         (
             per_s(sum(|a| a.requests)),
@@ -136,26 +136,54 @@
         page
     }
 
-    fn write_page(&self, p: &mut String) -> std::fmt::Result {
-        let o = &self.options;
+    fn write_page(&self, page: &mut String) -> std::fmt::Result {
+        self.write_head(page)?;
+        self.write_times(page)?;
+        if let Some(pipelines) = &self.pipelines {
+            pipelines.write(page)?;
+        }
+        writeln!(
+            page,
+            "refusals and failed requests: {}; tasks lost: {}; leases that ended: {}; polls: {} ({} failed)",
+            self.refusals, self.lost_tasks, self.lease_ends, self.polls, self.polls_failed
+        )?;
+        for controller in &self.controllers {
+            controller.write(page, self.measured_s)?;
+        }
+        self.write_state(page)?;
+        writeln!(
+            page,
+            "a worker's reports: {:.0} bytes a second",
+            self.worker_bytes_per_s()
+        )?;
+        self.write_verdict(page)
+    }
+
+    fn write_head(&self, page: &mut String) -> std::fmt::Result {
+        let options = &self.options;
         let verdict = if self.holds() {
             "all rules held"
         } else {
             "BROKEN"
         };
-        writeln!(p, "scale run, seed {}: {verdict}", o.seed)?;
+        writeln!(page, "scale run, seed {}: {verdict}", options.seed)?;
         writeln!(
-            p,
+            page,
             "  {} workers, {} controllers, {} teams, {} zones in {} regions, {:.0} s measured",
-            o.workers, o.controllers, o.teams, o.zones, o.regions, self.measured_s
+            options.workers,
+            options.controllers,
+            options.teams,
+            options.zones,
+            options.regions,
+            self.measured_s
         )?;
         writeln!(
-            p,
+            page,
             "  load average of the machine {:.1} before, {:.1} after; others share it",
             self.load_average[0], self.load_average[1]
         )?;
         writeln!(
-            p,
+            page,
             "starts: {:.1} a second of {:.1} that arrived, {:.1} at the peak; {:.0} running, {:.0} jobs unfinished (means), {} jobs finished",
             self.starts_per_s,
             self.arrivals_per_s,
@@ -163,61 +191,52 @@
             self.running_mean,
             self.unfinished_mean,
             self.finished_jobs
-        )?;
-        self.write_times(p)?;
-        if let Some(pipelines) = &self.pipelines {
-            pipelines.write(p)?;
-        }
-        writeln!(
-            p,
-            "refusals and failed requests: {}; tasks lost: {}; leases that ended: {}; polls: {} ({} failed)",
-            self.refusals, self.lost_tasks, self.lease_ends, self.polls, self.polls_failed
-        )?;
-        for c in &self.controllers {
-            c.write(p, self.measured_s)?;
-        }
+        )
+    }
+
+    fn write_state(&self, page: &mut String) -> std::fmt::Result {
         let (requests, changes, refused) = self.state_per_s();
         writeln!(
-            p,
+            page,
             "state service: {requests:.1} requests, {changes:.1} changes, {refused:.1} refused a second"
         )?;
         for (purpose, asked) in &self.state {
             writeln!(
-                p,
+                page,
                 "  {purpose}: {} requests, {} changes, {} refused",
                 asked.requests, asked.changes, asked.refused
             )?;
         }
-        writeln!(
-            p,
-            "a worker's reports: {:.0} bytes a second",
-            self.worker_bytes_per_s()
-        )?;
+        Ok(())
+    }
+
+    fn write_verdict(&self, page: &mut String) -> std::fmt::Result {
         for fault in &self.faults {
-            writeln!(p, "fault: {fault}")?;
+            writeln!(page, "fault: {fault}")?;
         }
         for label in &self.ended_by_themselves {
-            writeln!(p, "ENDED by itself: {label}")?;
+            writeln!(page, "ENDED by itself: {label}")?;
         }
         for (rule, count) in &self.verdict.broken {
-            writeln!(p, "BROKEN {rule:?}: {count} times")?;
+            writeln!(page, "BROKEN {rule:?}: {count} times")?;
         }
-        for b in self.verdict.breaches.iter().take(10) {
-            writeln!(p, "  {:.1} s {:?}: {}", b.at_s, b.rule, b.what)?;
+        for breach in self.verdict.breaches.iter().take(10) {
+            let (at_s, rule, what) = (breach.at_s, breach.rule, &breach.what);
+            writeln!(page, "  {at_s:.1} s {rule:?}: {what}")?;
         }
         Ok(())
     }
 
-    fn write_times(&self, p: &mut String) -> std::fmt::Result {
+    fn write_times(&self, page: &mut String) -> std::fmt::Result {
         let u = &self.urgent;
         writeln!(
-            p,
+            page,
             "urgent: {} jobs, {:.3} within 2.2 s; median {:.2} s, 99% {:.2} s; {} never started",
             u.count, u.share_in_time, u.median_s, u.p99_s, u.never
         )?;
         let s = &self.submissions;
         writeln!(
-            p,
+            page,
             "submissions: {}, {:.3} within 200 ms; median {:.3} s, 99% {:.3} s; {} without an answer",
             s.count, s.share_in_time, s.median_s, s.p99_s, s.never
         )
@@ -225,9 +244,9 @@
 }
 
 impl ControllerFigures {
-    fn write(&self, p: &mut String, seconds: f64) -> std::fmt::Result {
+    fn write(&self, page: &mut String, seconds: f64) -> std::fmt::Result {
         writeln!(
-            p,
+            page,
             "{}: led {:.2}; cores {:.3} mean, {:.3} peak; memory {:.0} MB, {:.0} at the most",
             self.label,
             self.led,
@@ -237,7 +256,7 @@
             self.most_memory_mb
         )?;
         writeln!(
-            p,
+            page,
             "  {} threads, {} at the most; {} sockets, {} descriptors at the most",
             self.threads, self.most_threads, self.sockets, self.most_descriptors
         )?;
@@ -245,14 +264,14 @@
         threads.sort_by(|a, b| b.1.total_cmp(a.1));
         let shown = threads.iter().take(6).map(|(n, c)| format!("{n} {c:.3}"));
         writeln!(
-            p,
+            page,
             "  cores by thread: {}",
             shown.collect::<Vec<_>>().join(", ")
         )?;
         for (with, a) in &self.traffic {
             let per_s = |n: u64| n as f64 / seconds;
             writeln!(
-                p,
+                page,
                 "  {with:?}: {:.1} messages, {:.1} KB in, {:.1} KB out a second",
                 per_s(a.messages),
                 per_s(a.to_controller) / 1e3,
--- a/crates/scale/src/judge.rs
+++ b/crates/scale/src/judge.rs
@@ -68,7 +68,7 @@
 
 /// What a controller said of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Answer {
     /// This state.
     State(JobState),
     /// 404.
@@ -76,7 +76,7 @@
     /// 400 or 422 to a submission.
     Refused,
     /// Nothing that counts: no response, or any other status.
-    Nothing,
+    Missing,
 }
 
 /// The record, and what broke by it.
@@ -114,7 +114,7 @@
         }
     }
 
-    fn broke(&mut self, rule: Rule, now: Instant, what: String) {
+    fn record_breach(&mut self, rule: Rule, now: Instant, what: String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.breaches.len() < MOST_LISTED {
             let at_s = now.saturating_duration_since(self.start).as_secs_f64();
@@ -158,18 +158,18 @@
         others.push(host.clone());
         if others.len() > 1 {
             let what = format!("{task} on {others:?}");
-            self.broke(Rule::RanTwice, now, what);
+            self.record_breach(Rule::RanTwice, now, what);
         }
         let Some(record) = self.jobs.get_mut(&task.job) else {
-            return self.broke(Rule::Invented, now, format!("{task} of no job"));
+            return self.record_breach(Rule::Invented, now, format!("{task} of no job"));
         };
         record.first_start.get_or_insert(now);
         let plan = record.plan.clone();
         if record.is_cancelled_for_longer(now, self.cancel_within) {
-            self.broke(Rule::RanCancelled, now, format!("{task} started"));
+            self.record_breach(Rule::RanCancelled, now, format!("{task} started"));
         }
         if plan.spec.zone.as_ref().is_some_and(|z| z != zone) {
-            self.broke(Rule::WrongPlace, now, format!("{task} in {zone}"));
+            self.record_breach(Rule::WrongPlace, now, format!("{task} in {zone}"));
         }
         self.check_needs(now, task, &plan);
         self.use_cpus(now, task, &plan);
@@ -182,7 +182,7 @@
         *used += plan.spec.cpus;
         let (used, limit) = (*used, self.limits.get(team).copied());
         if limit.is_some_and(|l| used > l + ROUNDING) {
-            self.broke(Rule::Quota, now, format!("{team} uses {used} with {task}"));
+            self.record_breach(Rule::Quota, now, format!("{team} uses {used} with {task}"));
         }
     }
 
@@ -208,7 +208,7 @@
         }
         if record.is_cancelled_for_longer(now, self.cancel_within) {
             let what = format!("{task} was there until now");
-            self.broke(Rule::RanCancelled, now, what);
+            self.record_breach(Rule::RanCancelled, now, what);
         }
     }
 
@@ -220,35 +220,35 @@
     }
 
     /// A user was told this of a job it submitted; it had asked at `asked`.
-    pub fn told(&mut self, asked: Instant, now: Instant, job: &JobId, told: Told) {
-        match told {
-            Told::Nothing => self.failed_polls += 1,
+    pub fn answered(&mut self, asked: Instant, now: Instant, job: &JobId, answer: Answer) {
+        match answer {
+            Answer::Missing => self.failed_polls += 1,
             _ => self.answered_polls += 1,
         }
         let Some(record) = self.jobs.get_mut(job) else {
-            if matches!(told, Told::State(_)) {
-                self.broke(Rule::Invented, now, format!("{job} was never submitted"));
+            if matches!(answer, Answer::State(_)) {
+                self.record_breach(Rule::Invented, now, format!("{job} was never submitted"));
             }
             return;
         };
-        if told == Told::Nothing {
+        if answer == Answer::Missing {
             record.no_answer_since.get_or_insert(asked);
         } else {
             record.no_answer_since = None;
         }
         let was_accepted = record.accepted.is_some_and(|t| t <= asked);
-        match told {
-            Told::Nothing => {}
-            Told::NotFound | Told::Refused if was_accepted => {
-                self.broke(Rule::Forgotten, now, format!("{job}: {told:?}"));
+        match answer {
+            Answer::Missing => {}
+            Answer::NotFound | Answer::Refused if was_accepted => {
+                self.record_breach(Rule::Forgotten, now, format!("{job}: {answer:?}"));
             }
-            Told::Refused => self.check_refused(asked, now, job),
-            Told::NotFound => {}
-            Told::State(state) => self.told_state(asked, now, job, state),
+            Answer::Refused => self.check_refused(asked, now, job),
+            Answer::NotFound => {}
+            Answer::State(state) => self.answered_state(asked, now, job, state),
         }
     }
 
-    fn told_state(&mut self, asked: Instant, now: Instant, job: &JobId, state: JobState) {
+    fn answered_state(&mut self, asked: Instant, now: Instant, job: &JobId, state: JobState) {
         let Some(record) = self.jobs.get_mut(job) else {
             return;
         };
@@ -259,14 +259,14 @@
             record.final_state = Some((now, state));
         }
         if state == JobState::Done && record.completed.is_none() {
-            self.broke(Rule::NotDone, now, format!("{job} is called done"));
+            self.record_breach(Rule::NotDone, now, format!("{job} is called done"));
         }
         if before.is_some_and(|(at, was)| at <= asked && was != state) {
             let what = format!("{job}: {before:?}, now {state:?}");
-            self.broke(Rule::WentBack, now, what);
+            self.record_breach(Rule::WentBack, now, what);
         }
         if state == JobState::Cancelled && !self.may_be_cancelled(job) {
-            self.broke(
+            self.record_breach(
                 Rule::WentBack,
                 now,
                 format!("{job}: nobody cancelled it or a job that it needs"),
@@ -286,7 +286,7 @@
         });
         let late: Vec<String> = late.map(|(t, h)| format!("{t} is on {h:?}")).collect();
         for what in late {
-            self.broke(Rule::RanCancelled, now, what);
+            self.record_breach(Rule::RanCancelled, now, what);
         }
         self.sweep_silent(now);
     }
@@ -307,7 +307,7 @@
             })
         });
         for what in silent.collect::<Vec<_>>() {
-            self.broke(Rule::Forgotten, now, what);
+            self.record_breach(Rule::Forgotten, now, what);
         }
     }
 
@@ -336,7 +336,7 @@
     pub fn verdict(&mut self, now: Instant) -> Verdict {
         self.sweep(now);
         if self.starts == 0 {
-            self.broke(Rule::NothingRan, now, "no task was started".into());
+            self.record_breach(Rule::NothingRan, now, "no task was started".into());
         }
         Verdict {
             broken: self.counts.clone(),
--- a/crates/scale/src/judge/dependencies.rs
+++ b/crates/scale/src/judge/dependencies.rs
@@ -14,7 +14,7 @@
         let unmet = plan.needs.iter().find(|need| !is_done(need));
         if let Some(need) = unmet {
             let what = format!("{task} started before {need} was done");
-            self.broke(Rule::TooEarly, now, what);
+            self.record_breach(Rule::TooEarly, now, what);
         }
     }
 
@@ -31,7 +31,7 @@
         let needs = &record.plan.needs;
         if !needs.is_empty() && needs.iter().all(was_accepted) {
             let what = format!("{job} is refused, and all that it needs was accepted");
-            self.broke(Rule::Forgotten, now, what);
+            self.record_breach(Rule::Forgotten, now, what);
         }
     }
 
@@ -51,7 +51,7 @@
         let needs = self.needs_of(job);
         if let Some(need) = needs.iter().find(is_late) {
             let what = format!("{job} is called {state:?}, but {need} is cancelled");
-            self.broke(Rule::Orphaned, now, what);
+            self.record_breach(Rule::Orphaned, now, what);
         }
     }
 
--- a/crates/scale/src/layout.rs
+++ b/crates/scale/src/layout.rs
@@ -29,14 +29,14 @@
 
 impl Layout {
     /// Made from the options or the parts given.
-    pub fn new(o: &RunOptions) -> Layout {
+    pub fn new(options: &RunOptions) -> Layout {
         Layout {
-            network: o.network,
-            port: o.port,
-            controllers: o.controllers,
-            zones: o.zones,
-            regions: o.regions,
-            region_delay: Duration::from_secs_f64(o.region_delay_ms / 1000.0),
+            network: options.network,
+            port: options.port,
+            controllers: options.controllers,
+            zones: options.zones,
+            regions: options.regions,
+            region_delay: Duration::from_secs_f64(options.region_delay_ms / 1000.0),
         }
     }
 
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod bounds;
 pub mod capacity;
 pub mod controllers;
+pub mod counters;
 mod faults;
 mod figures;
 pub mod fit;
@@ -26,7 +27,6 @@
 pub mod run;
 pub mod slopes;
 mod standin;
-pub mod tally;
 pub mod workload;
 
 pub use standin::cloud::place;
--- a/crates/scale/src/links.rs
+++ b/crates/scale/src/links.rs
@@ -1,8 +1,8 @@
 //! The links between controllers: each stream is passed on with the delay
 //! between the two regions, and counted.
 
+use crate::counters::{Counterpart, Counters};
 use crate::layout::Layout;
-use crate::tally::{Counterpart, Tally};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -22,25 +22,28 @@
     pub to: usize,
     delay: Duration,
     address: SocketAddr,
-    tally: Arc<Tally>,
+    counters: Arc<Counters>,
     stop: Arc<AtomicBool>,
 }
 
 impl Link {
     pub fn new(
-        l: &Layout,
+        layout: &Layout,
         from: usize,
         to: usize,
-        tally: Arc<Tally>,
+        counters: Arc<Counters>,
         stop: Arc<AtomicBool>,
     ) -> Link {
-        let zones = (l.zone_of_controller(from), l.zone_of_controller(to));
+        let zones = (
+            layout.zone_of_controller(from),
+            layout.zone_of_controller(to),
+        );
         Link {
             from,
             to,
-            delay: l.delay(zones.0, zones.1),
-            address: l.cluster(to),
-            tally,
+            delay: layout.delay(zones.0, zones.1),
+            address: layout.cluster(to),
+            counters,
             stop,
         }
     }
@@ -96,8 +99,8 @@
                 true => (self.from, self.to),
                 false => (self.to, self.from),
             };
-            self.tally.add(sender, Counterpart::Peers, 0, n);
-            self.tally.add(receiver, Counterpart::Peers, n, 0);
+            self.counters.add(sender, Counterpart::Peers, 0, n);
+            self.counters.add(receiver, Counterpart::Peers, n, 0);
             let due = Instant::now() + self.delay;
             if on.send((due, chunk[..n].to_vec())).is_err() {
                 break;
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -2,6 +2,7 @@
 //! It does what the protocol says a worker does; running is waiting.
 
 use crate::judge::Judge;
+use crate::options::RunOptions;
 use hookworks::ids::{Attempt, Build, Host, Image, Seq, Session, TaskId, Token, Zone};
 use hookworks::wire::worker::{Cause, Order, Orders, Report, ReportAnswer, TaskReport, TaskState};
 use std::collections::HashSet;
@@ -14,7 +15,7 @@
 
 /// A task on the machine.
 #[derive(Clone, Debug)]
-struct Held {
+struct AssignedTask {
     report: TaskReport,
     cpus: f64,
     run: Duration,
@@ -42,17 +43,27 @@
     pub cpus: f64,
 }
 
-/// How often a worker reports, and for how long it may act without an answer.
+/// How often a worker sends its heartbeat, and for how long it may act without an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Rhythm {
-    /// Time between two reports.
-    pub report: Duration,
+pub struct Heartbeat {
+    /// Time between two heartbeats.
+    pub interval: Duration,
     /// How long a worker acts without an answer.
     pub lease: Duration,
 }
 
-/// What a command is checked against, and told of.
-pub struct World<'a> {
+impl Heartbeat {
+    /// Times that a run's options ask for.
+    pub fn of(options: &RunOptions) -> Heartbeat {
+        Heartbeat {
+            interval: Duration::from_secs_f64(options.report_s),
+            lease: Duration::from_secs_f64(options.lease_s),
+        }
+    }
+}
+
+/// What a change of a machine is checked against and recorded in.
+pub struct Context<'a> {
     /// The moment.
     pub now: Instant,
     /// The record.
@@ -72,11 +83,11 @@
 pub struct Machine {
     /// Where it stands and what it has.
     pub place: Place,
-    rhythm: Rhythm,
+    heartbeat: Heartbeat,
     session: Session,
     seq: Seq,
     token: Token,
-    tasks: Vec<Held>,
+    tasks: Vec<AssignedTask>,
     images: HashSet<Image>,
     answered: Instant,
     last_report: Option<Instant>,
@@ -90,10 +101,10 @@
 
 impl Machine {
     /// A machine whose worker begins at `now`; its first report is due at `first`.
-    pub fn new(place: Place, rhythm: Rhythm, now: Instant, first: Instant) -> Machine {
+    pub fn new(place: Place, heartbeat: Heartbeat, now: Instant, first: Instant) -> Machine {
         Machine {
             place,
-            rhythm,
+            heartbeat,
             session: Session(1),
             seq: Seq(0),
             token: Token(0),
@@ -122,7 +133,7 @@
     /// When the machine changes by itself: a task, or the lease's end.
     pub fn change_due(&self) -> Instant {
         let tasks = self.tasks.iter().filter_map(|t| t.until).min();
-        let lease = self.answered + self.rhythm.lease;
+        let lease = self.answered + self.heartbeat.lease;
         tasks.map_or(lease, |t| t.min(lease))
     }
 
@@ -130,7 +141,7 @@
     pub fn begin_report(&mut self, now: Instant, spread: f64) -> (Report, InFlight) {
         self.changed = false;
         self.last_report = Some(now);
-        self.next_report = now + self.rhythm.report.mul_f64(0.75 + 0.5 * spread);
+        self.next_report = now + self.heartbeat.interval.mul_f64(0.75 + 0.5 * spread);
         let sent = InFlight {
             sent: now,
             session: self.session,
@@ -157,22 +168,22 @@
 
     /// The answer to a report. One of an earlier session, or with a lower token,
     /// is dropped.
-    pub fn answered(&mut self, w: &mut World, to: InFlight, answer: &ReportAnswer) {
+    pub fn answered(&mut self, context: &mut Context, to: InFlight, answer: &ReportAnswer) {
         if to.session != self.session || answer.token < self.token {
             return;
         }
         self.answered = self.answered.max(to.sent);
         self.see_token(answer.token);
-        self.execute(w, &answer.orders);
+        self.execute(context, &answer.orders);
     }
 
     /// Commands that came straight; false: nothing was carried out.
-    pub fn commanded(&mut self, w: &mut World, orders: &Orders) -> bool {
+    pub fn commanded(&mut self, context: &mut Context, orders: &Orders) -> bool {
         if orders.session != self.session || orders.token < self.token {
             return false;
         }
         self.see_token(orders.token);
-        self.execute(w, &orders.orders);
+        self.execute(context, &orders.orders);
         true
     }
 
@@ -183,22 +194,22 @@
         }
     }
 
-    fn execute(&mut self, w: &mut World, orders: &[Order]) {
+    fn execute(&mut self, context: &mut Context, orders: &[Order]) {
         for order in orders {
             match order {
-                Order::Run { task, attempt } => self.run(w, task, *attempt),
-                Order::Kill { task, attempt, .. } => self.kill(w, task, *attempt),
+                Order::Run { task, attempt } => self.run(context, task, *attempt),
+                Order::Kill { task, attempt, .. } => self.kill(context, task, *attempt),
                 Order::Clear { task, attempt } => self.clear(task, *attempt),
             }
         }
     }
 
     fn position(&self, task: &TaskId, attempt: Attempt) -> Option<usize> {
-        let is_it = |t: &Held| t.report.task == *task && t.report.attempt == attempt;
+        let is_it = |t: &AssignedTask| t.report.task == *task && t.report.attempt == attempt;
         self.tasks.iter().position(is_it)
     }
 
-    fn run(&mut self, w: &mut World, task: &TaskId, attempt: Attempt) {
+    fn run(&mut self, context: &mut Context, task: &TaskId, attempt: Attempt) {
         if self.position(task, attempt).is_some() {
             return;
         }
@@ -210,14 +221,14 @@
             cause: None,
             kept: false,
         };
-        let mut held = Held {
+        let mut held = AssignedTask {
             report,
             cpus: 0.0,
             run: Duration::ZERO,
             image: Image::from(""),
             until: None,
         };
-        match self.admit(w, task, &mut held) {
+        match self.admit(context, task, &mut held) {
             Ok(()) => {}
             Err(cause) => {
                 held.report.state = TaskState::Ended;
@@ -226,16 +237,21 @@
             }
         }
         self.tasks.push(held);
-        self.pass_time(w);
+        self.pass_time(context);
     }
 
     /// Makes room for a task, or says why there is none.
-    fn admit(&self, w: &World, task: &TaskId, held: &mut Held) -> Result<(), Cause> {
-        let plan = w.judge.plan(&task.job).ok_or(Cause::Unknown)?;
+    fn admit(
+        &self,
+        context: &Context,
+        task: &TaskId,
+        held: &mut AssignedTask,
+    ) -> Result<(), Cause> {
+        let plan = context.judge.plan(&task.job).ok_or(Cause::Unknown)?;
         if task.ix.0 >= plan.spec.tasks {
             return Err(Cause::Unknown);
         }
-        let here = |t: &&Held| t.report.state != TaskState::Ended;
+        let here = |t: &&AssignedTask| t.report.state != TaskState::Ended;
         if self
             .tasks
             .iter()
@@ -254,20 +270,20 @@
         };
         held.cpus = plan.spec.cpus;
         held.image = plan.spec.image.clone();
-        held.run = match w.judge.is_done(task) {
+        held.run = match context.judge.is_done(task) {
             true => Duration::ZERO,
             false => plan.run,
         };
-        held.until = Some(w.now + Duration::from_secs_f64(fetch_s));
+        held.until = Some(context.now + Duration::from_secs_f64(fetch_s));
         Ok(())
     }
 
-    fn kill(&mut self, w: &mut World, task: &TaskId, attempt: Attempt) {
+    fn kill(&mut self, context: &mut Context, task: &TaskId, attempt: Attempt) {
         let Some(i) = self.position(task, attempt) else {
             return;
         };
         if self.tasks[i].report.state != TaskState::Ended {
-            self.end(w, i, Cause::Stopped);
+            self.end(context, i, Cause::Stopped);
         }
     }
 
@@ -280,12 +296,13 @@
         }
     }
 
-    fn end(&mut self, w: &mut World, i: usize, cause: Cause) {
+    fn end(&mut self, context: &mut Context, i: usize, cause: Cause) {
         let held = &mut self.tasks[i];
         if held.report.state == TaskState::Running {
             let done = cause == Cause::Done;
-            w.judge
-                .gone(w.now, &held.report.task, &self.place.host, done);
+            context
+                .judge
+                .gone(context.now, &held.report.task, &self.place.host, done);
         }
         held.report.state = TaskState::Ended;
         held.report.cause = Some(cause);
@@ -294,45 +311,48 @@
     }
 
     /// Carries out what is due by now.
-    pub fn pass_time(&mut self, w: &mut World) {
+    pub fn pass_time(&mut self, context: &mut Context) {
         for i in 0..self.tasks.len() {
-            while self.tasks[i].until.is_some_and(|t| t <= w.now) {
-                self.step(w, i);
+            while self.tasks[i].until.is_some_and(|t| t <= context.now) {
+                self.step(context, i);
             }
         }
-        if w.now > self.answered + self.rhythm.lease {
-            self.lease_ended(w);
+        if context.now > self.answered + self.heartbeat.lease {
+            self.lease_ended(context);
         }
     }
 
-    fn step(&mut self, w: &mut World, i: usize) {
+    fn step(&mut self, context: &mut Context, i: usize) {
         let held = &mut self.tasks[i];
         if held.report.state == TaskState::Running {
-            return self.end(w, i, Cause::Done);
+            return self.end(context, i, Cause::Done);
         }
         held.report.state = TaskState::Running;
-        held.until = Some(w.now + held.run);
+        held.until = Some(context.now + held.run);
         self.images.insert(held.image.clone());
         self.changed = true;
         let (task, place) = (&held.report.task, &self.place);
-        w.judge.started(w.now, task, &place.host, &place.zone);
+        context
+            .judge
+            .started(context.now, task, &place.host, &place.zone);
     }
 
-    fn lease_ended(&mut self, w: &mut World) {
+    fn lease_ended(&mut self, context: &mut Context) {
         self.lease_ends += 1;
-        self.forget_all(w);
+        self.forget_all(context);
         self.session.0 += 1;
-        self.answered = w.now;
+        self.answered = context.now;
         self.changed = true;
     }
 
     /// All tasks are gone: the lease has ended, or the machine.
-    pub fn forget_all(&mut self, w: &mut World) {
+    pub fn forget_all(&mut self, context: &mut Context) {
         for held in std::mem::take(&mut self.tasks) {
             if held.report.state == TaskState::Running {
                 self.lost += 1;
-                w.judge
-                    .gone(w.now, &held.report.task, &self.place.host, false);
+                context
+                    .judge
+                    .gone(context.now, &held.report.task, &self.place.host, false);
             }
         }
     }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -38,14 +38,18 @@
 }
 
 /// Ends with 0 if all held, 1 if something broke or failed, 2 for bad input.
-fn one(o: &RunOptions, keep: Option<(&str, &Path)>, interrupted: &Arc<AtomicBool>) -> ExitCode {
-    let figures = match run(o, interrupted) {
+fn one(
+    options: &RunOptions,
+    keep: Option<(&str, &Path)>,
+    interrupted: &Arc<AtomicBool>,
+) -> ExitCode {
+    let figures = match run(options, interrupted) {
         Ok(figures) => figures,
         Err(e) => return failed(&e, matches!(e, RunError::Input(_))),
     };
     print!("{}", figures.page());
-    if let Err(e) = write(&figures, &o.out) {
-        return failed(&format!("{}: {e}", o.out.display()), false);
+    if let Err(e) = write(&figures, &options.out) {
+        return failed(&format!("{}: {e}", options.out.display()), false);
     }
     if let Some((name, file)) = keep
         && let Err(e) = Recorded::of(name, &figures).keep(file)
@@ -58,8 +62,8 @@
     }
 }
 
-fn several(o: &SlopeOptions, interrupted: &Arc<AtomicBool>) -> ExitCode {
-    match measure_series(o, interrupted, |f| println!("{}", f.page())) {
+fn several(options: &SlopeOptions, interrupted: &Arc<AtomicBool>) -> ExitCode {
+    match measure_series(options, interrupted, |f| println!("{}", f.page())) {
         Ok(series) => {
             let held = series.largest_that_held;
             let first = series.broke_first.as_deref().unwrap_or("nothing broke");
@@ -101,8 +105,8 @@
             let keep = name.as_deref().map(|n| (n, keep.as_path()));
             one(&options, keep, &interrupted)
         }
-        Verb::Slopes(o) => several(&o, &interrupted),
-        Verb::Capacity(o) => match capacity::write(&o) {
+        Verb::Slopes(options) => several(&options, &interrupted),
+        Verb::Capacity(options) => match capacity::write(&options) {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => failed(&e, false),
         },
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -1,10 +1,12 @@
 //! What a run notes while it goes on, and the figures worked out at its end.
 
+use crate::counters::{StateRequests, TrafficTotals};
 use crate::figures::{ControllerFigures, Figures, Sample, Times};
+use crate::judge::Judge;
+use crate::options::RunOptions;
 use crate::pipeline::{self, PipelineFigures};
 use crate::process::Usage;
 use crate::run::Site;
-use crate::tally::{Amounts, Asked};
 use crate::workload;
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -20,8 +22,8 @@
 pub(crate) struct Snapshot {
     pub at: Instant,
     pub usages: Vec<Usage>,
-    pub traffic: Vec<Amounts>,
-    pub state: BTreeMap<String, Asked>,
+    pub traffic: Vec<TrafficTotals>,
+    pub state: BTreeMap<String, StateRequests>,
     pub starts: u64,
 }
 
@@ -35,60 +37,73 @@
     pub last_starts: u64,
 }
 
+/// What was asked of the state service between two snapshots, by purpose.
+fn state_requests(first: &Snapshot, last: &Snapshot) -> BTreeMap<String, StateRequests> {
+    let mut requests = last.state.clone();
+    for (purpose, before) in &first.state {
+        let now = requests.entry(purpose.clone()).or_default();
+        now.requests -= before.requests;
+        now.changes -= before.changes;
+        now.refused -= before.refused;
+    }
+    requests
+}
+
+/// The largest mean of starts a second over some seconds in a row.
+fn peak_starts_per_s(samples: &[Sample]) -> f64 {
+    let seconds = PEAK_OVER.min(samples.len()).max(1);
+    let starts = |window: &[Sample]| window.iter().map(|s| s.starts).sum::<u64>();
+    let most = samples.windows(seconds).map(starts).max();
+    most.unwrap_or(0) as f64 / seconds as f64
+}
+
+fn mean(samples: &[Sample], value: fn(&Sample) -> usize) -> f64 {
+    let sum: usize = samples.iter().map(value).sum();
+    sum as f64 / samples.len().max(1) as f64
+}
+
+/// Tasks that arrive a second in jobs that need no others.
+fn arrivals_per_s(options: &RunOptions) -> f64 {
+    let plans = workload::plans(options);
+    let tasks: u32 = plans.iter().map(|plan| plan.spec.tasks).sum();
+    f64::from(tasks) / options.length_s
+}
+
 impl Site {
     pub fn figures(&self, first: Snapshot, last: Snapshot, log: Log, load: [f64; 2]) -> Figures {
         let now = Instant::now();
-        let o = &self.options;
-        let arrived: u32 = workload::plans(o).iter().map(|p| p.spec.tasks).sum();
-        let seconds = (last.at - first.at).as_secs_f64();
-        let mut state = last.state.clone();
-        for (purpose, before) in &first.state {
-            let now = state.entry(purpose.clone()).or_default();
-            now.requests -= before.requests;
-            now.changes -= before.changes;
-            now.refused -= before.refused;
-        }
+        let options = &self.options;
         let samples = &log.samples;
-        let mean = |f: fn(&Sample) -> f64| {
-            samples.iter().map(f).sum::<f64>() / samples.len().max(1) as f64
-        };
-        let peak = samples.windows(PEAK_OVER.min(samples.len()).max(1));
-        let peak = peak.map(|w| w.iter().map(|s| s.starts).sum::<u64>() as f64 / w.len() as f64);
-        let controllers = (0..o.controllers).map(|c| self.of_controller(c, &first, &last, samples));
+        let measured_s = (last.at - first.at).as_secs_f64();
+        let numbers = 0..options.controllers;
+        let controllers = numbers.map(|c| self.of_controller(c, &first, &last, samples));
         let controllers = controllers.collect();
-        let (running_mean, unfinished_mean) = (
-            mean(|s| s.running as f64),
-            mean(|s| s.unfinished_jobs as f64),
-        );
-        let peak_starts_per_s = peak.fold(0.0, f64::max);
         let (urgent, submissions) = (self.urgent(now), self.submissions());
-        let seen = self.users.seen();
+        let observations = self.users.observations();
         let mut judge = self.shared.judge();
-        let tally = &self.shared.tally;
+        let counters = &self.shared.counters;
         Figures {
-            options: o.clone(),
+            options: options.clone(),
             load_average: load,
-            measured_s: seconds,
-            arrivals_per_s: arrived as f64 / o.length_s,
-            starts_per_s: (last.starts - first.starts) as f64 / seconds,
-            peak_starts_per_s,
-            running_mean,
-            unfinished_mean,
+            measured_s,
+            arrivals_per_s: arrivals_per_s(options),
+            starts_per_s: (last.starts - first.starts) as f64 / measured_s,
+            peak_starts_per_s: peak_starts_per_s(samples),
+            running_mean: mean(samples, |s| s.running),
+            unfinished_mean: mean(samples, |s| s.unfinished_jobs),
             finished_jobs: judge.finished(),
             urgent,
             submissions,
-            given_up: seen.given_up,
-            polls: seen.polls,
-            polls_failed: seen.polls_failed,
-            cancelled: seen.cancelled,
-            pipelines: o
-                .has_pipelines()
-                .then(|| PipelineFigures::of(&judge, &pipeline::pipelines(o), now)),
-            refusals: tally.refusals.load(Ordering::Relaxed),
-            lost_tasks: tally.lost_tasks.load(Ordering::Relaxed),
-            lease_ends: tally.lease_ends.load(Ordering::Relaxed),
+            given_up: observations.given_up,
+            polls: observations.polls,
+            polls_failed: observations.polls_failed,
+            cancelled: observations.cancelled,
+            pipelines: pipeline_figures(options, &judge, now),
+            refusals: counters.refusals.load(Ordering::Relaxed),
+            lost_tasks: counters.lost_tasks.load(Ordering::Relaxed),
+            lease_ends: counters.lease_ends.load(Ordering::Relaxed),
             controllers,
-            state,
+            state: state_requests(&first, &last),
             faults: log.faults,
             ended_by_themselves: log.ended,
             verdict: judge.verdict(now),
@@ -137,9 +152,9 @@
     /// How soon urgent jobs started; those submitted just before the end are
     /// left out.
     fn urgent(&self, now: Instant) -> Times {
-        let seen = self.users.seen();
+        let observations = self.users.observations();
         let judge = self.shared.judge();
-        let old_enough = seen
+        let old_enough = observations
             .urgent
             .iter()
             .filter(|(_, at)| *at + URGENT_WITHIN < now);
@@ -163,19 +178,27 @@
     }
 
     fn submissions(&self) -> Times {
-        let seen = self.users.seen();
-        let taken = &seen.submissions;
+        let observations = self.users.observations();
+        let taken = &observations.submissions;
         let in_time = taken.count_between(0, SUBMITTED_WITHIN_MS);
         Times {
-            count: seen.submitted,
-            share_in_time: in_time as f64 / seen.submitted.max(1) as f64,
+            count: observations.submitted,
+            share_in_time: in_time as f64 / observations.submitted.max(1) as f64,
             median_s: taken.value_at_quantile(0.5) as f64 / 1e3,
             p99_s: taken.value_at_quantile(0.99) as f64 / 1e3,
-            never: seen.submitted - taken.len(),
+            never: observations.submitted - taken.len(),
         }
     }
 }
 
+/// What became of the pipelines of a run that has some.
+fn pipeline_figures(options: &RunOptions, judge: &Judge, now: Instant) -> Option<PipelineFigures> {
+    let pipelines = options
+        .has_pipelines()
+        .then(|| pipeline::pipelines(options))?;
+    Some(PipelineFigures::of(judge, &pipelines, now))
+}
+
 /// The largest value that any sample has.
 fn most<T: Ord + Default>(samples: &[Sample], value: impl Fn(&Sample) -> Option<T>) -> T {
     samples.iter().filter_map(value).max().unwrap_or_default()
@@ -198,21 +221,13 @@
                 self.ended.push(label);
             }
         }
-        let passed = at.as_secs_f64() - self.samples.last().map_or(0.0, |s| s.at_s);
-        let cores = usages.iter().enumerate().map(|(c, u)| {
-            let was = self
-                .last_usage
-                .get(c)
-                .map_or(u.processor_s, |l| l.processor_s);
-            // Less than before: it was started again.
-            (u.processor_s - was).max(0.0) / passed
-        });
+        let cores = self.cores_since_last(at, &usages);
         self.samples.push(Sample {
             at_s: at.as_secs_f64(),
             starts: starts - self.last_starts,
             running,
             unfinished_jobs,
-            cores: cores.collect(),
+            cores,
             memory_mb: usages.iter().map(|u| u.memory_mb).collect(),
             threads: usages.iter().map(|u| u.threads).collect(),
             descriptors: usages.iter().map(|u| u.descriptors).collect(),
@@ -221,4 +236,16 @@
         self.last_usage = usages;
         self.last_starts = starts;
     }
+
+    /// Cores that each controller used since the last sample.
+    fn cores_since_last(&self, at: Duration, usages: &[Usage]) -> Vec<f64> {
+        let passed_s = at.as_secs_f64() - self.samples.last().map_or(0.0, |s| s.at_s);
+        let cores = usages.iter().enumerate().map(|(number, usage)| {
+            let last = self.last_usage.get(number);
+            let before = last.map_or(usage.processor_s, |l| l.processor_s);
+            // Less than before: it was started again.
+            (usage.processor_s - before).max(0.0) / passed_s
+        });
+        cores.collect()
+    }
 }
--- a/crates/scale/src/pipeline.rs
+++ b/crates/scale/src/pipeline.rs
@@ -35,63 +35,63 @@
 }
 
 /// All pipelines of a run in the order of their arrival.
-pub fn pipelines(o: &RunOptions) -> Vec<Pipeline> {
-    let mut rng = StdRng::seed_from_u64(o.seed.wrapping_add(SEED_OFFSET));
-    let times = arrivals(&mut rng, o.pipelines.rate, o.length_s);
+pub fn pipelines(options: &RunOptions) -> Vec<Pipeline> {
+    let mut rng = StdRng::seed_from_u64(options.seed.wrapping_add(SEED_OFFSET));
+    let times = arrivals(&mut rng, options.pipelines.rate, options.length_s);
     let mut next_number = FIRST_NUMBER;
     let draw = |at: f64| {
-        let pipeline = draw(&mut rng, o, next_number, at);
+        let pipeline = draw(&mut rng, options, next_number, at);
         next_number += pipeline.jobs.len();
         pipeline
     };
     times.into_iter().map(draw).collect()
 }
 
-fn draw(rng: &mut StdRng, o: &RunOptions, first_number: usize, at: f64) -> Pipeline {
-    let options = &o.pipelines;
+fn draw(rng: &mut StdRng, options: &RunOptions, first_number: usize, at: f64) -> Pipeline {
+    let shape = &options.pipelines;
     let mut jobs: Vec<Plan> = vec![];
     let mut before = 0..0;
-    for stage in 0..options.stages {
+    for stage in 0..shape.stages {
         let from = jobs.len();
-        for position in 0..width(options, stage) {
-            let needs = needs(rng, options, stage, position, before.clone());
+        for position in 0..width(shape, stage) {
+            let needs = needs(rng, shape, stage, position, before.clone());
             let needs = needs.into_iter().map(|n| jobs[n].spec.id.clone());
             let needs = needs.collect();
-            let draft = draft(rng, options, first_number + jobs.len());
-            let plan = draft.draw(rng, o.teams, 0.0, options.run_s);
+            let draft = draft(rng, shape, first_number + jobs.len());
+            let plan = draft.draw(rng, options.teams, 0.0, shape.run_s);
             jobs.push(Plan { needs, ..plan });
         }
         before = from..jobs.len();
     }
-    set_deadline(&mut jobs, options.due);
-    if rng.random_bool(options.cancelled) {
+    set_deadline(&mut jobs, shape.due);
+    if rng.random_bool(shape.cancelled) {
         let chosen = rng.random_range(0..jobs.len());
-        let most_s = options.run_s * options.stages as f64;
+        let most_s = shape.run_s * shape.stages as f64;
         jobs[chosen].cancel_after = Some(random_duration(rng, most_s));
     }
     Pipeline {
         at: Duration::from_secs_f64(at),
         jobs,
-        last_is_late: rng.random_bool(options.late),
+        last_is_late: rng.random_bool(shape.late),
     }
 }
 
 /// Jobs side by side in a stage.
-fn width(options: &PipelineOptions, stage: usize) -> usize {
-    let is_edge = stage == 0 || stage + 1 == options.stages;
-    if is_edge { 1 } else { options.fan_out }
+fn width(shape: &PipelineOptions, stage: usize) -> usize {
+    let is_edge = stage == 0 || stage + 1 == shape.stages;
+    if is_edge { 1 } else { shape.fan_out }
 }
 
 /// Which jobs of the stage `before` a job needs. Each of those is needed by
 /// some job of this stage; the last job needs all of them.
 fn needs(
     rng: &mut StdRng,
-    options: &PipelineOptions,
+    shape: &PipelineOptions,
     stage: usize,
     position: usize,
     before: Range<usize>,
 ) -> Vec<usize> {
-    if before.len() < 2 || stage + 1 == options.stages {
+    if before.len() < 2 || stage + 1 == shape.stages {
         return before.collect();
     }
     let nth = |n: usize| before.start + n % before.len();
@@ -102,13 +102,13 @@
     needs
 }
 
-fn draft(rng: &mut StdRng, options: &PipelineOptions, number: usize) -> Draft {
+fn draft(rng: &mut StdRng, shape: &PipelineOptions, number: usize) -> Draft {
     Draft {
         id: JobId::from(format!("job-{number}").as_str()),
         class: PIPELINE,
         priority: Priority::Normal,
-        tasks: rng.random_range(1..=options.tasks),
-        run_s: random_run_s(rng, options.run_s),
+        tasks: rng.random_range(1..=shape.tasks),
+        run_s: random_run_s(rng, shape.run_s),
         deadline_s: None,
     }
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,13 +1,14 @@
 //! One run: everything is checked, started, measured, judged and ended.
 
 use crate::controllers::{Controllers, team_cpus};
+use crate::counters::Counterpart;
 use crate::faults::Faults;
 use crate::figures::Figures;
 use crate::http::{Client, serve};
 use crate::judge::Judge;
 use crate::layout::Layout;
 use crate::links::Link;
-use crate::machine::Rhythm;
+use crate::machine::Heartbeat;
 use crate::measure::{Log, Snapshot};
 use crate::options::{BadInput, RunOptions};
 use crate::pipeline;
@@ -16,7 +17,6 @@
 use crate::standin::state::{Limits, StateService};
 use crate::standin::users::Users;
 use crate::standin::workers::Workers;
-use crate::tally::Counterpart;
 use crate::workload;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -99,15 +99,15 @@
 ///
 /// # Errors
 /// When it can't start; nothing is left running.
-pub fn run(o: &RunOptions, interrupted: &Arc<AtomicBool>) -> Result<Figures, RunError> {
-    o.check()?;
+pub fn run(options: &RunOptions, interrupted: &Arc<AtomicBool>) -> Result<Figures, RunError> {
+    options.check()?;
     let before = load_average();
-    let site = Site::start(o)?;
+    let site = Site::start(options)?;
     site.wait_until_healthy(interrupted)?;
-    site.wait(Duration::from_secs_f64(o.warm_up_s), interrupted)?;
+    site.wait(Duration::from_secs_f64(options.warm_up_s), interrupted)?;
     let first = site.snapshot();
     let from = Instant::now();
-    let (plans, pipelines) = (workload::plans(o), pipeline::pipelines(o));
+    let (plans, pipelines) = (workload::plans(options), pipeline::pipelines(options));
     site.users
         .start(from, plans, pipelines)
         .map_err(start_error("users"))?;
@@ -122,40 +122,34 @@
 }
 
 impl Site {
-    fn start(o: &RunOptions) -> Result<Site, RunError> {
-        let layout = Layout::new(o);
-        let now = Instant::now();
-        let (_, most) = team_cpus(o);
-        let limits = (0..o.teams).map(|t| (workload::team(t), most)).collect();
-        let judge = Judge::new(now, Duration::from_secs_f64(o.cancel_s), limits);
+    fn start(options: &RunOptions) -> Result<Site, RunError> {
+        let layout = Layout::new(options);
         let stop = Arc::new(AtomicBool::new(false));
+        let judge = judge(options);
         let shared = Arc::new(Shared::new(layout.clone(), judge, stop.clone()));
-        for c in 0..o.controllers {
+        for c in 0..options.controllers {
             // Tried only: the controllers themselves take them.
             bind(layout.controller(c))?;
             bind(layout.cluster(c))?;
         }
-        let controllers = Controllers::prepare(o, &layout, &o.out);
+        let controllers = Controllers::prepare(options, &layout, &options.out);
         let controllers = controllers.map_err(start_error("settings"))?;
         let ending = Ending {
             stop,
             controllers: controllers.clone(),
             listening: Mutex::default(),
         };
-        let rhythm = Rhythm {
-            report: Duration::from_secs_f64(o.report_s),
-            lease: Duration::from_secs_f64(o.lease_s),
-        };
-        let workers = Workers::start(&shared, rhythm, WORKER_THREADS, o.seed);
+        let heartbeat = Heartbeat::of(options);
+        let workers = Workers::start(&shared, heartbeat, WORKER_THREADS, options.seed);
         let (workers, running) = workers.map_err(start_error("workers"))?;
         ending.listening().extend(running);
         let workers = Arc::new(workers);
         let remover = workers.clone();
         let remove = Box::new(move |numbers: &[usize]| remover.remove(numbers));
         let site = Site {
-            options: o.clone(),
-            state: Arc::new(StateService::new(Limits::at_start(o))),
-            cloud: Arc::new(Cloud::new(&layout, o.workers, remove)),
+            options: options.clone(),
+            state: Arc::new(StateService::new(Limits::at_start(options))),
+            cloud: Arc::new(Cloud::new(&layout, options.workers, remove)),
             users: Arc::new(Users::new(shared.clone())),
             shared,
             workers,
@@ -165,28 +159,32 @@
         site.serve()?;
         site.add_workers(site.cloud.places())?;
         hook_panics(&site.controllers);
-        for c in 0..o.controllers {
-            site.controllers
-                .start(c)
-                .map_err(start_error("controller"))?;
-        }
+        site.start_controllers()?;
         Ok(site)
     }
 
+    fn start_controllers(&self) -> Result<(), RunError> {
+        for number in 0..self.options.controllers {
+            let started = self.controllers.start(number);
+            started.map_err(start_error("controller"))?;
+        }
+        Ok(())
+    }
+
     /// The services and links begin to serve.
     fn serve(&self) -> Result<(), RunError> {
         let layout = &self.shared.layout;
         for c in 0..layout.controllers {
-            let (state, tally) = (self.state.clone(), self.shared.tally.clone());
-            let answer = move |r: &crate::http::Request| state.answer(r, &tally);
+            let (state, counters) = (self.state.clone(), self.shared.counters.clone());
+            let answer = move |r: &crate::http::Request| state.answer(r, &counters);
             self.serve_one(layout.state(c), c, Counterpart::State, answer)?;
             let cloud = self.cloud.clone();
             let answer = move |r: &crate::http::Request| cloud.answer(r);
             self.serve_one(layout.cloud(c), c, Counterpart::Cloud, answer)?;
             for to in (0..layout.controllers).filter(|to| *to != c) {
                 let listener = bind(layout.link(c, to))?;
-                let (tally, stop) = (self.shared.tally.clone(), self.shared.stop.clone());
-                let link = Link::new(layout, c, to, tally, stop);
+                let (counters, stop) = (self.shared.counters.clone(), self.shared.stop.clone());
+                let link = Link::new(layout, c, to, counters, stop);
                 let thread = link.serve(listener).map_err(start_error("link"))?;
                 self.ending.listening().push(thread);
             }
@@ -209,9 +207,9 @@
             std::thread::sleep(delay);
             response
         };
-        let tally = self.shared.tally.clone();
+        let counters = self.shared.counters.clone();
         // For the controller a request goes out and a response comes in.
-        let count = move |request, response| tally.add(controller, with, response, request);
+        let count = move |request, response| counters.add(controller, with, response, request);
         let stop = self.shared.stop.clone();
         let served = serve(listener, stop, Arc::new(handler), Arc::new(count));
         let thread = served.map_err(start_error("service"))?;
@@ -274,8 +272,8 @@
         Snapshot {
             at: Instant::now(),
             usages: all.clone().map(usage).collect(),
-            traffic: all.map(|c| self.shared.tally.amounts(c)).collect(),
-            state: self.shared.tally.state(),
+            traffic: all.map(|c| self.shared.counters.amounts(c)).collect(),
+            state: self.shared.counters.state(),
             starts: self.shared.judge().starts(),
         }
     }
@@ -308,6 +306,15 @@
     }
 }
 
+/// A judge that knows the teams' limits.
+fn judge(options: &RunOptions) -> Judge {
+    let (_, most) = team_cpus(options);
+    let teams = (0..options.teams).map(workload::team);
+    let limits = teams.map(|team| (team, most)).collect();
+    let cancel_within = Duration::from_secs_f64(options.cancel_s);
+    Judge::new(Instant::now(), cancel_within, limits)
+}
+
 /// A panic anywhere ends the controllers too.
 fn hook_panics(controllers: &Controllers) {
     let controllers = controllers.clone();
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -1,12 +1,12 @@
 //! Slopes: what grows with what, from runs of several sizes that differ in one
 //! option each.
 
+use crate::counters::Counterpart;
 use crate::figures::{ControllerFigures, Figures};
 use crate::fit::Fit;
 use crate::options::RunOptions;
 use crate::process::MAIN_THREAD;
 use crate::run::{RunError, run};
-use crate::tally::Counterpart;
 use clap::{Args, ValueEnum};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -40,12 +40,12 @@
 }
 
 impl Axis {
-    fn set(self, o: &mut RunOptions, size: f64) {
+    fn set(self, options: &mut RunOptions, size: f64) {
         match self {
-            Axis::Workers => o.workers = size as usize,
-            Axis::Starts => o.starts = size,
-            Axis::Teams => o.teams = size as usize,
-            Axis::Zones => o.zones = size as usize,
+            Axis::Workers => options.workers = size as usize,
+            Axis::Starts => options.starts = size,
+            Axis::Teams => options.teams = size as usize,
+            Axis::Zones => options.zones = size as usize,
         }
     }
 
@@ -265,7 +265,7 @@
 
 impl Series {
     /// Fits a line for each measure through all sizes.
-    pub fn of(axis: Axis, o: &RunOptions, sizes: Vec<Size>) -> Series {
+    pub fn of(axis: Axis, options: &RunOptions, sizes: Vec<Size>) -> Series {
         let fit = |m: &Measure| {
             let points = sizes
                 .iter()
@@ -282,13 +282,13 @@
         });
         Series {
             axis,
-            workers: o.workers,
-            starts: o.starts,
-            teams: o.teams,
-            zones: o.zones,
-            regions: o.regions,
-            run_s: o.run_s,
-            length_s: o.length_s,
+            workers: options.workers,
+            starts: options.starts,
+            teams: options.teams,
+            zones: options.zones,
+            regions: options.regions,
+            run_s: options.run_s,
+            length_s: options.length_s,
             not_linear: bent.map(|(name, _)| name.clone()).collect(),
             largest_that_held: held.last().map(|s| s.asked),
             broke_first,
@@ -331,39 +331,39 @@
 /// # Errors
 /// When a size can't be run; sizes so far are lost.
 pub fn measure_series(
-    o: &SlopeOptions,
+    options: &SlopeOptions,
     interrupted: &Arc<AtomicBool>,
     show: impl Fn(&Figures),
 ) -> Result<Series, SlopeError> {
-    let mut asked = o.sizes.clone();
+    let mut asked = options.sizes.clone();
     asked.sort_by(f64::total_cmp);
     asked.dedup();
     if asked.len() < FEWEST_SIZES {
         return Err(SlopeError::TooFew);
     }
-    let name = o.into.display().to_string();
+    let name = options.into.display().to_string();
     let file_error = |e| SlopeError::File(name.clone(), e);
-    let mut slopes = Slopes::read(&o.into).map_err(file_error)?;
-    let options = |size: f64| {
-        let mut options = o.run.clone();
-        o.axis.set(&mut options, size);
-        options
+    let mut slopes = Slopes::read(&options.into).map_err(file_error)?;
+    let options_of = |size: f64| {
+        let mut run = options.run.clone();
+        options.axis.set(&mut run, size);
+        run
     };
     for size in &asked {
-        let checked = options(*size).check();
+        let checked = options_of(*size).check();
         checked.map_err(|e| SlopeError::Run(*size, e.into()))?;
     }
     let mut sizes = vec![];
     for size in asked {
-        let figures = run(&options(size), interrupted);
+        let figures = run(&options_of(size), interrupted);
         let figures = figures.map_err(|e| SlopeError::Run(size, e))?;
         show(&figures);
-        sizes.push(Size::of(o.axis, size, &figures));
+        sizes.push(Size::of(options.axis, size, &figures));
     }
-    let series = Series::of(o.axis, &o.run, sizes);
+    let series = Series::of(options.axis, &options.run, sizes);
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     slopes.machine = format!("{cores} cores, shared with other work while measured");
-    slopes.series.insert(o.axis, series.clone());
-    slopes.write(&o.into).map_err(file_error)?;
+    slopes.series.insert(options.axis, series.clone());
+    slopes.write(&options.into).map_err(file_error)?;
     Ok(series)
 }
--- a/crates/scale/src/standin/cloud.rs
+++ b/crates/scale/src/standin/cloud.rs
@@ -53,12 +53,12 @@
 }
 
 /// Where the machine of this number stands.
-pub fn place(l: &Layout, number: usize, zone_number: usize) -> Place {
+pub fn place(layout: &Layout, number: usize, zone_number: usize) -> Place {
     Place {
-        host: l.host(number),
-        address: l.worker(number).to_string(),
+        host: layout.host(number),
+        address: layout.worker(number).to_string(),
         build: Build::from(BUILD),
-        zone: l.zone(zone_number),
+        zone: layout.zone(zone_number),
         zone_number,
         spot: false,
         cpus: MACHINE_CPUS,
@@ -242,11 +242,11 @@
 }
 
 impl Fleet {
-    fn rent(&mut self, l: &Layout, zone: usize) -> Host {
+    fn rent(&mut self, layout: &Layout, zone: usize) -> Host {
         let number = self.next;
         self.next += 1;
         let entry = Entry {
-            place: place(l, number, zone),
+            place: place(layout, number, zone),
             rented: Some(Instant::now()),
             is_up: false,
             ended: None,
--- a/crates/scale/src/standin/commands.rs
+++ b/crates/scale/src/standin/commands.rs
@@ -3,9 +3,9 @@
 use super::Shared;
 use super::reports::Worker;
 use super::workers::{read_all, write_all};
+use crate::counters::Counterpart;
 use crate::http::{Request, Response, parse_request};
-use crate::machine::World;
-use crate::tally::Counterpart;
+use crate::machine::Context;
 use hookworks::wire::worker::Orders;
 use mio::net::TcpStream;
 use std::time::Instant;
@@ -43,7 +43,7 @@
             let response = answer(worker, shared, &request).encode();
             let with = Counterpart::Commands;
             shared
-                .tally
+                .counters
                 .add(shared.leader(), with, response.len(), length);
             self.out.extend_from_slice(&response);
             close |= request.close;
@@ -62,11 +62,11 @@
             };
             let mut judge = shared.judge();
             let now = Instant::now();
-            let mut world = World {
+            let mut context = Context {
                 now,
                 judge: &mut judge,
             };
-            let done = worker.machine.commanded(&mut world, &orders);
+            let done = worker.machine.commanded(&mut context, &orders);
             let status = if done { 200 } else { 409 };
             Response::json(status, &worker.machine.report())
         }
--- a/crates/scale/src/standin/mod.rs
+++ b/crates/scale/src/standin/mod.rs
@@ -8,9 +8,9 @@
 pub mod users;
 pub mod workers;
 
+use crate::counters::Counters;
 use crate::judge::Judge;
 use crate::layout::Layout;
-use crate::tally::Tally;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -20,7 +20,7 @@
 /// What all stand-ins of a run share.
 pub struct Shared {
     pub layout: Layout,
-    pub tally: Arc<Tally>,
+    pub counters: Arc<Counters>,
     pub stop: Arc<AtomicBool>,
     judge: Mutex<Judge>,
     cut_zone: AtomicUsize,
@@ -30,7 +30,7 @@
 impl Shared {
     pub fn new(layout: Layout, judge: Judge, stop: Arc<AtomicBool>) -> Shared {
         Shared {
-            tally: Arc::new(Tally::new(layout.controllers)),
+            counters: Arc::new(Counters::new(layout.controllers)),
             layout,
             stop,
             judge: Mutex::new(judge),
--- a/crates/scale/src/standin/reports.rs
+++ b/crates/scale/src/standin/reports.rs
@@ -3,9 +3,9 @@
 
 use super::Shared;
 use super::workers::{read_all, write_all};
+use crate::counters::Counterpart;
 use crate::http::{Response, encode_request, parse_response};
-use crate::machine::{InFlight, Machine, World};
-use crate::tally::Counterpart;
+use crate::machine::{Context, InFlight, Machine};
 use hookworks::wire::worker::{Redirect, Report, ReportAnswer};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
@@ -15,7 +15,7 @@
 /// A report without a response for so long has failed.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
 /// A worker tries the next controller so much later.
-const NEXT_NODE_AFTER: Duration = Duration::from_secs(1);
+const NEXT_CONTROLLER_AFTER: Duration = Duration::from_secs(1);
 /// A connection on which reports go out.
 pub(super) struct Outbound {
     stream: TcpStream,
@@ -28,7 +28,7 @@
 pub(super) struct Worker {
     pub machine: Machine,
     pub listener: TcpListener,
-    pub node: usize,
+    pub controller: usize,
     pub not_before: Instant,
     /// The report is sent again, to another controller.
     pub again: bool,
@@ -46,8 +46,7 @@
     pub fn next_wake(&self) -> Instant {
         let report = match self.in_flight {
             Some(sent) => sent.sent + REPORT_TIMEOUT,
-            None if self.again => self.not_before,
-            None => self.machine.report_due().max(self.not_before),
+            None => self.next_report(),
         };
         let ways = [
             self.leaving.as_ref().map(|l| l.0),
@@ -66,57 +65,77 @@
         let l = &shared.layout;
         l.delay(
             self.machine.place.zone_number,
-            l.zone_of_controller(self.node),
+            l.zone_of_controller(self.controller),
         )
     }
 
+    /// Does what is due by now.
     pub fn act(&mut self, shared: &Shared, registry: &Registry, token: Token, spread: f64) {
         let now = Instant::now();
+        self.pass_time(shared, now);
+        self.take_arrived(shared, now);
+        self.time_out(shared, now);
+        if self.in_flight.is_none() && self.next_report() <= now {
+            self.begin(shared, now, spread);
+        }
+        self.send_leaving(shared, registry, token, now);
+        self.count_losses(shared);
+    }
+
+    fn pass_time(&mut self, shared: &Shared, now: Instant) {
         if self.machine.change_due() <= now {
             let mut judge = shared.judge();
-            self.machine.pass_time(&mut World {
+            self.machine.pass_time(&mut Context {
                 now,
                 judge: &mut judge,
             });
         }
-        if self.arriving.as_ref().is_some_and(|(at, _)| *at <= now)
-            && let Some((_, response)) = self.arriving.take()
-        {
+    }
+
+    fn take_arrived(&mut self, shared: &Shared, now: Instant) {
+        if let Some((_, response)) = self.arriving.take_if(|(at, _)| *at <= now) {
             self.answered(shared, &response);
         }
-        if self
-            .in_flight
-            .is_some_and(|f| f.sent + REPORT_TIMEOUT <= now)
-        {
+    }
+
+    fn time_out(&mut self, shared: &Shared, now: Instant) {
+        let is_late = |f: InFlight| f.sent + REPORT_TIMEOUT <= now;
+        if self.in_flight.is_some_and(is_late) {
             self.failed(shared);
         }
-        if self.in_flight.is_none() {
-            let due = match self.again {
-                true => self.not_before,
-                false => self.machine.report_due().max(self.not_before),
-            };
-            if due <= now {
-                self.begin(shared, now, spread);
-            }
+    }
+
+    /// When the next report is sent if none is in flight.
+    fn next_report(&self) -> Instant {
+        match self.again {
+            true => self.not_before,
+            false => self.machine.report_due().max(self.not_before),
         }
-        if self.leaving.as_ref().is_some_and(|(at, _)| *at <= now)
-            && let Some((_, bytes)) = self.leaving.take()
-            && !self.is_cut(shared)
-            && self.send(shared, registry, token, &bytes).is_err()
-        {
+    }
+
+    fn send_leaving(&mut self, shared: &Shared, registry: &Registry, token: Token, now: Instant) {
+        let Some((_, bytes)) = self.leaving.take_if(|(at, _)| *at <= now) else {
+            return;
+        };
+        if !self.is_cut(shared) && self.send(shared, registry, token, &bytes).is_err() {
             self.failed(shared);
         }
-        let (lost, ends) = (self.machine.lost, self.machine.lease_ends);
-        (self.machine.lost, self.machine.lease_ends) = (0, 0);
-        shared.tally.lost_tasks.fetch_add(lost, Ordering::Relaxed);
-        shared.tally.lease_ends.fetch_add(ends, Ordering::Relaxed);
+    }
+
+    /// Moves what the machine has counted to the run's counters.
+    fn count_losses(&mut self, shared: &Shared) {
+        let lost = std::mem::take(&mut self.machine.lost);
+        let lease_ends = std::mem::take(&mut self.machine.lease_ends);
+        let counters = &shared.counters;
+        counters.lost_tasks.fetch_add(lost, Ordering::Relaxed);
+        counters.lease_ends.fetch_add(lease_ends, Ordering::Relaxed);
     }
 
     fn begin(&mut self, shared: &Shared, now: Instant, spread: f64) {
         self.again = false;
         let (report, sent): (Report, InFlight) = self.machine.begin_report(now, spread);
         let body = serde_json::to_vec(&report).unwrap_or_default();
-        let host = shared.layout.controller(self.node).to_string();
+        let host = shared.layout.controller(self.controller).to_string();
         let bytes = encode_request("POST", "/agent/beat", &host, &body);
         self.in_flight = Some(sent);
         self.leaving = Some((now + self.delay(shared), bytes));
@@ -130,7 +149,7 @@
         bytes: &[u8],
     ) -> std::io::Result<()> {
         if self.connection.is_none() {
-            let mut stream = TcpStream::connect(shared.layout.controller(self.node))?;
+            let mut stream = TcpStream::connect(shared.layout.controller(self.controller))?;
             registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
             self.connection = Some(Outbound {
                 stream,
@@ -140,8 +159,8 @@
             });
         }
         shared
-            .tally
-            .add(self.node, Counterpart::Reports, bytes.len(), 0);
+            .counters
+            .add(self.controller, Counterpart::Reports, bytes.len(), 0);
         match &mut self.connection {
             Some(c) => {
                 c.out.extend_from_slice(bytes);
@@ -165,8 +184,8 @@
         match parse_response(&c.input) {
             Ok(Some((response, length))) => {
                 c.input.drain(..length);
-                let from = self.node;
-                shared.tally.add(from, Counterpart::Reports, 0, length);
+                let from = self.controller;
+                shared.counters.add(from, Counterpart::Reports, 0, length);
                 let at = Instant::now() + self.delay(shared);
                 self.arriving = self.in_flight.map(|_| (at, response));
             }
@@ -189,57 +208,57 @@
             self.connection = None;
         }
         match response.status {
-            200 => {
-                let Ok(answer) = serde_json::from_slice::<ReportAnswer>(&response.body) else {
-                    return;
-                };
-                let mut judge = shared.judge();
-                let now = Instant::now();
-                self.machine.answered(
-                    &mut World {
-                        now,
-                        judge: &mut judge,
-                    },
-                    sent,
-                    &answer,
-                );
-            }
-            421 => {
-                let leader = serde_json::from_slice::<Redirect>(&response.body);
-                let leader = leader.ok().and_then(|r| r.leader);
-                let all = 0..shared.layout.controllers;
-                let named = all
-                    .into_iter()
-                    .find(|n| Some(shared.layout.label(*n)) == leader);
-                match named.filter(|n| *n != self.node) {
-                    Some(node) => {
-                        self.connection = None;
-                        self.node = node;
-                        self.again = true;
-                        self.not_before = Instant::now();
-                    }
-                    None => self.next_node(shared),
-                }
-            }
+            200 => self.heartbeat_answered(shared, sent, response),
+            421 => self.redirected(shared, response),
             _ => self.failed(shared),
         }
     }
 
+    fn heartbeat_answered(&mut self, shared: &Shared, sent: InFlight, response: &Response) {
+        let Ok(answer) = serde_json::from_slice::<ReportAnswer>(&response.body) else {
+            return;
+        };
+        let mut judge = shared.judge();
+        let mut context = Context {
+            now: Instant::now(),
+            judge: &mut judge,
+        };
+        self.machine.answered(&mut context, sent, &answer);
+    }
+
+    /// Reports again at once to the controller that the response names, if it is
+    /// another one.
+    fn redirected(&mut self, shared: &Shared, response: &Response) {
+        let redirect = serde_json::from_slice::<Redirect>(&response.body);
+        let leader = redirect.ok().and_then(|r| r.leader);
+        let mut all = 0..shared.layout.controllers;
+        let named = all.find(|n| Some(shared.layout.label(*n)) == leader);
+        match named.filter(|n| *n != self.controller) {
+            Some(controller) => {
+                self.connection = None;
+                self.controller = controller;
+                self.again = true;
+                self.not_before = Instant::now();
+            }
+            None => self.next_controller(shared),
+        }
+    }
+
     fn failed(&mut self, shared: &Shared) {
         if !self.is_cut(shared) {
-            shared.tally.refusals.fetch_add(1, Ordering::Relaxed);
+            shared.counters.refusals.fetch_add(1, Ordering::Relaxed);
         }
-        self.next_node(shared);
+        self.next_controller(shared);
     }
 
-    fn next_node(&mut self, shared: &Shared) {
+    fn next_controller(&mut self, shared: &Shared) {
         self.in_flight = None;
         self.leaving = None;
         self.arriving = None;
         self.connection = None;
-        self.node = (self.node + 1) % shared.layout.controllers;
+        self.controller = (self.controller + 1) % shared.layout.controllers;
         self.again = true;
-        self.not_before = Instant::now() + NEXT_NODE_AFTER;
+        self.not_before = Instant::now() + NEXT_CONTROLLER_AFTER;
     }
 }
 
--- a/crates/scale/src/standin/state.rs
+++ b/crates/scale/src/standin/state.rs
@@ -1,8 +1,8 @@
 //! The state service: a small store with stamps, leases, a watch and limits.
 
+use crate::counters::Counters;
 use crate::http::{Request, Response};
 use crate::options::RunOptions;
-use crate::tally::Tally;
 use hookworks::ids::Stamp;
 use hookworks::store::budget::Budget;
 use hookworks::time::Clock;
@@ -38,18 +38,18 @@
 
 impl Limits {
     /// The limits with which a run begins.
-    pub fn at_start(o: &RunOptions) -> Limits {
+    pub fn at_start(options: &RunOptions) -> Limits {
         Limits {
-            requests: o.state_rps,
-            changes: o.state_write_rps,
-            txn_ops: o.txn_ops,
-            value_bytes: bytes(o.value_kb),
+            requests: options.state_rps,
+            changes: options.state_write_rps,
+            txn_ops: options.txn_ops,
+            value_bytes: bytes(options.value_kb),
         }
     }
 
     /// The limits that come into force later in the run.
-    pub fn later(o: &RunOptions) -> Limits {
-        let (now, next) = (Limits::at_start(o), &o.next_limits);
+    pub fn later(options: &RunOptions) -> Limits {
+        let (now, next) = (Limits::at_start(options), &options.next_limits);
         Limits {
             requests: now.requests,
             changes: next.write_rps.unwrap_or(now.changes),
@@ -176,7 +176,7 @@
     }
 
     /// Answers a request and counts it by its purpose.
-    pub fn answer(&self, r: &Request, tally: &Tally) -> Response {
+    pub fn answer(&self, r: &Request, counters: &Counters) -> Response {
         let allowed = {
             let mut store = self.store();
             let now = self.clock.now();
@@ -188,12 +188,12 @@
         };
         let path = r.path.trim_start_matches('/');
         if !allowed {
-            tally.asked_state(path.split('/').next().unwrap_or(""), &[], true);
+            counters.count_state_request(path.split('/').next().unwrap_or(""), &[], true);
             return Response::error(429, "too many requests");
         }
         let (head, rest) = path.split_once('/').unwrap_or((path, ""));
         if (r.method.as_str(), head) == ("POST", "txn") {
-            return self.txn(&r.body, tally);
+            return self.txn(&r.body, counters);
         }
         let name = match (r.method.as_str(), head) {
             ("GET", "store") if rest.is_empty() => "page",
@@ -204,7 +204,7 @@
             ("GET", "watch") => "watch",
             _ => return Response::error(400, "no such request"),
         };
-        tally.asked_state(name, &[], false);
+        counters.count_state_request(name, &[], false);
         match name {
             "page" => self.page(r),
             "read" => self.read(rest),
@@ -254,12 +254,12 @@
         Response::json(200, &body)
     }
 
-    fn txn(&self, body: &[u8], tally: &Tally) -> Response {
+    fn txn(&self, body: &[u8], counters: &Counters) -> Response {
         let mut store = self.store();
         let txn = match store.limits.admit(body) {
             Ok(txn) => txn,
             Err(rejection) => {
-                tally.asked_state(rejection.name(), &[], true);
+                counters.count_state_request(rejection.name(), &[], true);
                 return Response::error(400, rejection.name());
             }
         };
@@ -271,11 +271,11 @@
         let now = self.clock.now();
         let cost = txn.changes.len() as f64;
         if !store.changes.has(now, cost) {
-            tally.asked_state(&name, &purposes, true);
+            counters.count_state_request(&name, &purposes, true);
             return Response::error(429, "too many changes");
         }
         store.changes.take(now, cost);
-        tally.asked_state(&name, &purposes, false);
+        counters.count_state_request(&name, &purposes, false);
         let response = store.apply(&txn);
         drop(store);
         self.changed.notify_all();
--- a/crates/scale/src/standin/users.rs
+++ b/crates/scale/src/standin/users.rs
@@ -1,10 +1,10 @@
 //! Users: they submit at their times, poll, repeat and cancel.
 
 use super::Shared;
+use crate::counters::Counterpart;
 use crate::http::{Client, Exchange};
-use crate::judge::Told;
+use crate::judge::Answer;
 use crate::pipeline::{Pipeline, Pipelines};
-use crate::tally::Counterpart;
 use crate::workload::Plan;
 use hdrhistogram::Histogram;
 use hookworks::ids::JobId;
@@ -35,7 +35,7 @@
 const LONGEST_MS: u64 = 120_000;
 
 #[derive(Clone, Debug, PartialEq)]
-enum Deed {
+enum RequestKind {
     Submit,
     /// A submission that was accepted, once more.
     Repeat,
@@ -44,34 +44,34 @@
 }
 
 #[derive(Clone)]
-struct Action {
+struct UserRequest {
     due: Instant,
-    deed: Deed,
+    kind: RequestKind,
     plan: Arc<Plan>,
     /// When the user first tried.
     first: Instant,
 }
 
-impl PartialEq for Action {
-    fn eq(&self, other: &Action) -> bool {
+impl PartialEq for UserRequest {
+    fn eq(&self, other: &UserRequest) -> bool {
         self.due == other.due
     }
 }
-impl Eq for Action {}
-impl PartialOrd for Action {
-    fn partial_cmp(&self, other: &Action) -> Option<Order> {
+impl Eq for UserRequest {}
+impl PartialOrd for UserRequest {
+    fn partial_cmp(&self, other: &UserRequest) -> Option<Order> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Action {
+impl Ord for UserRequest {
     /// The earliest is the greatest.
-    fn cmp(&self, other: &Action) -> Order {
+    fn cmp(&self, other: &UserRequest) -> Order {
         other.due.cmp(&self.due)
     }
 }
 
 /// What users have seen.
-pub struct Seen {
+pub struct Observations {
     /// Milliseconds from the first attempt to the acceptance.
     pub submissions: Histogram<u64>,
     pub submitted: u64,
@@ -87,22 +87,22 @@
 /// All users of a run.
 pub struct Users {
     shared: Arc<Shared>,
-    actions: Mutex<BinaryHeap<Action>>,
+    queue: Mutex<BinaryHeap<UserRequest>>,
     more: Condvar,
     pipelines: Mutex<Pipelines>,
-    seen: Mutex<Seen>,
+    observations: Mutex<Observations>,
 }
 
 /// A thread's connection to a controller.
 struct Caller {
-    node: usize,
+    controller: usize,
     client: Option<Client>,
 }
 
 impl Users {
     pub fn new(shared: Arc<Shared>) -> Users {
         let submissions = Histogram::new_with_max(LONGEST_MS, 3);
-        let seen = Seen {
+        let observations = Observations {
             submissions: submissions.unwrap_or_else(|_| unreachable!("the bounds are constants")),
             submitted: 0,
             given_up: 0,
@@ -114,19 +114,19 @@
         };
         Users {
             shared,
-            actions: Mutex::default(),
+            queue: Mutex::default(),
             more: Condvar::new(),
             pipelines: Mutex::default(),
-            seen: Mutex::new(seen),
+            observations: Mutex::new(observations),
         }
     }
 
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(|e| e.into_inner())
+    pub fn observations(&self) -> MutexGuard<'_, Observations> {
+        self.observations.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn actions(&self) -> MutexGuard<'_, BinaryHeap<Action>> {
-        self.actions.lock().unwrap_or_else(|e| e.into_inner())
+    fn queue(&self) -> MutexGuard<'_, BinaryHeap<UserRequest>> {
+        self.queue.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     fn pipelines(&self) -> MutexGuard<'_, Pipelines> {
@@ -154,41 +154,46 @@
         }
         for number in 0..AT_A_TIME {
             let users = self.clone();
-            let node = number % users.shared.layout.controllers;
+            let controller = number % users.shared.layout.controllers;
             let thread = std::thread::Builder::new().name("user".into());
-            thread.spawn(move || users.work(Caller { node, client: None }))?;
+            thread.spawn(move || {
+                users.run(Caller {
+                    controller,
+                    client: None,
+                })
+            })?;
         }
         Ok(())
     }
 
-    fn work(&self, mut caller: Caller) {
-        while let Some(action) = self.next() {
-            self.carry_out(&mut caller, action);
+    fn run(&self, mut caller: Caller) {
+        while let Some(request) = self.next() {
+            self.carry_out(&mut caller, request);
         }
     }
 
-    /// The next action that is due; none at the end of the run.
-    fn next(&self) -> Option<Action> {
-        let mut actions = self.actions();
+    /// The next request that is due; none at the end of the run.
+    fn next(&self) -> Option<UserRequest> {
+        let mut queue = self.queue();
         loop {
             if self.shared.stopping() {
                 return None;
             }
             let now = Instant::now();
-            let wait = match actions.peek() {
-                Some(a) if a.due <= now => return actions.pop(),
-                Some(a) => (a.due - now).min(Duration::from_millis(100)),
+            let wait = match queue.peek() {
+                Some(request) if request.due <= now => return queue.pop(),
+                Some(request) => (request.due - now).min(Duration::from_millis(100)),
                 None => Duration::from_millis(100),
             };
-            let waited = self.more.wait_timeout(actions, wait);
-            actions = waited.unwrap_or_else(|e| e.into_inner()).0;
+            let waited = self.more.wait_timeout(queue, wait);
+            queue = waited.unwrap_or_else(|e| e.into_inner()).0;
         }
     }
 
     fn submit_at(&self, due: Instant, plan: Arc<Plan>) {
-        self.actions().push(Action {
+        self.queue().push(UserRequest {
             due,
-            deed: Deed::Submit,
+            kind: RequestKind::Submit,
             plan,
             first: due,
         });
@@ -203,78 +208,80 @@
         }
     }
 
-    fn later(&self, action: &Action, deed: Deed, after: Duration) {
+    fn schedule_after(&self, request: &UserRequest, kind: RequestKind, after: Duration) {
         let now = Instant::now();
-        let first = if deed == action.deed {
-            action.first
+        let first = if kind == request.kind {
+            request.first
         } else {
             now + after
         };
-        self.actions().push(Action {
+        self.queue().push(UserRequest {
             due: now + after,
-            deed,
-            plan: action.plan.clone(),
+            kind,
+            plan: request.plan.clone(),
             first,
         });
         self.more.notify_one();
     }
 
-    fn carry_out(&self, caller: &mut Caller, a: Action) {
-        match a.deed {
-            Deed::Submit | Deed::Repeat => self.submit(caller, &a),
-            Deed::Poll => self.poll(caller, &a),
-            Deed::Cancel => self.cancel(caller, &a),
+    fn carry_out(&self, caller: &mut Caller, request: UserRequest) {
+        match request.kind {
+            RequestKind::Submit | RequestKind::Repeat => self.submit(caller, &request),
+            RequestKind::Poll => self.poll(caller, &request),
+            RequestKind::Cancel => self.cancel(caller, &request),
         }
     }
 
-    fn submit(&self, caller: &mut Caller, a: &Action) {
-        let job = &a.plan.spec.id;
-        let is_first = a.deed == Deed::Submit && a.due == a.first;
+    fn submit(&self, caller: &mut Caller, request: &UserRequest) {
+        let job = &request.plan.spec.id;
+        let is_first = request.kind == RequestKind::Submit && request.due == request.first;
         if is_first {
-            self.shared.judge().submitted(a.first, a.plan.clone());
-            let mut seen = self.seen();
-            seen.submitted += 1;
-            if a.plan.is_urgent() {
-                seen.urgent.push((job.clone(), a.first));
+            self.shared
+                .judge()
+                .submitted(request.first, request.plan.clone());
+            let mut observations = self.observations();
+            observations.submitted += 1;
+            if request.plan.is_urgent() {
+                observations.urgent.push((job.clone(), request.first));
             }
         }
-        let body = a.plan.submission();
+        let body = request.plan.submission();
         let asked = Instant::now();
         let exchange = self.call(caller, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
         let now = Instant::now();
-        let told = told(exchange.as_ref(), &[400, 422]);
-        self.shared.judge().told(asked, now, job, told);
-        match (told, &a.deed) {
-            (Told::State(_), Deed::Submit) => self.accepted(caller, a, now),
-            (Told::State(_), _) => {}
-            (Told::Refused, _) => self.seen().given_up += 1,
-            _ => self.try_again(a, exchange.as_ref()),
+        let answer = answer_of(exchange.as_ref(), &[400, 422]);
+        self.shared.judge().answered(asked, now, job, answer);
+        match (answer, &request.kind) {
+            (Answer::State(_), RequestKind::Submit) => self.accepted(caller, request, now),
+            (Answer::State(_), _) => {}
+            (Answer::Refused, _) => self.observations().given_up += 1,
+            _ => self.try_again(request, exchange.as_ref()),
         }
     }
 
-    fn accepted(&self, caller: &mut Caller, a: &Action, now: Instant) {
-        let took = now.saturating_duration_since(a.first);
+    fn accepted(&self, caller: &mut Caller, request: &UserRequest, now: Instant) {
+        let took = now.saturating_duration_since(request.first);
         let ms = (took.as_millis() as u64).clamp(1, LONGEST_MS);
-        self.seen().submissions.saturating_record(ms);
-        self.later(a, Deed::Poll, POLL_EVERY);
-        if a.plan.repeated {
-            self.later(a, Deed::Repeat, RETRY_AFTER);
+        self.observations().submissions.saturating_record(ms);
+        self.schedule_after(request, RequestKind::Poll, POLL_EVERY);
+        if request.plan.repeated {
+            self.schedule_after(request, RequestKind::Repeat, RETRY_AFTER);
         }
-        if let Some(after) = a.plan.cancel_after {
-            self.later(a, Deed::Cancel, after);
+        if let Some(after) = request.plan.cancel_after {
+            self.schedule_after(request, RequestKind::Cancel, after);
         }
-        let next = self.pipelines().accepted(&a.plan.spec.id);
+        let next = self.pipelines().accepted(&request.plan.spec.id);
         self.submit_now(next);
-        if !a.plan.needs.is_empty() {
-            self.count_needs(caller, &a.plan);
+        if !request.plan.needs.is_empty() {
+            self.count_needs(caller, &request.plan);
         }
     }
 
     fn count_needs(&self, caller: &mut Caller, plan: &Plan) {
         let accepted = {
-            let mut seen = self.seen();
-            seen.accepted_with_needs += 1;
-            seen.accepted_with_needs
+            let mut observations = self.observations();
+            observations.accepted_with_needs += 1;
+            observations.accepted_with_needs
         };
         if accepted % STRAY_NEED_EVERY == 0 {
             self.submit_stray(caller, plan, accepted);
@@ -290,42 +297,47 @@
         let asked = Instant::now();
         let body = stray.submission();
         let exchange = self.call(caller, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
-        let told = told(exchange.as_ref(), &[400, 422]);
+        let answer = answer_of(exchange.as_ref(), &[400, 422]);
         let mut judge = self.shared.judge();
-        judge.told(asked, Instant::now(), &stray.spec.id, told);
+        judge.answered(asked, Instant::now(), &stray.spec.id, answer);
     }
 
-    fn try_again(&self, a: &Action, exchange: Option<&Exchange>) {
-        self.shared.tally.refusals.fetch_add(1, Ordering::Relaxed);
+    fn try_again(&self, request: &UserRequest, exchange: Option<&Exchange>) {
+        self.shared
+            .counters
+            .refusals
+            .fetch_add(1, Ordering::Relaxed);
         let asked_for = exchange.and_then(|e| e.response.retry_after).unwrap_or(1);
         let wait = Duration::from_secs(u64::from(asked_for.min(30))).max(RETRY_AFTER);
-        if Instant::now() + wait > a.first + GIVE_UP {
-            self.seen().given_up += 1;
+        if Instant::now() + wait > request.first + GIVE_UP {
+            self.observations().given_up += 1;
             return;
         }
-        self.later(a, a.deed.clone(), wait);
+        self.schedule_after(request, request.kind.clone(), wait);
     }
 
-    fn poll(&self, caller: &mut Caller, a: &Action) {
-        let job = &a.plan.spec.id;
+    fn poll(&self, caller: &mut Caller, request: &UserRequest) {
+        let job = &request.plan.spec.id;
         let asked = Instant::now();
         let exchange = self.call(caller, "GET", &format!("/v2/runs/{job}"), b"", POLL_TIMEOUT);
-        let told = told(exchange.as_ref(), &[]);
-        self.shared.judge().told(asked, Instant::now(), job, told);
+        let answer = answer_of(exchange.as_ref(), &[]);
+        self.shared
+            .judge()
+            .answered(asked, Instant::now(), job, answer);
         let polls = {
-            let mut seen = self.seen();
-            seen.polls += 1;
-            seen.polls_failed += u64::from(told == Told::Nothing);
-            seen.polls
+            let mut observations = self.observations();
+            observations.polls += 1;
+            observations.polls_failed += u64::from(answer == Answer::Missing);
+            observations.polls
         };
         if polls % STRAY_EVERY == 0 {
             self.stray(caller, polls);
         }
-        if matches!(told, Told::State(JobState::Done | JobState::Cancelled)) {
+        if matches!(answer, Answer::State(JobState::Done | JobState::Cancelled)) {
             let next = self.pipelines().over(job);
             self.submit_now(next);
         } else {
-            self.later(a, Deed::Poll, POLL_EVERY);
+            self.schedule_after(request, RequestKind::Poll, POLL_EVERY);
         }
     }
 
@@ -334,21 +346,25 @@
         let job = stray_job(number);
         let asked = Instant::now();
         let exchange = self.call(caller, "GET", &format!("/v2/runs/{job}"), b"", POLL_TIMEOUT);
-        let told = told(exchange.as_ref(), &[]);
-        self.shared.judge().told(asked, Instant::now(), &job, told);
+        let answer = answer_of(exchange.as_ref(), &[]);
+        self.shared
+            .judge()
+            .answered(asked, Instant::now(), &job, answer);
     }
 
-    fn cancel(&self, caller: &mut Caller, a: &Action) {
-        let job = &a.plan.spec.id;
+    fn cancel(&self, caller: &mut Caller, request: &UserRequest) {
+        let job = &request.plan.spec.id;
         self.shared.judge().asked_to_cancel(job);
         let asked = Instant::now();
         let path = format!("/v2/runs/{job}/abort");
         let exchange = self.call(caller, "POST", &path, b"", SUBMIT_TIMEOUT);
-        let told = told(exchange.as_ref(), &[]);
-        self.shared.judge().told(asked, Instant::now(), job, told);
-        match told {
-            Told::State(_) => self.seen().cancelled += 1,
-            _ => self.try_again(a, exchange.as_ref()),
+        let answer = answer_of(exchange.as_ref(), &[]);
+        self.shared
+            .judge()
+            .answered(asked, Instant::now(), job, answer);
+        match answer {
+            Answer::State(_) => self.observations().cancelled += 1,
+            _ => self.try_again(request, exchange.as_ref()),
         }
     }
 
@@ -362,30 +378,32 @@
     ) -> Option<Exchange> {
         for _ in 0..TRIES {
             if caller.client.is_none() {
-                let address = self.shared.layout.controller(caller.node);
+                let address = self.shared.layout.controller(caller.controller);
                 caller.client = Client::connect(address, CONNECT_TIMEOUT).ok();
             }
             if let Some(client) = caller.client.as_mut() {
                 let exchange = client.call(method, path, body, timeout).ok();
                 if let Some(e) = &exchange {
                     let with = Counterpart::Users;
-                    self.shared.tally.add(caller.node, with, e.sent, e.received);
+                    self.shared
+                        .counters
+                        .add(caller.controller, with, e.sent, e.received);
                 }
                 if exchange.as_ref().is_none_or(|e| e.response.close) {
-                    caller.move_on(self.shared.layout.controllers);
+                    caller.next_controller(self.shared.layout.controllers);
                 }
                 return exchange;
             }
-            caller.move_on(self.shared.layout.controllers);
+            caller.next_controller(self.shared.layout.controllers);
         }
         None
     }
 }
 
 impl Caller {
-    fn move_on(&mut self, controllers: usize) {
+    fn next_controller(&mut self, controllers: usize) {
         self.client = None;
-        self.node = (self.node + 1) % controllers;
+        self.controller = (self.controller + 1) % controllers;
     }
 }
 
@@ -394,17 +412,17 @@
     JobId::from(format!("job-9{number:08}").as_str())
 }
 
-fn told(exchange: Option<&Exchange>, refusals: &[u16]) -> Told {
+fn answer_of(exchange: Option<&Exchange>, refusals: &[u16]) -> Answer {
     let Some(e) = exchange else {
-        return Told::Nothing;
+        return Answer::Missing;
     };
     match e.response.status {
         200 | 201 => match serde_json::from_slice::<JobView>(&e.response.body) {
-            Ok(view) => Told::State(view.state),
-            Err(_) => Told::Nothing,
+            Ok(view) => Answer::State(view.state),
+            Err(_) => Answer::Missing,
         },
-        404 => Told::NotFound,
-        status if refusals.contains(&status) => Told::Refused,
-        _ => Told::Nothing,
+        404 => Answer::NotFound,
+        status if refusals.contains(&status) => Answer::Refused,
+        _ => Answer::Missing,
     }
 }
--- a/crates/scale/src/standin/workers.rs
+++ b/crates/scale/src/standin/workers.rs
@@ -4,7 +4,7 @@
 use super::Shared;
 use super::commands::Inbound;
 use super::reports::Worker;
-use crate::machine::{Machine, Place, Rhythm, World};
+use crate::machine::{Context, Heartbeat, Machine, Place};
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -34,7 +34,7 @@
 /// A thread with its share of the workers.
 struct Shard {
     shared: Arc<Shared>,
-    rhythm: Rhythm,
+    heartbeat: Heartbeat,
     poll: Poll,
     rng: StdRng,
     workers: Vec<Option<Worker>>,
@@ -63,7 +63,7 @@
     /// When the system gives no thread or no poll.
     pub fn start(
         shared: &Arc<Shared>,
-        rhythm: Rhythm,
+        heartbeat: Heartbeat,
         threads: usize,
         seed: u64,
     ) -> std::io::Result<(Workers, Vec<JoinHandle<()>>)> {
@@ -75,7 +75,7 @@
             let (send, commands) = unbounded();
             let mut shard = Shard {
                 shared: shared.clone(),
-                rhythm,
+                heartbeat,
                 poll,
                 rng: StdRng::seed_from_u64(seed.wrapping_add(number as u64)),
                 workers: vec![],
@@ -137,15 +137,15 @@
             if polled.is_err_and(|e| e.kind() != ErrorKind::Interrupted) {
                 return;
             }
-            self.obey();
+            self.carry_out_commands();
             for event in &events {
-                self.happened(event.token());
+                self.handle_event(event.token());
             }
             self.wake_due();
         }
     }
 
-    fn obey(&mut self) {
+    fn carry_out_commands(&mut self) {
         while let Ok(command) = self.commands.try_recv() {
             match command {
                 Command::Add(number, place, listener) => self.add(number, *place, listener),
@@ -169,11 +169,15 @@
         if registered.is_err() {
             return;
         }
-        let first = now + self.rhythm.report.mul_f64(self.rng.random_range(0.0..1.0));
+        let first = now
+            + self
+                .heartbeat
+                .interval
+                .mul_f64(self.rng.random_range(0.0..1.0));
         let worker = Worker {
-            machine: Machine::new(place, self.rhythm, now, first),
+            machine: Machine::new(place, self.heartbeat, now, first),
             listener,
-            node: number % self.shared.layout.controllers,
+            controller: number % self.shared.layout.controllers,
             not_before: now,
             again: false,
             connection: None,
@@ -194,21 +198,21 @@
         };
         let mut judge = self.shared.judge();
         let now = Instant::now();
-        worker.machine.forget_all(&mut World {
+        worker.machine.forget_all(&mut Context {
             now,
             judge: &mut judge,
         });
         drop(judge);
         let lost = worker.machine.lost;
         self.shared
-            .tally
+            .counters
             .lost_tasks
             .fetch_add(lost, Ordering::Relaxed);
         let _ = self.poll.registry().deregister(&mut worker.listener);
         self.inbound.retain(|_, i| Some(i.slot) != slot);
     }
 
-    fn happened(&mut self, token: Token) {
+    fn handle_event(&mut self, token: Token) {
         if token == WAKE {
             return;
         }
--- a/crates/scale/src/workload.rs
+++ b/crates/scale/src/workload.rs
@@ -154,12 +154,12 @@
 /// All jobs of a run that need no others, in the order of their arrival:
 /// `starts` tasks a second in jobs of `job_tasks`, and `urgent` jobs of one task
 /// a second.
-pub fn plans(o: &RunOptions) -> Vec<Plan> {
-    let mut rng = StdRng::seed_from_u64(o.seed);
-    let ordinary = (o.starts - o.urgent).max(0.0) / f64::from(o.job_tasks);
-    let times = arrivals(&mut rng, ordinary, o.length_s);
+pub fn plans(options: &RunOptions) -> Vec<Plan> {
+    let mut rng = StdRng::seed_from_u64(options.seed);
+    let ordinary = (options.starts - options.urgent).max(0.0) / f64::from(options.job_tasks);
+    let times = arrivals(&mut rng, ordinary, options.length_s);
     let mut all: Vec<(f64, bool)> = times.into_iter().map(|t| (t, false)).collect();
-    let urgent = arrivals(&mut rng, o.urgent, o.length_s);
+    let urgent = arrivals(&mut rng, options.urgent, options.length_s);
     all.extend(urgent.into_iter().map(|t| (t, true)));
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
     let numbered = all.into_iter().enumerate();
@@ -167,8 +167,8 @@
         .map(|(number, (at, urgent))| {
             let id = JobId::from(format!("job-{number:06}").as_str());
             let plan = match urgent {
-                true => draw_urgent(&mut rng, o, id),
-                false => draw_ordinary(&mut rng, o, id),
+                true => draw_urgent(&mut rng, options, id),
+                false => draw_ordinary(&mut rng, options, id),
             };
             Plan {
                 at: Duration::from_secs_f64(at),
@@ -178,26 +178,26 @@
         .collect()
 }
 
-fn draw_urgent(rng: &mut StdRng, o: &RunOptions, id: JobId) -> Plan {
+fn draw_urgent(rng: &mut StdRng, options: &RunOptions, id: JobId) -> Plan {
     let draft = Draft {
         id,
         class: URGENT,
         priority: Priority::High,
         tasks: 1,
-        run_s: random_run_s(rng, o.run_s),
+        run_s: random_run_s(rng, options.run_s),
         deadline_s: None,
     };
-    draft.draw(rng, o.teams, 0.0, o.run_s)
+    draft.draw(rng, options.teams, 0.0, options.run_s)
 }
 
-fn draw_ordinary(rng: &mut StdRng, o: &RunOptions, id: JobId) -> Plan {
+fn draw_ordinary(rng: &mut StdRng, options: &RunOptions, id: JobId) -> Plan {
     let draft = Draft {
         id,
         class: ORDINARY,
         priority: Priority::Normal,
-        tasks: o.job_tasks,
-        run_s: random_run_s(rng, o.run_s),
+        tasks: options.job_tasks,
+        run_s: random_run_s(rng, options.run_s),
         deadline_s: None,
     };
-    draft.draw(rng, o.teams, o.cancelled, o.run_s)
+    draft.draw(rng, options.teams, options.cancelled, options.run_s)
 }
--- a/crates/scale/tests/dependencies.rs
+++ b/crates/scale/tests/dependencies.rs
@@ -5,9 +5,9 @@
 use hookworks::ids::{Attempt, Host, JobId, Session, TaskId, TaskIx, Token, Zone};
 use hookworks::wire::user::JobState;
 use hookworks::wire::worker::{Order, Orders};
-use hookworks_scale::judge::{Judge, Rule, Told};
+use hookworks_scale::judge::{Answer, Judge, Rule};
 use hookworks_scale::layout::Layout;
-use hookworks_scale::machine::{Machine, Rhythm, World};
+use hookworks_scale::machine::{Context, Heartbeat, Machine};
 use hookworks_scale::options::RunOptions;
 use hookworks_scale::pipeline::{Pipeline, PipelineFigures, pipelines};
 use hookworks_scale::place;
@@ -71,7 +71,7 @@
 
     fn told(&mut self, second: u64, number: usize, state: JobState) {
         let (at, job) = (self.at(second), self.job(number));
-        self.judge.told(at, at, &job, Told::State(state));
+        self.judge.answered(at, at, &job, Answer::State(state));
     }
 
     fn cancelled(&mut self, second: u64, number: usize) {
@@ -142,12 +142,12 @@
 #[test]
 fn a_command_past_the_controllers_is_noticed_as_too_early() {
     let mut s = Story::new();
-    let rhythm = Rhythm {
-        report: Duration::from_secs(5),
+    let heartbeat = Heartbeat {
+        interval: Duration::from_secs(5),
         lease: Duration::from_secs(26),
     };
     let place = place(&Layout::new(&options()), 1, 0);
-    let mut machine = Machine::new(place, rhythm, s.start, s.start);
+    let mut machine = Machine::new(place, heartbeat, s.start, s.start);
     let run = Order::Run {
         task: s.task(LAST),
         attempt: Attempt(1),
@@ -157,13 +157,13 @@
         session: Session(1),
         orders: vec![run],
     };
-    let mut world = World {
+    let mut context = Context {
         now: s.start,
         judge: &mut s.judge,
     };
-    assert!(machine.commanded(&mut world, &orders));
-    world.now += Duration::from_secs(1);
-    machine.pass_time(&mut world);
+    assert!(machine.commanded(&mut context, &orders));
+    context.now += Duration::from_secs(1);
+    machine.pass_time(&mut context);
     assert_eq!(s.broken(2), [Rule::TooEarly]);
 }
 
@@ -221,7 +221,7 @@
         plan.needs = needs;
         let at = s.at(20);
         s.judge.submitted(at, Arc::new(plan.clone()));
-        s.judge.told(at, at, &plan.spec.id, Told::Refused);
+        s.judge.answered(at, at, &plan.spec.id, Answer::Refused);
         assert_eq!(s.broken(21), expected);
     }
 }
--- a/crates/scale/tests/judge.rs
+++ b/crates/scale/tests/judge.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use hookworks::ids::{Host, JobId, TaskId, TaskIx, Team, Zone};
 use hookworks::wire::user::JobState;
-use hookworks_scale::judge::{Judge, Rule, Told};
+use hookworks_scale::judge::{Answer, Judge, Rule};
 use hookworks_scale::options::RunOptions;
 use hookworks_scale::workload::{self, Plan};
 use std::collections::HashMap;
@@ -41,7 +41,7 @@
         let job = plan.spec.id.clone();
         judge.submitted(start, Arc::new(plan));
         let mut story = Story { start, judge, job };
-        story.told(0, Told::State(JobState::Queued));
+        story.told(0, Answer::State(JobState::Queued));
         story
     }
 
@@ -56,9 +56,9 @@
         }
     }
 
-    fn told(&mut self, second: u64, told: Told) {
+    fn told(&mut self, second: u64, told: Answer) {
         let at = self.at(second);
-        self.judge.told(at, at, &self.job.clone(), told);
+        self.judge.answered(at, at, &self.job.clone(), told);
     }
 
     fn started(&mut self, second: u64, task: u32, host: &str) {
@@ -87,8 +87,8 @@
     s.started(6, 0, "n-2");
     s.gone(9, 0, "n-2", true);
     s.gone(9, 1, "n-1", true);
-    s.told(10, Told::State(JobState::Done));
-    s.told(20, Told::State(JobState::Done));
+    s.told(10, Answer::State(JobState::Done));
+    s.told(20, Answer::State(JobState::Done));
     assert_eq!(s.broken(100), []);
 }
 
@@ -127,21 +127,21 @@
     let mut s = Story::new();
     s.started(1, 0, "n-1");
     s.judge.asked_to_cancel(&s.job.clone());
-    s.told(10, Told::State(JobState::Cancelled));
+    s.told(10, Answer::State(JobState::Cancelled));
     assert_eq!(s.broken(59), []);
     assert_eq!(s.broken(61), [Rule::RanCancelled]);
     let mut s = Story::new();
     s.started(1, 0, "n-1");
     s.gone(2, 0, "n-1", false);
     s.judge.asked_to_cancel(&s.job.clone());
-    s.told(10, Told::State(JobState::Cancelled));
+    s.told(10, Answer::State(JobState::Cancelled));
     s.started(62, 1, "n-1");
     assert_eq!(s.broken(62), [Rule::RanCancelled]);
 }
 
 #[test]
 fn an_accepted_job_that_is_not_found_or_refused_is_forgotten() {
-    for told in [Told::NotFound, Told::Refused] {
+    for told in [Answer::NotFound, Answer::Refused] {
         let mut s = Story::new();
         s.started(1, 0, "n-1");
         s.told(5, told);
@@ -154,10 +154,10 @@
     let mut s = Story::new();
     s.started(1, 0, "n-1");
     for second in 1..20 {
-        s.told(second, Told::State(JobState::Running));
+        s.told(second, Answer::State(JobState::Running));
     }
-    s.told(30, Told::Nothing);
-    s.told(100, Told::Nothing);
+    s.told(30, Answer::Missing);
+    s.told(100, Answer::Missing);
     assert_eq!(s.broken(119), []);
     assert_eq!(s.broken(121), [Rule::Forgotten]);
 }
@@ -168,13 +168,13 @@
     s.started(1, 0, "n-1");
     s.gone(1, 0, "n-1", false);
     s.judge.asked_to_cancel(&s.job.clone());
-    s.told(10, Told::State(JobState::Cancelled));
+    s.told(10, Answer::State(JobState::Cancelled));
     let (asked, now) = (s.at(9), s.at(11));
     let job = s.job.clone();
     s.judge
-        .told(asked, now, &job, Told::State(JobState::Running));
+        .answered(asked, now, &job, Answer::State(JobState::Running));
     assert_eq!(s.broken(12), []);
-    s.told(12, Told::State(JobState::Running));
+    s.told(12, Answer::State(JobState::Running));
     assert_eq!(s.broken(13), [Rule::WentBack]);
 }
 
@@ -183,7 +183,7 @@
     let mut s = Story::new();
     s.started(1, 0, "n-1");
     s.gone(1, 0, "n-1", false);
-    s.told(10, Told::State(JobState::Cancelled));
+    s.told(10, Answer::State(JobState::Cancelled));
     assert_eq!(s.broken(12), [Rule::WentBack]);
 }
 
@@ -192,7 +192,7 @@
     let mut s = Story::new();
     s.started(1, 0, "n-1");
     s.gone(5, 0, "n-1", true);
-    s.told(6, Told::State(JobState::Done));
+    s.told(6, Answer::State(JobState::Done));
     assert_eq!(s.broken(7), [Rule::NotDone]);
 }
 
@@ -201,9 +201,10 @@
     let mut s = Story::new();
     s.started(1, 0, "n-1");
     let (at, stray) = (s.at(2), JobId::from("job-999"));
-    s.judge.told(at, at, &stray, Told::NotFound);
+    s.judge.answered(at, at, &stray, Answer::NotFound);
     assert_eq!(s.broken(3), []);
-    s.judge.told(at, at, &stray, Told::State(JobState::Queued));
+    s.judge
+        .answered(at, at, &stray, Answer::State(JobState::Queued));
     assert_eq!(s.broken(3), [Rule::Invented]);
 }
 
--- a/crates/scale/tests/machine.rs
+++ b/crates/scale/tests/machine.rs
@@ -5,7 +5,7 @@
 use hookworks::wire::worker::{Cause, Order, Orders, Report, ReportAnswer, TaskState};
 use hookworks_scale::judge::Judge;
 use hookworks_scale::layout::Layout;
-use hookworks_scale::machine::{Machine, Rhythm, World};
+use hookworks_scale::machine::{Context, Heartbeat, Machine};
 use hookworks_scale::options::RunOptions;
 use hookworks_scale::place;
 use hookworks_scale::workload;
@@ -34,11 +34,11 @@
         let plan = workload::plans(&o).remove(0);
         let job = plan.spec.id.clone();
         judge.submitted(start, Arc::new(plan));
-        let rhythm = Rhythm {
-            report: Duration::from_secs(5),
+        let heartbeat = Heartbeat {
+            interval: Duration::from_secs(5),
             lease: Duration::from_secs(26),
         };
-        let machine = Machine::new(place(&Layout::new(&o), 1, 0), rhythm, start, start);
+        let machine = Machine::new(place(&Layout::new(&o), 1, 0), heartbeat, start, start);
         Story {
             start,
             judge,
@@ -54,11 +54,11 @@
             session: Session(1),
             orders,
         };
-        let mut world = World {
+        let mut context = Context {
             now,
             judge: &mut self.judge,
         };
-        self.machine.commanded(&mut world, &orders)
+        self.machine.commanded(&mut context, &orders)
     }
 
     fn run(&self, number: u32) -> Order {
@@ -77,7 +77,7 @@
 
     fn at(&mut self, second: u64) -> Report {
         let now = self.start + Duration::from_secs(second);
-        self.machine.pass_time(&mut World {
+        self.machine.pass_time(&mut Context {
             now,
             judge: &mut self.judge,
         });
@@ -139,7 +139,7 @@
     };
     let now = s.start + Duration::from_secs(20);
     s.machine.answered(
-        &mut World {
+        &mut Context {
             now,
             judge: &mut s.judge,
         },
--- a/crates/scale/tests/state_limits.rs
+++ b/crates/scale/tests/state_limits.rs
@@ -2,10 +2,10 @@
 
 use clap::Parser;
 use hookworks_scale::controllers::settings;
+use hookworks_scale::counters::Counters;
 use hookworks_scale::http::Request;
 use hookworks_scale::layout::Layout;
 use hookworks_scale::options::{BadInput, RunOptions};
-use hookworks_scale::tally::Tally;
 use hookworks_scale::{Limits, StateService};
 use serde_json::{Value, json};
 
@@ -24,14 +24,14 @@
 
 struct Story {
     service: StateService,
-    tally: Tally,
+    counters: Counters,
 }
 
 impl Story {
     fn new(o: &RunOptions) -> Story {
         Story {
             service: StateService::new(Limits::at_start(o)),
-            tally: Tally::new(1),
+            counters: Counters::new(1),
         }
     }
 
@@ -53,7 +53,7 @@
             body: body.to_string().into_bytes(),
             close: false,
         };
-        let response = self.service.answer(&request, &self.tally);
+        let response = self.service.answer(&request, &self.counters);
         (
             response.status,
             serde_json::from_slice(&response.body).unwrap(),
@@ -72,7 +72,7 @@
     assert_eq!(story.put(1, 2049), 400);
     assert_eq!(story.put(4, 100), 200);
     assert_eq!(story.put(5, 100), 400);
-    let refused = |name: &str| story.tally.state()[name].refused;
+    let refused = |name: &str| story.counters.state()[name].refused;
     assert_eq!(
         (refused("value too large"), refused("too many operations")),
         (1, 1)
