--- a/crates/job-lifecycle/src/history.rs
+++ b/crates/job-lifecycle/src/history.rs
@@ -115,7 +115,8 @@
         }
         match self.entries.back_mut() {
             Some(last) if last.what == what => {
-                last.to = at;
+                // The next leader's clock may be behind.
+                last.to = last.to.max(at);
                 last.times += 1;
             }
             _ => {
--- a/crates/job-lifecycle/tests/history.rs
+++ b/crates/job-lifecycle/tests/history.rs
@@ -56,3 +56,15 @@
     assert_eq!((h.count(JobEvent::Done), h.entries().count()), (4, 1));
     assert!(History::decode(WallMillis(0), &serde_json::json!({"c":"no"})).is_none());
 }
+
+/// The next leader's time of day was a little earlier: a record can't be written with
+/// an entry that ends before it begins.
+#[test]
+fn a_clock_that_is_behind_ends_no_entry_before_its_beginning() {
+    let mut h = History::new(WallMillis(1_000));
+    h.note(JobEvent::Started, WallMillis(5_000));
+    h.note(JobEvent::Started, WallMillis(4_900));
+    let back = History::decode(WallMillis(1_000), &h.encode(4096)).unwrap();
+    assert_eq!(back, h);
+    assert!(h.entries().all(|e| e.to >= e.from && e.times == 2));
+}
--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -74,11 +74,7 @@
         });
         if let Role::Leader(t) = &mut self.role {
             v["scheduler"] = t.sched.overview(now);
-            let (changes, requests) = t.commit.budgets_used(now);
-            v["store"] = serde_json::json!({
-                "changes_used": changes, "requests_used": requests,
-                "transactions": t.commit.under_way(),
-            });
+            v["store"] = t.commit.overview(now);
         }
         v
     }
--- a/src/node/load.rs
+++ b/src/node/load.rs
@@ -6,7 +6,8 @@
 use crate::sched::job::Job;
 use crate::settings::Settings;
 use crate::store::client::{ReadError, State};
-use crate::store::{FENCES, LIVE, PARTS, StateClient};
+use crate::store::pieces::Pieces;
+use crate::store::{FENCES, LIVE, PARTS, PIECES, StateClient};
 use crate::time::{Clock, Time, Wall, wall};
 use crate::wire::state::Item;
 use crate::wire::user::JobState;
@@ -76,9 +77,11 @@
         unreadable: BTreeMap::new(),
         fences: None,
     };
+    let pieces = Pieces::new(all(state, PIECES)?);
     for i in all(state, LIVE)? {
         let id = JobId::from(i.key.trim_start_matches(LIVE));
-        match Job::decode(&i.value, now, wall) {
+        let whole = pieces.join(&id, 0, &i);
+        match whole.and_then(|v| Job::decode(&v, now, wall)) {
             Some(j) if *j.id() == id => {
                 l.stamps.push((i.key, i.stamp));
                 jobs.insert(id, j);
@@ -102,16 +105,18 @@
             l.litter.push((i.key, i.stamp));
             continue;
         };
-        let read = part
-            .parse()
-            .ok()
-            .and_then(|p| j.decode_part(p, &i.value, now, wall));
+        let part = part.parse().ok();
+        let whole = part.and_then(|p| Some((p, pieces.join(&id, p, &i)?)));
+        let read = whole.and_then(|(p, v)| j.decode_part(p, &v, now, wall));
         if read.is_none() {
             tracing::error!(key = %i.key, "a record can't be read; its tasks start anew later");
             j.damaged = true;
         }
         l.stamps.push((i.key, i.stamp));
     }
+    let (stamps, litter) = pieces.sort(|id| jobs.contains_key(id), &l.unreadable);
+    l.stamps.extend(stamps);
+    l.litter.extend(litter);
     if let Some(i) = state.get(FENCES)? {
         l.fences = serde_json::from_value(i.value).ok();
         l.stamps.push((i.key, i.stamp));
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -1,8 +1,10 @@
 //! Whether a submission can be taken: what is refused, and as what.
 
-use super::job::{Job, LATER, part_size};
+use super::job::{Job, LATER, compact_part_size, part_size};
 use super::{Room, Sched};
 use crate::ids::Zone;
+use crate::store::RecordFormat;
+use crate::store::limits::VALUE_MARGIN;
 use crate::time::Time;
 use crate::wire::cloud::Flavor;
 use crate::wire::peer::Answer;
@@ -64,12 +66,29 @@
     }
 
     pub(super) fn new_job(&self, now: Time, spec: JobSpec) -> Job {
-        let size = part_size(self.cfg.value_kb);
+        let size = match self.record_format {
+            RecordFormat::Legacy => part_size(self.cfg.value_kb),
+            RecordFormat::Compact => compact_part_size(self.smallest_value()),
+        };
         Job::new(spec, self.next_seq, now, self.wall, size)
     }
 
-    /// The state service would not take the job's first record.
+    /// Bytes of the smallest value that is known to come.
+    fn smallest_value(&self) -> usize {
+        let kb = self.cfg.value_kb.min(self.cfg.smallest.value_kb);
+        ((kb * 1024.0) as usize).saturating_sub(VALUE_MARGIN)
+    }
+
+    /// The state service would not take the job's first record, now or under the
+    /// smaller limits of later.
     pub(super) fn too_large(&self, job: &Job) -> bool {
+        let values = self.cfg.smallest.txn_ops;
+        if job.most_values(self.smallest_value()) > values {
+            return true;
+        }
+        if self.record_format == RecordFormat::Compact {
+            return false;
+        }
         let size = part_size(self.cfg.value_kb);
         let room = (self.cfg.value_kb * 1024.0) as usize;
         let first = job.encode(0).to_string().len() + LATER;
--- a/src/sched/fences.rs
+++ b/src/sched/fences.rs
@@ -24,6 +24,19 @@
     pub since: BTreeMap<Zone, u64>,
 }
 
+impl FenceRecord {
+    /// As many zones as so many bytes hold. Nothing is known of one that is left
+    /// out, so that the next leader waits for its leases from its own beginning.
+    pub fn within(mut self, bytes: usize) -> FenceRecord {
+        while self.since.len() > 1
+            && serde_json::to_string(&self).is_ok_and(|text| text.len() > bytes)
+        {
+            self.since.pop_last();
+        }
+        self
+    }
+}
+
 /// What is on record, what is to be, and what earlier terms left.
 #[derive(Default)]
 pub struct Fences {
--- a/src/sched/job/mod.rs
+++ b/src/sched/job/mod.rs
@@ -1,8 +1,9 @@
 //! A job and its tasks.
 
+pub mod compact;
 mod record;
 
-pub use record::{LATER, part_size};
+pub use record::{LATER, compact_part_size, part_size};
 
 use super::places::Place;
 use super::records::Purpose;
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -133,6 +133,8 @@
     pub teams: Vec<crate::settings::TeamLimit>,
     pub objectives: Vec<crate::settings::Objective>,
     pub value_kb: f64,
+    /// The smallest limits that the state service is known to have at some time.
+    pub smallest: crate::settings::LimitValues,
     /// Finished jobs read one by one for whoever wants to see them, a second.
     pub look_ups: f64,
     pub leader_lease: Span,
@@ -168,6 +170,7 @@
             teams: s.platform.params.teams.clone(),
             objectives: s.platform.params.objectives.clone(),
             value_kb: s.platform.params.state.value_kb,
+            smallest: s.platform.params.state.smallest(),
             look_ups: s.platform.params.state.rps * LOOK_UPS,
             leader_lease: Span::secs(s.tuning.leader_lease_s),
             pass_every: Span::secs(s.tuning.pass_ms / 1000.0),
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -40,8 +40,11 @@
 ];
 /// Share of the write budget that must be left for each purpose.
 const RESERVE: [f64; 4] = [0.0, 0.25, 0.3, 0.5];
-/// Progress waits so long, since more of the same record may come.
+/// Progress waits so long, since more of the same record may come; and so long where
+/// less than this share of the write budget is left.
 const GATHER: Span = Span(1_000_000);
+const GATHER_WHEN_SHORT: Span = Span(3_000_000);
+const SHORT: f64 = 0.8;
 /// The end of a job waits no longer than that for starts of others.
 const END_WITHIN: Span = Span(1_500_000);
 
@@ -77,9 +80,14 @@
         if self.queues[end].front().is_some_and(old) {
             return self.queues[end].pop_front();
         }
+        let gather = if left < SHORT {
+            GATHER_WHEN_SHORT
+        } else {
+            GATHER
+        };
         for p in PURPOSES {
             let q = &mut self.queues[p as usize];
-            let gathers = |d: &Dirty| p == Purpose::Progress && now - d.since < GATHER;
+            let gathers = |d: &Dirty| p == Purpose::Progress && now - d.since < gather;
             if left >= RESERVE[p as usize] && q.front().is_some_and(|d| !gathers(d)) {
                 return q.pop_front();
             }
@@ -246,7 +254,7 @@
     }
 
     /// Users need not wait for a state service that refuses: a retry is safe.
-    pub(super) fn not_stored(&mut self, id: &JobId) {
+    pub(crate) fn not_stored(&mut self, id: &JobId) {
         let waiters = match self.jobs.get_mut(id) {
             Some(j) => std::mem::take(&mut j.waiters),
             None => return,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -10,7 +10,10 @@
 
 pub use classes::Classes;
 pub use connections::Connections;
-pub use platform::{Limits, Objective, Params, Platform, Seed, StateLimits, TeamLimit, Workers};
+pub use platform::{
+    LimitValues, Limits, NextLimits, Objective, Params, Platform, Seed, StateLimits, TeamLimit,
+    Workers,
+};
 pub use served::ServedLimits;
 pub use sizes::Sizes;
 pub use tuning::Tuning;
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -90,6 +90,103 @@
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
+    /// What will hold from some later moment on, without further notice.
+    #[serde(default)]
+    pub next: Option<NextLimits>,
+}
+
+/// Limits of the state service from some later moment on; what is absent stays.
+#[derive(Clone, Debug, Default, Deserialize)]
+pub struct NextLimits {
+    #[serde(default)]
+    pub rps: Option<f64>,
+    #[serde(default)]
+    pub write_rps: Option<f64>,
+    #[serde(default)]
+    pub value_kb: Option<f64>,
+    #[serde(default)]
+    pub txn_ops: Option<usize>,
+}
+
+/// Limits of the state service that hold at some time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LimitValues {
+    pub rps: f64,
+    pub write_rps: f64,
+    pub value_kb: f64,
+    pub txn_ops: usize,
+}
+
+impl LimitValues {
+    pub fn value_bytes(&self) -> usize {
+        (self.value_kb * 1024.0) as usize
+    }
+
+    /// The smaller of each.
+    pub fn min(&self, other: &LimitValues) -> LimitValues {
+        LimitValues {
+            rps: self.rps.min(other.rps),
+            write_rps: self.write_rps.min(other.write_rps),
+            value_kb: self.value_kb.min(other.value_kb),
+            txn_ops: self.txn_ops.min(other.txn_ops),
+        }
+    }
+}
+
+impl StateLimits {
+    pub fn now(&self) -> LimitValues {
+        LimitValues {
+            rps: self.rps,
+            write_rps: self.write_rps,
+            value_kb: self.value_kb,
+            txn_ops: self.txn_ops,
+        }
+    }
+
+    /// The limits of later, if any are announced.
+    pub fn announced(&self) -> Option<LimitValues> {
+        let next = self.next.as_ref()?;
+        Some(LimitValues {
+            rps: next.rps.unwrap_or(self.rps),
+            write_rps: next.write_rps.unwrap_or(self.write_rps),
+            value_kb: next.value_kb.unwrap_or(self.value_kb),
+            txn_ops: next.txn_ops.unwrap_or(self.txn_ops),
+        })
+    }
+
+    /// The smallest limits that are known to come.
+    pub fn smallest(&self) -> LimitValues {
+        let now = self.now();
+        self.announced().map_or(now, |next| now.min(&next))
+    }
+
+    /// The first field that no controller can work with, and what it must be.
+    fn invalid(&self) -> Option<(String, String)> {
+        let sets = [("", Some(self.now())), ("next.", self.announced())];
+        for (of, limits) in sets {
+            let Some(l) = limits else { continue };
+            let positive = [
+                ("rps", l.rps),
+                ("write_rps", l.write_rps),
+                ("value_kb", l.value_kb),
+            ];
+            let named = |field: &str| format!("params.state.{of}{field}");
+            for (field, v) in positive {
+                if !(v.is_finite() && v > 0.0) {
+                    return Some((named(field), "must be above 0".into()));
+                }
+            }
+            if l.txn_ops < MIN_TXN_OPS {
+                let why = format!("must be at least {MIN_TXN_OPS}");
+                return Some((named("txn_ops"), why));
+            }
+            if l.value_kb < MIN_VALUE_KB {
+                let why = format!("must be at least {MIN_VALUE_KB}, or no job fits");
+                return Some((named("value_kb"), why));
+            }
+        }
+        None
+    }
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -116,6 +213,8 @@
 const MIN_CONNECTIONS: usize = 64;
 /// A job's description with a few tasks takes this much.
 const MIN_VALUE_KB: f64 = 2.0;
+/// The end of a large job changes two records, and a large record takes four values.
+const MIN_TXN_OPS: usize = 4;
 
 impl Platform {
     /// The other controllers and their zones.
@@ -137,9 +236,6 @@
             ("params.workers.report_s", p.params.workers.report_s),
             ("params.workers.lease_s", p.params.workers.lease_s),
             ("params.workers.cancel_s", p.params.workers.cancel_s),
-            ("params.state.rps", p.params.state.rps),
-            ("params.state.write_rps", p.params.state.write_rps),
-            ("params.state.value_kb", p.params.state.value_kb),
             ("params.cloud.rps", p.params.cloud.rps),
         ];
         for (field, v) in positive {
@@ -147,8 +243,8 @@
                 return Err(bad(file, field, "must be above 0"));
             }
         }
-        if p.params.state.txn_ops < 4 {
-            return Err(bad(file, "params.state.txn_ops", "must be at least 4"));
+        if let Some((field, why)) = p.params.state.invalid() {
+            return Err(bad(file, &field, &why));
         }
         if p.machine_limits_too_low() {
             return Err(bad(
@@ -157,13 +253,6 @@
                 &format!("must be at least {MIN_CONNECTIONS}"),
             ));
         }
-        if p.params.state.value_kb < MIN_VALUE_KB {
-            return Err(bad(
-                file,
-                "params.state.value_kb",
-                &format!("must be at least {MIN_VALUE_KB}, or no job fits"),
-            ));
-        }
         let least = p.params.workers.lease_bound();
         if Span::secs(p.params.workers.cancel_s) < least {
             return Err(bad(
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -39,4 +39,23 @@
         self.refill(now);
         self.have
     }
+
+    /// The most that it ever holds.
+    pub fn burst(&self) -> f64 {
+        self.burst
+    }
+
+    /// Nothing is left.
+    pub fn empty(&mut self, now: Time) {
+        self.refill(now);
+        self.have = self.have.min(0.0);
+    }
+
+    /// Refills as another one does from now on, with no more than is left.
+    pub fn change_to(&mut self, now: Time, other: Budget) {
+        self.refill(now);
+        self.rate = other.rate;
+        self.burst = other.burst;
+        self.have = self.have.min(self.burst);
+    }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -15,8 +15,12 @@
     Ok(Stamp),
     /// These keys did not have the expected stamps.
     Conflict(Vec<String>),
-    /// Certainly not carried out: too many requests, or an outage.
+    /// Certainly not carried out: an outage, or a reason that is not known.
     NotDone,
+    /// Certainly not carried out: it, or one of its values, is larger than allowed.
+    TooLarge,
+    /// Certainly not carried out: more requests or changes than allowed.
+    TooMany,
     /// No such lease.
     NoLease,
     /// No answer: it may have been or may still be carried out.
@@ -156,14 +160,16 @@
                 Ok(f) => Outcome::Conflict(f.failed),
                 Err(_) => Outcome::Unclear,
             },
-            Some((429 | 503, _)) => Outcome::NotDone,
+            Some((429, _)) => Outcome::TooMany,
+            Some((503, _)) => Outcome::NotDone,
             Some((400, b)) => {
                 let text = String::from_utf8_lossy(&b);
                 if text.contains("no such lease") {
                     return Outcome::NoLease;
                 }
                 tracing::error!(%text, "the state service refused a transaction");
-                Outcome::NotDone
+                // What we send is well formed, so that only its size is left.
+                Outcome::TooLarge
             }
             _ => Outcome::Unclear,
         }
--- /dev/null
+++ b/src/store/limits.rs
@@ -0,0 +1,181 @@
+//! The limits of the state service that are in force.
+//!
+//! They may fall at any moment, to those that the settings announce or to others,
+//! and nobody tells when. So they are learnt from what the service refuses: too
+//! much in one value or transaction, or too many changes a second.
+
+use crate::settings::{LimitValues, StateLimits};
+use crate::time::{Span, Time};
+
+/// What no service has less of.
+const LEAST_VALUE_BYTES: usize = 2048;
+const LEAST_CHANGES: usize = 4;
+/// Left for what the service may count differently.
+pub const VALUE_MARGIN: usize = 32;
+/// Limits on the rate that nobody announced fall by this at a time, and refusals
+/// within a spell count once.
+const LOWERED_TO: f64 = 0.9;
+const SPELL: Span = Span(1_000_000);
+/// They don't fall below this share of those in the settings.
+const LEAST_RATE: f64 = 0.1;
+/// After so long without a refusal the rate rises again by this share of the
+/// settings' at a time.
+const RISES_AFTER: Span = Span(20_000_000);
+const RISES_BY: f64 = 0.05;
+
+/// How much a transaction holds, for a refusal to be judged by.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TxnSize {
+    pub changes: usize,
+    pub largest_value: usize,
+}
+
+impl TxnSize {
+    fn exceeds(&self, limits: &LimitValues) -> bool {
+        self.changes > limits.txn_ops || self.largest_value > limits.value_bytes()
+    }
+}
+
+/// The limits that are in force, as far as is known.
+#[derive(Clone, Debug)]
+pub struct LimitsInForce {
+    settings: LimitValues,
+    /// Those of later, as the settings announce them.
+    announced: Option<LimitValues>,
+    now: LimitValues,
+    /// What was refused proves that the announced ones have come.
+    proven: bool,
+    lowered_at: Option<Time>,
+    raised_at: Time,
+}
+
+impl LimitsInForce {
+    pub fn new(settings: &StateLimits) -> LimitsInForce {
+        LimitsInForce {
+            settings: settings.now(),
+            announced: settings.announced(),
+            now: settings.now(),
+            proven: false,
+            lowered_at: None,
+            raised_at: Time::default(),
+        }
+    }
+
+    pub fn values(&self) -> &LimitValues {
+        &self.now
+    }
+
+    /// The most bytes that a value is given.
+    pub fn value_bytes(&self) -> usize {
+        let bytes = self.now.value_bytes();
+        match self.lowered() {
+            true => bytes - VALUE_MARGIN,
+            false => bytes,
+        }
+    }
+
+    fn lowered(&self) -> bool {
+        self.now.value_kb < self.settings.value_kb
+    }
+
+    /// A transaction was refused for its size. False if nothing smaller may be
+    /// tried: it was refused for something else.
+    pub fn refused_size(&mut self, size: TxnSize) -> bool {
+        if size.exceeds(&self.now) {
+            // It was sent before the limits were known to be lower.
+            return true;
+        }
+        let before = self.now;
+        match self.announced {
+            Some(next) if !self.proven && size.exceeds(&next) => {
+                self.proven = true;
+                self.now = self.now.min(&next);
+            }
+            _ => self.halve(size),
+        }
+        let changed = self.now != before;
+        if changed {
+            self.tell("a transaction was too large");
+        }
+        changed
+    }
+
+    /// Nothing announced accounts for the refusal. Whichever was closer to what is
+    /// allowed, the value or the number of changes, is taken to be too large.
+    fn halve(&mut self, size: TxnSize) {
+        let value_bytes = (size.largest_value / 2).max(LEAST_VALUE_BYTES);
+        let changes = (size.changes / 2).max(LEAST_CHANGES);
+        let smaller_value = value_bytes < size.largest_value;
+        let fewer_changes = changes < size.changes;
+        let value_share = size.largest_value as f64 / self.now.value_bytes() as f64;
+        let changes_share = size.changes as f64 / self.now.txn_ops as f64;
+        if smaller_value && (value_share >= changes_share || !fewer_changes) {
+            self.now.value_kb = self.now.value_kb.min(value_bytes as f64 / 1024.0);
+        } else if fewer_changes {
+            self.now.txn_ops = self.now.txn_ops.min(changes);
+        }
+    }
+
+    /// A transaction was refused since too many changes came. True if less is
+    /// allowed from now on.
+    pub fn refused_rate(&mut self, now: Time) -> bool {
+        let before = self.now;
+        let announced = self
+            .announced
+            .filter(|next| next.write_rps < self.now.write_rps);
+        if let Some(next) = announced {
+            self.now.write_rps = next.write_rps;
+            self.now.rps = self.now.rps.min(next.rps);
+        } else if self.lowered_at.is_none_or(|t| now - t > SPELL) {
+            let least = self.settings.write_rps * LEAST_RATE;
+            self.now.write_rps = (self.now.write_rps * LOWERED_TO).max(least);
+        }
+        self.lowered_at = Some(now);
+        self.raised_at = now;
+        let changed = self.now != before;
+        if changed {
+            self.tell("too many changes a second");
+        }
+        changed
+    }
+
+    /// Without refusals the rate slowly rises again, up to what is known to be
+    /// allowed. True if it did.
+    pub fn recover(&mut self, now: Time) -> bool {
+        let most = match (self.proven, self.announced) {
+            (true, Some(next)) => next.write_rps.min(self.settings.write_rps),
+            _ => self.settings.write_rps,
+        };
+        if self.now.write_rps >= most || now - self.raised_at < RISES_AFTER {
+            return false;
+        }
+        self.raised_at = now;
+        let raised = self.now.write_rps + self.settings.write_rps * RISES_BY;
+        self.now.write_rps = raised.min(most);
+        self.tell("no refusals for a while");
+        true
+    }
+
+    fn tell(&self, why: &str) {
+        let l = &self.now;
+        tracing::warn!(
+            why,
+            value_kb = l.value_kb,
+            changes_per_transaction = l.txn_ops,
+            changes_per_s = l.write_rps,
+            requests_per_s = l.rps,
+            announced = self.proven,
+            "limits of the state service"
+        );
+    }
+
+    /// For operators.
+    pub fn overview(&self) -> serde_json::Value {
+        let l = &self.now;
+        serde_json::json!({
+            "value_kb": l.value_kb, "txn_ops": l.txn_ops,
+            "write_rps": l.write_rps, "rps": l.rps,
+            "lowered": *l != self.settings, "announced_ones_hold": self.proven,
+        })
+    }
+}
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,6 +4,8 @@
 pub mod client;
 pub mod commit;
 pub mod format;
+pub mod limits;
+pub mod pieces;
 
 pub use client::{Outcome, StateClient};
 pub use commit::Committer;
@@ -21,6 +23,8 @@
 pub const LIVE: &str = "hookworks/live/";
 /// Further tasks of large unfinished jobs.
 pub const PARTS: &str = "hookworks/part/";
+/// Further pieces of records that are larger than a value may be.
+pub const PIECES: &str = "hookworks/piece/";
 
 /// Finished jobs.
 pub const FINALS: &str = "hookworks/final/";
--- /dev/null
+++ b/src/store/pieces.rs
@@ -0,0 +1,234 @@
+//! Records that are larger than a value may be.
+//!
+//! The text of such a record is cut into pieces: the first stands under the record's
+//! own key and says how many there are, the others under keys of their own. All are
+//! written in one transaction, and each carries the checksum of the whole text, so
+//! that pieces of different writes are never joined.
+
+use super::{PIECES, part_key};
+use crate::ids::{JobId, Stamp};
+use crate::wire::state::Item;
+use crate::wire::user::JobState;
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+use std::collections::BTreeMap;
+use thiserror::Error;
+
+/// What a piece takes besides its share of the text.
+const FRAME: usize = 72;
+/// Most pieces of a record that are believed.
+const MOST_PIECES: usize = 64;
+
+/// How many bytes a value may have, and how many values a record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecordRoom {
+    pub value_bytes: usize,
+    pub values: usize,
+}
+
+impl RecordRoom {
+    /// The record fits, cut if need be.
+    pub fn holds(&self, record: &Value) -> bool {
+        needed(&record.to_string(), self.value_bytes) <= self.values
+    }
+
+    /// Bytes by which the record may grow without needing more values; those that
+    /// it may need, if it is more than one anyway.
+    pub fn spare(&self, record: &Value) -> usize {
+        let text = record.to_string();
+        if text.len() <= self.value_bytes {
+            return self.value_bytes - text.len();
+        }
+        let room = share(self.value_bytes) * needed(&text, self.value_bytes);
+        // Half, as what is added may have to be escaped.
+        room.saturating_sub(escaped(&text)) / 2
+    }
+}
+
+/// Where the further pieces of a record stand.
+pub fn piece_key(id: &JobId, part: usize, piece: usize) -> String {
+    format!("{PIECES}{id}/{part:06}/{piece}")
+}
+
+/// The piece that stands under the record's own key.
+#[derive(Serialize, Deserialize)]
+struct Head {
+    pieces: usize,
+    sum: u32,
+    /// Whoever can't read the rest is still told that the job was cancelled.
+    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    cancelled: bool,
+    #[serde(rename = "t")]
+    text: String,
+}
+
+#[derive(Serialize, Deserialize)]
+struct Piece {
+    sum: u32,
+    #[serde(rename = "t")]
+    text: String,
+}
+
+/// Why the pieces of a record can't be joined.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum JoinError {
+    #[error("piece {0} is missing")]
+    Missing(usize),
+    #[error("piece {0} can't be read, or is of another write")]
+    Stale(usize),
+    #[error("the text is not that of the record")]
+    Text,
+}
+
+fn share(value_bytes: usize) -> usize {
+    value_bytes.saturating_sub(FRAME).max(1)
+}
+
+fn escaped_char(c: char) -> usize {
+    match c {
+        '"' | '\\' => 2,
+        '\u{0}'..='\u{1f}' => 6,
+        _ => c.len_utf8(),
+    }
+}
+
+fn escaped(text: &str) -> usize {
+    text.chars().map(escaped_char).sum()
+}
+
+/// Cuts a text so that each share fits a value.
+fn cut(text: &str, value_bytes: usize) -> Vec<&str> {
+    let most = share(value_bytes);
+    let mut shares = vec![];
+    let (mut from, mut used) = (0, 0);
+    for (at, c) in text.char_indices() {
+        let more = escaped_char(c);
+        if used + more > most && at > from {
+            shares.push(&text[from..at]);
+            (from, used) = (at, 0);
+        }
+        used += more;
+    }
+    shares.push(&text[from..]);
+    shares
+}
+
+/// How many values a record's text takes.
+pub fn needed(text: &str, value_bytes: usize) -> usize {
+    match text.len() <= value_bytes {
+        true => 1,
+        false => cut(text, value_bytes).len(),
+    }
+}
+
+/// The values of a record, the first for its own key.
+pub fn split(record: Value, value_bytes: usize) -> Vec<Value> {
+    let text = record.to_string();
+    if text.len() <= value_bytes {
+        return vec![record];
+    }
+    let sum = crc32fast::hash(text.as_bytes());
+    let shares = cut(&text, value_bytes);
+    let head = Head {
+        pieces: shares.len(),
+        sum,
+        cancelled: record.get("cancelled").and_then(Value::as_bool) == Some(true),
+        text: shares[0].into(),
+    };
+    let further = shares[1..].iter().map(|share| Piece {
+        sum,
+        text: (*share).into(),
+    });
+    let mut values = vec![serde_json::to_value(head).unwrap_or_default()];
+    values.extend(further.map(|p| serde_json::to_value(p).unwrap_or_default()));
+    values
+}
+
+/// The record, from the value under its own key and the further pieces that were
+/// found, by their keys.
+///
+/// # Errors
+/// If a piece is missing or of another write.
+pub fn join(
+    id: &JobId,
+    part: usize,
+    value: &Value,
+    pieces: &BTreeMap<String, Value>,
+) -> Result<Value, JoinError> {
+    let Ok(head) = Head::deserialize(value) else {
+        return Ok(value.clone());
+    };
+    if head.pieces > MOST_PIECES {
+        return Err(JoinError::Text);
+    }
+    let mut text = head.text;
+    for n in 1..head.pieces {
+        let found = pieces.get(&piece_key(id, part, n));
+        let found = found.ok_or(JoinError::Missing(n))?;
+        match Piece::deserialize(found) {
+            Ok(piece) if piece.sum == head.sum => text.push_str(&piece.text),
+            _ => return Err(JoinError::Stale(n)),
+        }
+    }
+    if crc32fast::hash(text.as_bytes()) != head.sum {
+        return Err(JoinError::Text);
+    }
+    serde_json::from_str(&text).map_err(|_| JoinError::Text)
+}
+
+/// The job that a piece belongs to.
+pub fn owner(key: &str) -> Option<JobId> {
+    let mut names = key.strip_prefix(PIECES)?.rsplitn(3, '/');
+    let _piece: usize = names.next()?.parse().ok()?;
+    let _part: usize = names.next()?.parse().ok()?;
+    names.next().map(JobId::from)
+}
+
+/// Keys with their stamps.
+type Stamped = Vec<(String, Stamp)>;
+
+/// The further pieces that a new leader found.
+pub struct Pieces {
+    values: BTreeMap<String, Value>,
+    stamps: Stamped,
+}
+
+impl Pieces {
+    pub fn new(items: Vec<Item>) -> Pieces {
+        let stamps = items.iter().map(|i| (i.key.clone(), i.stamp)).collect();
+        let values = items.into_iter().map(|i| (i.key, i.value)).collect();
+        Pieces { values, stamps }
+    }
+
+    /// The whole record of a part, or none if it can't be read.
+    pub fn join(&self, id: &JobId, part: usize, first: &Item) -> Option<Value> {
+        let joined = join(id, part, &first.value, &self.values);
+        let told =
+            joined.inspect_err(|e| tracing::error!(key = %first.key, error = %e, "a record"));
+        told.ok()
+    }
+
+    /// What belongs to jobs that are known, and what is left of others. Pieces of
+    /// records that can't be read are neither: they are left alone.
+    pub fn sort(self, known: impl Fn(&JobId) -> bool, alone: &Unreadable) -> (Stamped, Stamped) {
+        let mut of_jobs = vec![];
+        let mut left_over = vec![];
+        for (key, stamp) in self.stamps {
+            match owner(&key) {
+                Some(id) if known(&id) => of_jobs.push((key, stamp)),
+                Some(id) if alone.contains_key(&id) => {}
+                _ => left_over.push((key, stamp)),
+            }
+        }
+        (of_jobs, left_over)
+    }
+}
+
+/// Jobs whose records can't be read, and what they are told as.
+type Unreadable = BTreeMap<JobId, JobState>;
+
+/// The keys of a record that takes so many values.
+pub fn keys(id: &JobId, part: usize, values: usize) -> impl Iterator<Item = String> {
+    let first = part_key(id, part);
+    std::iter::once(first).chain((1..values).map(move |n| piece_key(id, part, n)))
+}
--- /dev/null
+++ b/tests/record_limits.rs
@@ -0,0 +1,771 @@
+//! Records under limits of the state service that fall: how small they are, how
+//! they are cut and joined, and how the limits in force are learnt.
+
+mod world;
+
+use hookworks::ids::*;
+use hookworks::node::load::load;
+use hookworks::sched::job::{Job, Live, compact_part_size};
+use hookworks::sched::{Event, Sched};
+use hookworks::settings::{Platform, StateLimits};
+use hookworks::store::client::{ReadError, State};
+use hookworks::store::commit::Committer;
+use hookworks::store::pieces::{self, RecordRoom};
+use hookworks::store::{FINALS, LEADER, LIVE, Outcome, PARTS, PIECES, RecordFormat, part_key};
+use hookworks::time::{Time, Wall};
+use hookworks::wire::peer::Ask;
+use hookworks::wire::state::{Change, Item, Page, Txn};
+use hookworks::wire::user::JobState;
+use hookworks_job_lifecycle::{Failure, Hold, HoldKind, JobEvent, WallMillis};
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use world::desk::{Desk, report};
+use world::{job, settings};
+
+/// The smallest limits that any service has.
+const SMALLEST: RecordRoom = RecordRoom {
+    value_bytes: 2048,
+    values: 4,
+};
+const DAY_MS: u64 = 24 * 3_600_000;
+const WALL: Wall = Wall(1_800_000_000_000);
+
+/// A started task as some leader might have left it.
+fn started() -> Live {
+    let mut d = Desk::new(1);
+    d.beat(&report(1, 1, Token(0)));
+    d.submit(&job(1, 1));
+    d.s.jobs[&JobId::from("job-000001")].live[&TaskIx(0)].clone()
+}
+
+struct Shape {
+    tasks: u32,
+    part_size: u32,
+    /// Share of the tasks that is running.
+    running: f64,
+    /// The highest number of a machine.
+    machines: u64,
+    /// Terms in which the tasks were started, and over how long.
+    epochs: u64,
+    over_ms: u64,
+}
+
+fn any_job(rng: &mut StdRng, shape: &Shape) -> Job {
+    let mut spec = job(rng.random_range(1..999_999), shape.tasks);
+    spec.class = "c".repeat(rng.random_range(1..=200)).as_str().into();
+    spec.image = "i".repeat(rng.random_range(1..=200)).as_str().into();
+    let submitted = Wall(WALL.0 - shape.over_ms);
+    let mut j = Job::new(spec, 7, Time(1), submitted, shape.part_size);
+    let template = started();
+    let places: Vec<_> = ["a", "b", "a-long-zone-name"]
+        .map(|zone| {
+            let mut place = template.place.clone().unwrap();
+            place.zone = zone.into();
+            place.spot = rng.random_bool(0.5);
+            place
+        })
+        .into();
+    let rule = settings("x").tuning.rules()[&Class::from("frail")];
+    for t in 0..shape.tasks {
+        for _ in 0..rng.random_range(0..4) {
+            j.attempts
+                .failed((t, shape.tasks), "n-000001", Failure::Error, &rule);
+        }
+        if !rng.random_bool(shape.running) {
+            if rng.random_bool(0.5) {
+                j.set_done(TaskIx(t));
+            }
+            continue;
+        }
+        // Later starts have higher numbers.
+        let epoch = rng.random_range(0..shape.epochs);
+        let span = shape.over_ms / shape.epochs;
+        let at = rng.random_range(0..span);
+        let mut live = template.clone();
+        live.attempt = Attempt(Epoch(900 + epoch).base() + at / 200 + 1);
+        live.placed_wall = Wall(submitted.0 + epoch * span + at);
+        let number = rng.random_range(0..shape.machines);
+        live.host = Host::from(format!("n-{number:06}").as_str());
+        live.place = Some(places[rng.random_range(0..3)].clone());
+        j.live.insert(TaskIx(t), live);
+    }
+    for _ in 0..rng.random_range(0..60) {
+        let what = JobEvent::ALL[rng.random_range(0..8)];
+        let at = rng.random_range(0..shape.over_ms);
+        j.history.note(what, WallMillis(submitted.0 + at));
+    }
+    for _ in 0..rng.random_range(0..20) {
+        j.learn_runtime(rng.random_range(1.0..90_000.0));
+    }
+    let kinds = [HoldKind::User, HoldKind::Operator, HoldKind::System];
+    for kind in kinds.into_iter().take(rng.random_range(0..=3)) {
+        j.holds.put(Hold {
+            kind,
+            by: "b".repeat(64),
+            why: "w".repeat(160),
+            at: WallMillis(WALL.0),
+        });
+    }
+    j.cancelled = rng.random_bool(0.2);
+    j
+}
+
+/// All records of a job as they are stored under these limits, by their keys.
+fn stored(j: &Job, room: RecordRoom) -> BTreeMap<String, Value> {
+    let mut all = BTreeMap::new();
+    for part in 0..j.parts.len() {
+        let record = j.encode_compact(part, room);
+        let values = pieces::split(record, room.value_bytes);
+        assert!(values.len() <= room.values, "{} values", values.len());
+        for v in &values {
+            let bytes = v.to_string().len();
+            assert!(bytes <= room.value_bytes, "{bytes} bytes");
+        }
+        let keys = pieces::keys(j.id(), part, values.len());
+        all.extend(keys.zip(values));
+    }
+    all
+}
+
+/// A state service that holds its callers to limits, which may fall.
+struct Limited {
+    value_bytes: usize,
+    txn_ops: usize,
+    keys: BTreeMap<String, (Value, u64)>,
+    revision: u64,
+    too_large: u32,
+}
+
+impl Limited {
+    fn new() -> Limited {
+        let mut s = Limited {
+            value_bytes: 32 * 1024,
+            txn_ops: 12,
+            keys: BTreeMap::new(),
+            revision: 0,
+            too_large: 0,
+        };
+        s.put(LEADER, json!("a"));
+        s
+    }
+
+    fn fall(&mut self, value_bytes: usize, txn_ops: usize) {
+        (self.value_bytes, self.txn_ops) = (value_bytes, txn_ops);
+    }
+
+    fn put(&mut self, key: &str, value: Value) {
+        self.revision += 1;
+        self.keys.insert(key.into(), (value, self.revision));
+    }
+
+    fn stamp(&self, key: &str) -> Stamp {
+        Stamp(self.keys.get(key).map_or(0, |v| v.1))
+    }
+
+    fn apply(&mut self, t: &Txn) -> Outcome {
+        let large = |c: &Change| match c {
+            Change::Put { value, .. } => value.to_string().len() > self.value_bytes,
+            Change::Delete { .. } => false,
+        };
+        if t.changes.len() > self.txn_ops
+            || t.conditions.len() > 4 * self.txn_ops
+            || t.changes.iter().any(large)
+        {
+            self.too_large += 1;
+            return Outcome::TooLarge;
+        }
+        let wrong = t
+            .conditions
+            .iter()
+            .filter(|c| self.stamp(&c.key) != c.stamp);
+        let failed: Vec<String> = wrong.map(|c| c.key.clone()).collect();
+        if !failed.is_empty() {
+            return Outcome::Conflict(failed);
+        }
+        self.revision += 1;
+        for c in &t.changes {
+            match c {
+                Change::Put { key, value, .. } => {
+                    self.keys
+                        .insert(key.clone(), (value.clone(), self.revision));
+                }
+                Change::Delete { key } => {
+                    self.keys.remove(key);
+                }
+            }
+        }
+        Outcome::Ok(Stamp(self.revision))
+    }
+}
+
+/// The same as a new leader reads it.
+struct Reader(BTreeMap<String, (Value, u64)>);
+
+impl State for Reader {
+    fn get(&self, key: &str) -> Result<Option<Item>, ReadError> {
+        let found = self.0.get(key).map(|(value, stamp)| Item {
+            key: key.into(),
+            value: value.clone(),
+            stamp: Stamp(*stamp),
+            lease: None,
+        });
+        Ok(found)
+    }
+
+    fn page(&self, prefix: &str, after: Option<&str>, limit: u32) -> Result<Page, ReadError> {
+        let keys = self.0.keys();
+        let wanted = |k: &&String| k.starts_with(prefix) && after.is_none_or(|a| k.as_str() > a);
+        let wanted: Vec<&String> = keys.filter(wanted).collect();
+        let more = wanted.len() > limit as usize;
+        let items = wanted.into_iter().take(limit as usize);
+        let items = items.filter_map(|k| self.get(k).ok().flatten()).collect();
+        Ok(Page { items, more })
+    }
+
+    fn txn(&self, _: &Txn) -> Outcome {
+        Outcome::NotDone
+    }
+    fn grant(&self, _: u64) -> Result<u64, ReadError> {
+        Err(ReadError::Failed)
+    }
+    fn renew(&self, _: u64) -> Result<bool, ReadError> {
+        Err(ReadError::Failed)
+    }
+    fn revoke(&self, _: u64) {}
+}
+
+impl Limited {
+    /// What the next leader finds.
+    fn load(&self) -> hookworks::node::load::Loaded {
+        let reader = Reader(self.keys.clone());
+        load(&reader, Epoch(2), self.stamp(LEADER), Time(1), WALL).expect("it answers")
+    }
+}
+
+fn limits(next: Option<Value>) -> StateLimits {
+    let mut text = world::given::platform("x");
+    let state = &mut text["params"]["state"];
+    *state = json!({"rps": 100.0, "write_rps": 40.0, "value_kb": 32.0, "txn_ops": 12});
+    if let Some(next) = next {
+        state["next"] = next;
+    }
+    Platform::parse("t", &text.to_string())
+        .unwrap()
+        .params
+        .state
+}
+
+fn announced() -> StateLimits {
+    limits(Some(
+        json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0}),
+    ))
+}
+
+/// A leader with its service; time goes on as it writes.
+struct Term {
+    d: Desk,
+    c: Committer,
+    s: Limited,
+    rate_refused: bool,
+}
+
+impl Term {
+    fn new(limits: &StateLimits, format: RecordFormat, jobs: Vec<Job>) -> Term {
+        let mut d = Desk::set_up(2, jobs, |cfg| {
+            cfg.value_kb = limits.value_kb;
+            cfg.smallest = limits.smallest();
+            for t in &mut cfg.teams {
+                (t.cpus, t.cpus_max) = (1e6, 1e6);
+            }
+        });
+        d.stores = false;
+        d.s.set_format(format);
+        let s = Limited::new();
+        let mut c = Committer::new(s.stamp(LEADER), limits);
+        c.set_format(format);
+        let rate_refused = false;
+        Term {
+            d,
+            c,
+            s,
+            rate_refused,
+        }
+    }
+
+    fn now(&self) -> Time {
+        Time(self.d.now)
+    }
+
+    /// The next transaction, and what the scheduler was led to say by that.
+    fn next(&mut self) -> Option<(TxnId, Txn)> {
+        let next = self.c.next(self.now(), &mut self.d.s);
+        self.take_effects();
+        next
+    }
+
+    fn take_effects(&mut self) {
+        let effects = self.d.s.handle(self.now(), Event::Proven(self.now()));
+        self.d.fx.extend(effects);
+    }
+
+    fn told(&mut self, events: Vec<Event>) {
+        self.take_effects();
+        for e in events {
+            self.d.event(e);
+        }
+    }
+
+    /// Whatever can be written in so long is; answers how many transactions were sent.
+    fn write(&mut self, seconds: f64) -> u32 {
+        let mut sent = 0;
+        for _ in 0..(seconds * 20.0) as u32 {
+            while let Some((id, txn)) = self.next() {
+                sent += 1;
+                let outcome = match self.rate_refused {
+                    true => Outcome::TooMany,
+                    false => self.s.apply(&txn),
+                };
+                let (events, steps) = self.c.finished(self.now(), id, outcome, &mut self.d.s);
+                assert!(steps.is_empty(), "{steps:?}");
+                self.told(events);
+            }
+            self.d.now += 50_000;
+        }
+        sent
+    }
+
+    fn keys(&self, prefix: &str) -> Vec<&String> {
+        let of = |k: &&String| k.starts_with(prefix);
+        self.s.keys.keys().filter(of).collect()
+    }
+
+    /// What is stored says of each job what the leader knows of it.
+    fn check_stored(&self) {
+        let loaded = self.s.load();
+        assert!(loaded.unreadable.is_empty());
+        assert_eq!(loaded.jobs.len(), self.d.s.jobs.len());
+        for found in &loaded.jobs {
+            assert_same(&self.d.s.jobs[found.id()], found);
+        }
+    }
+}
+
+fn assert_same(j: &Job, found: &Job) {
+    assert!(!found.damaged, "{}", j.id());
+    assert_eq!(found.spec, j.spec);
+    assert_eq!((found.cancelled, found.seq), (j.cancelled, j.seq));
+    assert_eq!(found.submitted, j.submitted);
+    assert_eq!(found.runtimes, j.runtimes);
+    assert_eq!(found.done_count, j.done_count);
+    for t in (0..j.spec.tasks).map(TaskIx) {
+        assert_eq!(found.is_done(t), j.is_done(t), "{t:?}");
+        assert_eq!(found.attempts.of(t.0), j.attempts.of(t.0), "{t:?}");
+    }
+    let live = |j: &Job| j.live.keys().copied().collect::<Vec<_>>();
+    assert_eq!(live(found), live(j));
+    for (a, b) in found.live.values().zip(j.live.values()) {
+        assert_eq!((a.attempt, &a.host), (b.attempt, &b.host));
+        assert_eq!(a.placed_wall, b.placed_wall);
+        assert!(a.place.is_none() || a.place == b.place);
+    }
+    let kinds = |j: &Job| j.holds.iter().map(|h| h.kind).collect::<Vec<_>>();
+    assert_eq!(kinds(found), kinds(j));
+    assert_eq!(found.history.usage(), j.history.usage());
+    for what in JobEvent::ALL {
+        assert_eq!(found.history.count(what), j.history.count(what));
+    }
+}
+
+fn load_of(all: &BTreeMap<String, Value>) -> hookworks::node::load::Loaded {
+    let mut s = Limited::new();
+    for (key, value) in all {
+        s.put(key, value.clone());
+    }
+    s.load()
+}
+
+#[test]
+fn random_jobs_come_back_whole_from_records_of_any_limits() {
+    let mut rng = StdRng::seed_from_u64(51);
+    for _ in 0..150 {
+        let shape = Shape {
+            tasks: rng.random_range(1..1200),
+            part_size: 64 * rng.random_range(1..=8),
+            running: rng.random_range(0.0..=1.0),
+            machines: 10u64.pow(rng.random_range(1..=7)),
+            epochs: rng.random_range(1..40),
+            over_ms: rng.random_range(1000..DAY_MS),
+        };
+        let mut j = any_job(&mut rng, &shape);
+        if let Some(l) = j.live.values_mut().next() {
+            // A name of another form, and a place that isn't known.
+            l.host = "some machine".into();
+            l.place = None;
+        }
+        for value_bytes in [2048, 3000, 32 * 1024] {
+            let values = SMALLEST.values;
+            let all = stored(
+                &j,
+                RecordRoom {
+                    value_bytes,
+                    values,
+                },
+            );
+            let loaded = load_of(&all);
+            assert!(loaded.unreadable.is_empty() && loaded.litter.is_empty());
+            assert_same(&j, &loaded.jobs[0]);
+            assert_eq!(loaded.stamps.len(), all.len());
+        }
+    }
+}
+
+/// As large as the earlier version let them become: 512 tasks a record, all running
+/// and failed before, each on a machine of its own, started in any of 64 terms
+/// within a week.
+#[test]
+fn the_fullest_records_of_before_fit_the_smallest_limits() {
+    let mut rng = StdRng::seed_from_u64(7);
+    let shape = Shape {
+        tasks: 3000,
+        part_size: 512,
+        running: 1.0,
+        machines: 1_000_000,
+        epochs: 64,
+        over_ms: 7 * DAY_MS,
+    };
+    for _ in 0..20 {
+        let mut j = any_job(&mut rng, &shape);
+        j.spec.class = "c".repeat(200).as_str().into();
+        j.spec.image = "i".repeat(200).as_str().into();
+        let loaded = load_of(&stored(&j, SMALLEST));
+        assert_same(&j, &loaded.jobs[0]);
+    }
+}
+
+/// What a task takes in a job as they usually are, with a few starts at a time.
+#[test]
+fn a_started_task_takes_few_bytes() {
+    let mut rng = StdRng::seed_from_u64(8);
+    let mut j = Job::new(job(1, 512), 1, Time(1), WALL, 512);
+    let template = started();
+    for t in 0..512u32 {
+        let mut live = template.clone();
+        let pass = t as u64 / 8;
+        live.attempt = Attempt(Epoch(3).base() + 4_000 + t as u64 + 40 * pass);
+        live.placed_wall = Wall(WALL.0 + 110 * pass);
+        let number = 300 + rng.random_range(0..730);
+        live.host = Host::from(format!("n-{number:06}").as_str());
+        j.live.insert(TaskIx(t), live);
+    }
+    let before = Job::new(job(1, 512), 1, Time(1), WALL, 512);
+    let room = RecordRoom {
+        value_bytes: 32 * 1024,
+        values: 1,
+    };
+    let size = |j: &Job| j.encode_compact(0, room).to_string().len();
+    let each = (size(&j) - size(&before)) as f64 / 512.0;
+    assert!(each < 8.0, "{each} bytes a task");
+    let legacy = j.encode(0).to_string().len() - before.encode(0).to_string().len();
+    assert!(legacy as f64 / 512.0 > 30.0, "{legacy}");
+}
+
+/// Joined from different writes, a record would say what never was.
+#[test]
+fn pieces_of_different_writes_are_never_joined() {
+    let mut rng = StdRng::seed_from_u64(9);
+    let shape = Shape {
+        tasks: 1024,
+        part_size: 512,
+        running: 1.0,
+        machines: 10_000,
+        epochs: 3,
+        over_ms: DAY_MS,
+    };
+    let mut j = any_job(&mut rng, &shape);
+    j.cancelled = true;
+    let first = stored(&j, SMALLEST);
+    for l in j.live.values_mut() {
+        l.placed_wall = Wall(l.placed_wall.0 + 1);
+    }
+    let second = stored(&j, SMALLEST);
+    let id = j.id().clone();
+    for key in first.keys() {
+        for missing in [false, true] {
+            let mut mixed = second.clone();
+            match missing {
+                true => mixed.remove(key),
+                false => mixed.insert(key.clone(), first[key].clone()),
+            };
+            let loaded = load_of(&mixed);
+            let of_first = key.starts_with(LIVE) || key.contains("/000000/");
+            if of_first && missing && key.starts_with(LIVE) {
+                assert!(loaded.jobs.is_empty(), "never accepted, as far as is known");
+            } else if of_first {
+                // Known, left alone, and told as what it certainly is.
+                assert!(loaded.jobs.is_empty());
+                assert_eq!(loaded.unreadable[&id], JobState::Cancelled);
+                assert!(loaded.litter.is_empty(), "it may be mended");
+            } else if missing && key.starts_with(PARTS) {
+                // As if nothing had been started there yet, as without any pieces.
+                assert!(!loaded.jobs[0].damaged);
+            } else {
+                assert!(loaded.jobs[0].damaged, "{key}");
+            }
+        }
+    }
+}
+
+fn submit_array(t: &mut Term, n: u64, tasks: u32) -> ReqId {
+    t.d.submit(&job(n, tasks))
+}
+
+/// A fleet that takes this many tasks of two CPUs.
+fn machines(t: &mut Term, tasks: u32) {
+    for n in 1..=tasks.div_ceil(4) {
+        t.d.beat(&report(n, 1, Token(0)));
+    }
+}
+
+/// Limits fall with a transaction under way: it is sent again in smaller ones.
+#[test]
+fn limits_that_fall_with_a_transaction_under_way_cost_a_retry_and_nothing_else() {
+    let mut t = Term::new(&announced(), RecordFormat::Compact, vec![]);
+    machines(&mut t, 3000);
+    let asked: Vec<ReqId> = (1..=8).map(|n| submit_array(&mut t, n, 300)).collect();
+    let (id, txn) = t.next().unwrap();
+    assert!(txn.changes.len() > 4, "{}", txn.changes.len());
+    t.s.fall(2048, 4);
+    let outcome = t.s.apply(&txn);
+    let (events, _) = t.c.finished(t.now(), id, outcome, &mut t.d.s);
+    assert!(events.is_empty(), "nobody is told to come again");
+    t.write(15.0);
+    assert!(t.s.too_large <= 3, "{} refused", t.s.too_large);
+    assert!(asked.iter().all(|r| t.d.status(*r) == Some(201)));
+    assert!(t.d.s.dirty.is_empty());
+    assert_eq!(t.c.limits().values().write_rps, 18.0, "they fall together");
+    t.check_stored();
+}
+
+/// Nothing announced: what is too large is halved until it is taken.
+#[test]
+fn limits_that_fall_unannounced_are_found_by_halving() {
+    let mut t = Term::new(&limits(None), RecordFormat::Compact, vec![]);
+    machines(&mut t, 1600);
+    t.s.fall(2048, 4);
+    let asked: Vec<ReqId> = (1..=8).map(|n| submit_array(&mut t, n, 200)).collect();
+    t.write(15.0);
+    assert!(t.s.too_large < 12, "{} refused", t.s.too_large);
+    assert!(asked.iter().all(|r| t.d.status(*r) == Some(201)));
+    assert!(t.d.s.dirty.is_empty());
+    t.check_stored();
+}
+
+/// They never come: large values and transactions go on.
+#[test]
+fn limits_that_are_announced_and_never_come_change_nothing() {
+    let mut t = Term::new(&announced(), RecordFormat::Compact, vec![]);
+    machines(&mut t, 300);
+    for n in 1..=20 {
+        submit_array(&mut t, n, 10);
+    }
+    t.write(5.0);
+    assert_eq!(*t.c.limits().values(), announced().now());
+    assert_eq!(t.s.too_large, 0);
+    t.check_stored();
+}
+
+/// An array of 3,000 running tasks, stored by the earlier version, is taken over by a
+/// leader that finds the smaller limits in force, and goes on.
+#[test]
+fn a_large_array_of_before_goes_on_under_the_smallest_limits() {
+    let mut rng = StdRng::seed_from_u64(10);
+    let shape = Shape {
+        tasks: 3000,
+        part_size: 512,
+        running: 1.0,
+        machines: 700,
+        epochs: 2,
+        over_ms: 600_000,
+    };
+    let old = any_job(&mut rng, &shape);
+    let mut s = Limited::new();
+    for part in 0..old.parts.len() {
+        s.put(&part_key(old.id(), part), old.encode(part));
+    }
+    s.fall(2048, 4);
+    let loaded = s.load();
+    let mut t = Term::new(&announced(), RecordFormat::Compact, loaded.jobs);
+    for (key, stamp) in loaded.stamps {
+        t.c.know(key, stamp);
+    }
+    t.s = s;
+    let id = old.id().clone();
+    for part in 0..old.parts.len() {
+        touch(&mut t.d.s, &id, part);
+    }
+    t.write(4.0);
+    assert!(t.s.too_large < 4 && t.c.set_aside() == 0);
+    assert!(t.keys(PIECES).len() > 6);
+    t.check_stored();
+    // Smaller again, it leaves pieces behind; over, it leaves nothing.
+    t.d.ask(Ask::Cancel(id.to_string()));
+    let all: Vec<TaskIx> = t.d.s.jobs[&id].live.keys().copied().collect();
+    if let Some(j) = t.d.s.jobs.get_mut(&id) {
+        all.iter().for_each(|ix| drop(j.live.remove(ix)));
+    }
+    (0..old.parts.len()).for_each(|part| touch(&mut t.d.s, &id, part));
+    t.write(2.0);
+    t.check_stored();
+    t.d.event(Event::Tick(Wall(WALL.0)));
+    let j = t.d.s.jobs.get_mut(&id).unwrap();
+    j.closing = Some(JobState::Cancelled);
+    touch(&mut t.d.s, &id, 0);
+    t.write(40.0);
+    assert_eq!(t.keys(FINALS).len(), 1);
+    assert!(t.keys(LIVE).is_empty() && t.keys(PARTS).is_empty() && t.keys(PIECES).is_empty());
+}
+
+/// A part is to be written, as after a change in it.
+fn touch(s: &mut Sched, id: &JobId, part: usize) {
+    use hookworks::sched::Purpose;
+    let j = s.jobs.get_mut(id).expect("a job");
+    j.touch(part, &mut s.dirty, Purpose::Now);
+}
+
+/// Limits fall while an earlier version still serves: what fits goes on, what doesn't
+/// waits, and is written once every controller reads compact records.
+#[test]
+fn while_records_are_not_compact_what_does_not_fit_waits_and_blocks_nothing() {
+    let mut t = Term::new(&announced(), RecordFormat::Legacy, vec![]);
+    machines(&mut t, 320);
+    t.s.fall(2048, 4);
+    let large = submit_array(&mut t, 1, 300);
+    let small: Vec<ReqId> = (2..=6).map(|n| submit_array(&mut t, n, 2)).collect();
+    let sent = t.write(12.0);
+    assert!(small.iter().all(|r| t.d.status(*r) == Some(201)));
+    assert_eq!(t.d.status(large), Some(503), "told to come again");
+    assert!(t.c.set_aside() > 0 && sent < 40, "{sent} sent");
+    t.c.set_format(RecordFormat::Compact);
+    t.d.s.set_format(RecordFormat::Compact);
+    t.write(3.0);
+    assert_eq!(t.c.set_aside(), 0);
+    t.check_stored();
+}
+
+/// Too many changes a second: fewer are sent, and who waits is not sent away.
+#[test]
+fn refusals_of_the_rate_lower_it_and_it_rises_again() {
+    for next in [announced(), limits(None)] {
+        let mut t = Term::new(&next, RecordFormat::Compact, vec![]);
+        machines(&mut t, 40);
+        t.rate_refused = true;
+        let req = submit_array(&mut t, 1, 4);
+        t.write(0.5);
+        let lowered = t.c.limits().values().write_rps;
+        assert!(lowered < 40.0);
+        assert_eq!(t.d.status(req), None);
+        t.rate_refused = false;
+        t.write(1.0);
+        assert_eq!(t.d.status(req), Some(201));
+        t.write(300.0);
+        assert_eq!(
+            t.c.limits().values().write_rps,
+            40.0,
+            "it was no lower limit"
+        );
+        // Refused for long, whoever waits is told.
+        t.rate_refused = true;
+        let req = submit_array(&mut t, 2, 4);
+        let sent = t.write(3.0);
+        assert_eq!(t.d.status(req), Some(503));
+        assert!(sent < 30, "{sent} sent");
+    }
+}
+
+/// One record that the service refuses for whatever reason holds up no other.
+#[test]
+fn a_record_that_is_always_refused_is_set_aside() {
+    let mut t = Term::new(&announced(), RecordFormat::Compact, vec![]);
+    machines(&mut t, 40);
+    let asked: Vec<ReqId> = (1..=6).map(|n| submit_array(&mut t, n, 1)).collect();
+    let bad = part_key(&"job-000003".into(), 0);
+    let mut sent = 0;
+    for _ in 0..100 {
+        while let Some((id, txn)) = t.next() {
+            sent += 1;
+            let refused = txn.changes.iter().any(|c| c.key() == bad);
+            let outcome = match refused {
+                true => Outcome::TooLarge,
+                false => t.s.apply(&txn),
+            };
+            let (events, _) = t.c.finished(t.now(), id, outcome, &mut t.d.s);
+            t.told(events);
+        }
+        t.d.now += 50_000;
+    }
+    for (n, req) in asked.iter().enumerate() {
+        let expected = if n == 2 { 503 } else { 201 };
+        assert_eq!(t.d.status(*req), Some(expected));
+    }
+    assert!(t.c.set_aside() == 1 && sent < 30, "{sent} sent");
+}
+
+#[test]
+fn limits_of_later_are_checked_by_field() {
+    let parse = |next: Value| {
+        let mut text = world::given::platform("x");
+        text["params"]["state"]["next"] = next;
+        Platform::parse("p.json", &text.to_string())
+    };
+    for (field, value) in [
+        ("value_kb", json!(1.5)),
+        ("value_kb", json!(0)),
+        ("txn_ops", json!(3)),
+        ("write_rps", json!(0)),
+        ("rps", json!(-1)),
+    ] {
+        let e = parse(json!({ field: value })).unwrap_err().to_string();
+        assert!(e.contains(&format!("params.state.next.{field}")), "{e}");
+    }
+    let p = parse(json!({"txn_ops": 4})).unwrap();
+    let (now, next) = (p.params.state.now(), p.params.state.announced().unwrap());
+    assert_eq!((next.txn_ops, next.value_kb), (4, now.value_kb));
+    assert!(
+        parse(Value::Null)
+            .unwrap()
+            .params
+            .state
+            .announced()
+            .is_none()
+    );
+}
+
+/// Most records of new jobs are one value; and what could not be written under the
+/// limits of later, with all its tasks running, is not accepted.
+#[test]
+fn new_jobs_are_taken_only_if_their_records_always_fit() {
+    let mut t = Term::new(&announced(), RecordFormat::Compact, vec![]);
+    assert_eq!(compact_part_size(2048), 192);
+    let mut large = job(1, 3000);
+    large.image = "i".repeat(200).as_str().into();
+    t.d.submit(&large);
+    let j = &t.d.s.jobs[&large.id];
+    assert!(j.part_size == 192 && j.most_values(2048) <= 4);
+    let mut wordy = job(2, 3000);
+    wordy.builds = Some(
+        (0..64)
+            .map(|n| format!("{n}{}", "b".repeat(90)).as_str().into())
+            .collect(),
+    );
+    if let Some(builds) = &mut wordy.builds {
+        builds.push("m8".into());
+        builds.swap_remove(0);
+    }
+    t.d.submit(&wordy);
+    assert!(
+        !t.d.s.jobs.contains_key(&wordy.id),
+        "64 names of 90 bytes each"
+    );
+}
