--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -1,6 +1,6 @@
 //! Whether a submission can be taken: what is refused, and as what.
 
-use super::job::{Job, LATER, compact_part_size, part_size};
+use super::job::{Job, LATER, LEAST_PART, compact_part_size, part_size};
 use super::{Room, Sched};
 use crate::ids::Zone;
 use crate::store::RecordFormat;
@@ -66,11 +66,23 @@
     }
 
     pub(super) fn new_job(&self, now: Time, spec: JobSpec) -> Job {
-        let size = match self.record_format {
+        let usual = match self.record_format {
             RecordFormat::Legacy => part_size(self.cfg.value_kb),
             RecordFormat::Compact => compact_part_size(self.smallest_value()),
         };
-        Job::new(spec, self.next_seq, now, self.wall, size)
+        let mut job = Job::new(spec, self.next_seq, now, self.wall, usual);
+        // Beside long names fewer tasks fit.
+        while !self.fits_smallest(&job) && job.part_size > LEAST_PART {
+            let size = job.part_size - LEAST_PART;
+            job = Job::new(job.spec, self.next_seq, now, self.wall, size);
+        }
+        job
+    }
+
+    /// Its first record can be written under the smallest limits that are known to
+    /// come, whatever becomes of its tasks.
+    fn fits_smallest(&self, job: &Job) -> bool {
+        job.most_values(self.smallest_value()) <= self.cfg.smallest.txn_ops
     }
 
     /// Bytes of the smallest value that is known to come.
@@ -82,8 +94,7 @@
     /// The state service would not take the job's first record, now or under the
     /// smaller limits of later.
     pub(super) fn too_large(&self, job: &Job) -> bool {
-        let values = self.cfg.smallest.txn_ops;
-        if job.most_values(self.smallest_value()) > values {
+        if !self.fits_smallest(job) {
             return true;
         }
         if self.record_format == RecordFormat::Compact {
--- a/src/sched/job/mod.rs
+++ b/src/sched/job/mod.rs
@@ -3,7 +3,7 @@
 pub mod compact;
 mod record;
 
-pub use record::{LATER, compact_part_size, part_size};
+pub use record::{LATER, LEAST_PART, compact_part_size, part_size};
 
 use super::places::Place;
 use super::records::Purpose;
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -23,7 +23,7 @@
 /// Bytes that a started task takes in the compact form, most of the time; a started
 /// task at the most; and what such a record takes besides.
 const COMPACT_TASK: usize = 10;
-const COMPACT_TASK_MOST: usize = 18;
+const COMPACT_TASK_MOST: usize = 16;
 const COMPACT_BASE: usize = 320;
 /// The longest runtime that is kept, in seconds, and the most that the counts of a
 /// history take.
@@ -378,14 +378,20 @@
     }
 }
 
+/// Parts begin and end at whole words of the bit set.
+pub const LEAST_PART: u32 = 64;
+const MOST_PART: u32 = 512;
+
+fn whole_words(tasks: u32) -> u32 {
+    (tasks / LEAST_PART * LEAST_PART).clamp(LEAST_PART, MOST_PART)
+}
+
 /// How many tasks share a record, so that a full one stays under the limit.
 pub fn part_size(value_kb: f64) -> u32 {
-    let n = ((value_kb * 1024.0 - HEADER) / PER_TASK).max(64.0) as u32;
-    (n / 64 * 64).clamp(64, 512)
+    whole_words(((value_kb * 1024.0 - HEADER) / PER_TASK).max(0.0) as u32)
 }
 
 /// The same for the compact form, so that a record mostly is one value.
 pub fn compact_part_size(value_bytes: usize) -> u32 {
-    let n = value_bytes.saturating_sub(COMPACT_BASE / 4) / COMPACT_TASK;
-    (n as u32 / 64 * 64).clamp(64, 512)
+    whole_words((value_bytes.saturating_sub(COMPACT_BASE / 4) / COMPACT_TASK) as u32)
 }
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -436,7 +436,7 @@
     fn add_records(&mut self, now: Time, sched: &mut Sched, draft: &mut Draft) {
         let mut skipped = vec![];
         let alone = self.singly > 0;
-        while !(alone && !draft.works.is_empty())
+        while (!alone || draft.works.is_empty())
             && let Some(d) = sched.dirty.next(now, self.share_left(now, draft))
         {
             match self.add_record(sched, &d, draft) {
