--- a/crates/http-server/src/acceptor.rs
+++ b/crates/http-server/src/acceptor.rs
@@ -1,20 +1,17 @@
 //! The thread that accepts connections. Nothing that can go wrong here ends it.
 
 use crate::Service;
-use crate::connection;
+use crate::bounds::MAX_CLOSING;
+use crate::connection::{Connection, Work};
 use crate::connection_table::{Admission, ConnectionId};
 use crate::shared::Shared;
-use crate::thread_pool::{Connection, PoolError};
 use std::io::{Error, ErrorKind};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// A single write may block for so long; all of an answer has a timeout besides.
-const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection without a slot or a thread is tried so many times again, with this
-/// delay.
+/// A connection without a slot is tried so many times again, with this delay.
 const ADMISSION_RETRIES: u32 = 25;
 const ADMISSION_RETRY_DELAY: Duration = Duration::from_millis(2);
 /// Failures in a row after which the listening socket is opened anew.
@@ -28,8 +25,7 @@
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    // Accepted connections inherit these.
-    socket.set_write_timeout(Some(WRITE_TIMEOUT))?;
+    // Accepted connections inherit this.
     socket.set_tcp_nodelay(true)?;
     socket.bind(&addr.into())?;
     socket.listen(BACKLOG)?;
@@ -37,7 +33,7 @@
 }
 
 /// Accepts connections for a server.
-pub(crate) struct Acceptor<S> {
+pub(crate) struct Acceptor<S: Service> {
     shared: Arc<Shared<S>>,
     addr: SocketAddr,
     /// None while it can't be opened.
@@ -69,9 +65,12 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     self.failures = 0;
-                    match self.shared.stopping() {
-                        false => self.admit(stream),
-                        true => self.shared.refuse(Arc::new(stream)),
+                    // One that can't be served without blocking is closed.
+                    if stream.set_nonblocking(true).is_ok() {
+                        match self.shared.stopping() {
+                            false => self.admit(stream),
+                            true => self.shared.refuse(Arc::new(stream)),
+                        }
                     }
                     self.refill_reserve();
                 }
@@ -142,38 +141,26 @@
         if self.reserve.take().is_some()
             && listener.set_nonblocking(true).is_ok()
             && let Ok((stream, _)) = listener.accept()
+            && stream.set_nonblocking(true).is_ok()
         {
             self.shared.refuse(Arc::new(stream));
         }
         let _ = listener.set_nonblocking(false);
     }
 
-    /// Finds a slot and a thread for a new connection, or refuses it.
+    /// Finds a slot for a new connection, or refuses it.
     fn admit(&self, stream: TcpStream) {
         let stream = Arc::new(stream);
-        let mut retries = 0..ADMISSION_RETRIES;
-        let Some(id) = self.find_slot(&stream, &mut retries) else {
-            return self.shared.refuse(stream);
-        };
-        let connection = Connection { id, stream };
-        if let Err(connection) = self.find_thread(connection, &mut retries) {
-            self.shared.connections().remove(connection.id);
-            self.shared.refuse(connection.stream);
+        match self.find_slot(&stream) {
+            Some(id) => self.shared.submit(Work::Serve(Connection::new(id, stream))),
+            None => self.shared.refuse(stream),
         }
     }
 
-    fn find_slot(
-        &self,
-        stream: &Arc<TcpStream>,
-        retries: &mut impl Iterator<Item = u32>,
-    ) -> Option<ConnectionId> {
+    fn find_slot(&self, stream: &Arc<TcpStream>) -> Option<ConnectionId> {
+        let mut retries = 0..ADMISSION_RETRIES;
         loop {
-            let mut connections = self.shared.connections();
-            let admission = connections.admit(Instant::now(), stream.clone());
-            let most_open = &self.shared.most_open;
-            most_open.fetch_max(connections.open(), Ordering::Relaxed);
-            drop(connections);
-            match admission {
+            match self.try_admit(stream) {
                 Admission::Admitted(id) => return Some(id),
                 Admission::AdmittedReplacing(id, other) => {
                     let _ = other.shutdown(Shutdown::Read);
@@ -188,23 +175,15 @@
         }
     }
 
-    fn find_thread(
-        &self,
-        mut connection: Connection,
-        retries: &mut impl Iterator<Item = u32>,
-    ) -> Result<(), Connection> {
-        loop {
-            let shared = self.shared.clone();
-            let serve = move |c: Connection| connection::serve(&shared, c);
-            connection = match self.shared.pool.serve(connection, serve) {
-                Ok(()) => return Ok(()),
-                // Connections that are being closed need a moment for it.
-                Err(PoolError::Busy(back)) if retries.next().is_some() => {
-                    std::thread::sleep(ADMISSION_RETRY_DELAY);
-                    back
-                }
-                Err(PoolError::Busy(back) | PoolError::NoThread(back)) => return Err(back),
-            };
+    fn try_admit(&self, stream: &Arc<TcpStream>) -> Admission<Arc<TcpStream>> {
+        let mut connections = self.shared.connections();
+        // Those that have lost their slots hold their sockets a moment longer.
+        if connections.open() >= connections.bounds().connections + MAX_CLOSING {
+            return Admission::Refused;
         }
+        let admission = connections.admit(Instant::now(), stream.clone());
+        let most_open = &self.shared.most_open;
+        most_open.fetch_max(connections.open(), Ordering::Relaxed);
+        admission
     }
 }
--- a/crates/http-server/src/bounds.rs
+++ b/crates/http-server/src/bounds.rs
@@ -5,21 +5,29 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Connections that are admitted and wait for a thread.
-pub(crate) const MAX_WAITING: usize = 16;
+/// Connections that have lost their slots and hold their sockets a moment longer.
+pub(crate) const MAX_CLOSING: usize = 16;
 /// Refused or finished connections whose other side has yet to read its answer.
 pub(crate) const MAX_LINGERING: usize = 32;
-/// Descriptors for standard streams, listening sockets, a reserve, and some more.
+/// Descriptors for standard streams, listening sockets, a reserve, readiness, and
+/// some more.
 const BASE_DESCRIPTORS: usize = 12;
-/// Bytes of memory of a connection with its thread and its buffers, as measured
+/// Bytes of memory of a connection with a request under way, as measured
 /// (docs/notes/connections.md), with a margin.
 pub const BYTES_PER_CONNECTION: u64 = 20 * 1024;
 /// With fewer connections a controller does not start.
 const MIN_CONNECTIONS: usize = 16;
-/// Threads that a process may have besides those for connections.
+/// Threads that a process may have besides those for requests.
 const OTHER_THREADS: usize = 100;
+/// There is a thread for so many connections, at the most: no thread waits for a
+/// client or an answer, so far fewer are in use.
+const CONNECTIONS_PER_THREAD: usize = 32;
+/// Fewer threads could not keep some for health checks.
+const MIN_THREADS: usize = 8;
 /// Threads that a process may have in all, as the platform's users agreed.
 const MAX_THREADS: usize = 2000;
+/// What is left of them for requests.
+const MOST_REQUEST_THREADS: usize = MAX_THREADS - OTHER_THREADS;
 
 /// What the machine offers, and what of it is reserved for other uses.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +45,7 @@
 /// What operators set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BoundsSettings {
-    /// Most threads that serve connections, one each.
+    /// Most threads that serve requests.
     pub threads: usize,
     /// Share of the memory that connections may take.
     pub memory_share: f64,
@@ -56,7 +64,7 @@
 impl Default for BoundsSettings {
     fn default() -> Self {
         BoundsSettings {
-            threads: 1850,
+            threads: 128,
             memory_share: 0.5,
             body_share: 0.1,
             workers: 0.7,
@@ -85,8 +93,10 @@
     #[error("connection shares add up to {0}, which must not pass 1")]
     /// The guaranteed shares pass the whole; their sum.
     Shares(f64),
-    #[error("{0} threads for connections are too many: a process may have {MAX_THREADS} in all")]
-    /// More threads than a process may have.
+    #[error(
+        "{0} threads for requests: must be {MIN_THREADS} to {MOST_REQUEST_THREADS}, as a process may have {MAX_THREADS} in all"
+    )]
+    /// Too few threads, or more than a process may have.
     Threads(usize),
 }
 
@@ -100,8 +110,6 @@
     Descriptors,
     /// The memory.
     Memory,
-    /// The limit of threads.
-    Threads,
 }
 
 impl std::fmt::Display for LimitedBy {
@@ -110,7 +118,6 @@
             LimitedBy::Sockets => "limited by the machine's sockets",
             LimitedBy::Descriptors => "limited by the system's descriptors",
             LimitedBy::Memory => "limited by memory",
-            LimitedBy::Threads => "limited by threads",
         })
     }
 }
@@ -118,8 +125,10 @@
 /// The bounds in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Bounds {
-    /// Connections served at a time, and threads that serve them.
+    /// Connections open at a time.
     pub connections: usize,
+    /// Most threads that serve their requests.
+    pub threads: usize,
     /// What keeps the number of connections from being larger.
     pub limited_by: LimitedBy,
     /// Connections that each class can always have, by [`RequestClass`].
@@ -143,14 +152,13 @@
         if !(0.0..=1.0).contains(&shares) {
             return Err(BoundsError::Shares(shares));
         }
-        if settings.threads > MAX_THREADS - OTHER_THREADS {
+        if !(MIN_THREADS..=MOST_REQUEST_THREADS).contains(&settings.threads) {
             return Err(BoundsError::Threads(settings.threads));
         }
-        let set_aside = machine.reserved_sockets + BASE_DESCRIPTORS + MAX_WAITING + MAX_LINGERING;
+        let set_aside = machine.reserved_sockets + BASE_DESCRIPTORS + MAX_CLOSING + MAX_LINGERING;
         let by_memory =
             (machine.memory as f64 * settings.memory_share) as u64 / BYTES_PER_CONNECTION;
         let mut limits = vec![
-            (settings.threads, LimitedBy::Threads),
             (
                 machine.sockets.saturating_sub(set_aside),
                 LimitedBy::Sockets,
@@ -163,7 +171,7 @@
         let (connections, limited_by) = limits
             .into_iter()
             .min_by_key(|l| l.0)
-            .unwrap_or((0, LimitedBy::Threads));
+            .unwrap_or((0, LimitedBy::Sockets));
         if connections < MIN_CONNECTIONS {
             return Err(BoundsError::TooFew {
                 left: connections,
@@ -180,8 +188,10 @@
         let others: usize = guaranteed.iter().sum();
         guaranteed[RequestClass::Workers as usize] =
             part(settings.workers, 2).min(connections - others);
+        let threads = connections / CONNECTIONS_PER_THREAD;
         Ok(Bounds {
             connections,
+            threads: threads.clamp(MIN_THREADS, settings.threads),
             limited_by,
             guaranteed,
             set_aside,
--- a/crates/http-server/src/lib.rs
+++ b/crates/http-server/src/lib.rs
@@ -1,4 +1,5 @@
-//! A bounded HTTP/1.1 server, with one thread per connection.
+//! A bounded HTTP/1.1 server. Idle connections hold no thread: one thread watches all
+//! of them, and a small pool serves the requests that are there.
 //!
 //! It promises that sockets, threads and memory stay within bounds that no caller
 //! can pass; that each class of requests keeps its guaranteed share of the
@@ -15,18 +16,21 @@
 //!   [`Service`].
 
 mod acceptor;
+mod body;
 mod bounds;
 mod connection;
 mod connection_table;
 mod head;
 mod lingering;
 mod metrics;
+mod pending_answer;
 mod phase;
+mod readiness;
 mod request_class;
+mod request_pool;
 mod retry_jitter;
 mod server;
 mod shared;
-mod thread_pool;
 
 pub use bounds::{
     BYTES_PER_CONNECTION, Bounds, BoundsError, BoundsSettings, LimitedBy, MachineResources,
@@ -43,8 +47,9 @@
 use bincode::de::Decoder;
 use bincode::error::DecodeError;
 use bincode::{Decode, Encode};
-use crossbeam_channel::Sender;
 use http::Method;
+use pending_answer::AnswerSink;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// An answer, with a JSON body; controllers pass it on among themselves.
@@ -111,21 +116,44 @@
 }
 
 /// Carries the answer back to the client. Dropped unused, it answers 503.
-#[derive(Debug)]
 pub struct Reply {
-    pub(crate) to: Sender<Answer>,
-    pub(crate) asked: Instant,
+    /// None once answered.
+    to: Option<Arc<dyn AnswerSink>>,
+    asked: Instant,
+}
+
+impl std::fmt::Debug for Reply {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        let reply = &mut f.debug_struct("Reply");
+        reply.field("asked", &self.asked).finish_non_exhaustive()
+    }
+}
+
+impl Drop for Reply {
+    fn drop(&mut self) {
+        if let Some(to) = self.to.take() {
+            to.deliver(Answer::later("no answer in time", 1));
+        }
+    }
 }
 
 impl Reply {
+    fn new(to: Arc<dyn AnswerSink>, asked: Instant) -> Reply {
+        let to = Some(to);
+        Reply { to, asked }
+    }
+
     /// When the request was complete; the answer's validity counts from then.
     pub fn asked(&self) -> Instant {
         self.asked
     }
 
-    /// Hands the answer to the connection's thread; never blocks.
-    pub fn answer(self, answer: Answer) {
-        let _ = self.to.try_send(answer);
+    /// Hands the answer, and the connection that waits for it, to the server's
+    /// threads; never blocks.
+    pub fn answer(mut self, answer: Answer) {
+        if let Some(to) = self.to.take() {
+            to.deliver(answer);
+        }
     }
 }
 
@@ -137,8 +165,8 @@
     Handle(RequestClass, R),
 }
 
-/// What the server serves. Called on the connections' own threads, so it must
-/// not block.
+/// What the server serves. Called on the threads that all connections share, so it
+/// must not block.
 pub trait Service: Send + Sync + 'static {
     /// What a request asks for, as found in its head.
     type Request: Send;
--- a/crates/http-server/src/lingering.rs
+++ b/crates/http-server/src/lingering.rs
@@ -29,13 +29,11 @@
     (sender, LingeringClose { queue, open })
 }
 
-/// Closes a connection after its last answer. With too many lingering already it is
+/// Closes a connection, whose socket doesn't block, after its last answer. With too many lingering already it is
 /// closed at once.
 pub(crate) fn close_after_answer(sender: &LingerQueue, stream: Arc<TcpStream>) {
     let _ = stream.shutdown(Shutdown::Write);
-    if stream.set_nonblocking(true).is_ok() {
-        let _ = sender.try_send(stream);
-    }
+    let _ = sender.try_send(stream);
 }
 
 impl LingeringClose {
--- a/crates/http-server/src/metrics.rs
+++ b/crates/http-server/src/metrics.rs
@@ -41,7 +41,7 @@
     pub open: usize,
     /// Most open connections at a time.
     pub most_open: usize,
-    /// Threads that serve connections.
+    /// Threads that serve requests.
     pub threads: usize,
     /// Most threads at a time.
     pub most_threads: usize,
--- a/crates/http-server/src/phase.rs
+++ b/crates/http-server/src/phase.rs
@@ -5,7 +5,7 @@
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Open, but its thread does not read yet.
+    /// Open, but no thread has looked at it yet.
     Starting,
     /// Open, with nothing or part of its first request head.
     FirstHead,
--- a/crates/http-server/src/server.rs
+++ b/crates/http-server/src/server.rs
@@ -6,6 +6,7 @@
 use crate::lingering::{LingeringClose, lingering_close};
 use crate::metrics::ServerMetrics;
 use crate::phase::{Phase, Timeouts};
+use crate::readiness;
 use crate::shared::Shared;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -43,18 +44,20 @@
         let listener = listen(addr)?;
         let addr = listener.local_addr()?;
         let (queue, lingering) = lingering_close();
-        let shared = Arc::new(Shared::new(service, bounds, timeouts, queue));
+        let shared = Arc::new(Shared::new(service, bounds, timeouts, queue)?);
         let (stop, stopped) = bounded(1);
         let named = |name: &str| std::thread::Builder::new().name(name.into());
         let acceptor = Acceptor::new(shared.clone(), addr, listener);
         let accept = named("accept").spawn(move || acceptor.run())?;
         let s = shared.clone();
+        let watch = named("readiness").spawn(move || readiness::run(&s))?;
+        let s = shared.clone();
         let timer = named("time-limits").spawn(move || enforce_timeouts(&s, lingering, stopped))?;
         Ok(Server {
             shared,
             addr,
             stop,
-            threads: vec![accept, timer],
+            threads: vec![accept, watch, timer],
         })
     }
 
@@ -85,10 +88,6 @@
         for stream in idle {
             let _ = stream.shutdown(Shutdown::Read);
         }
-        for connection in self.shared.pool.close() {
-            self.shared.connections().remove(connection.id);
-            self.shared.refuse(connection.stream);
-        }
     }
 
     /// Closes, and waits up to `grace` for answers that are due. True: all
@@ -100,10 +99,11 @@
     fn end(&mut self, grace: Duration) -> bool {
         self.close();
         let until = Instant::now() + grace;
-        while self.shared.pool.counts().now > 0 && Instant::now() < until {
-            std::thread::sleep(STOP_CHECK_INTERVAL);
-        }
+        wait_until(until, || self.shared.connections().open() == 0);
+        self.shared.pool.close();
+        wait_until(until, || self.shared.pool.counts().now == 0);
         let _ = self.stop.try_send(());
+        self.shared.readiness.stop();
         let done = self.shared.pool.counts().now == 0;
         for t in self.threads.drain(..) {
             let _ = t.join();
@@ -112,6 +112,12 @@
     }
 }
 
+fn wait_until(deadline: Instant, condition: impl Fn() -> bool) {
+    while !condition() && Instant::now() < deadline {
+        std::thread::sleep(STOP_CHECK_INTERVAL);
+    }
+}
+
 impl<S: Service> Drop for Server<S> {
     fn drop(&mut self) {
         if !self.threads.is_empty() {
@@ -121,7 +127,11 @@
 }
 
 /// Closes connections that ran into a timeout, until told to stop.
-fn enforce_timeouts<S>(shared: &Shared<S>, mut lingering: LingeringClose, stopped: Receiver<()>) {
+fn enforce_timeouts<S: Service>(
+    shared: &Arc<Shared<S>>,
+    mut lingering: LingeringClose,
+    stopped: Receiver<()>,
+) {
     let mut log = RefusalLog {
         at: Instant::now(),
         lost: 0,
@@ -137,6 +147,8 @@
             };
             let _ = stream.shutdown(how);
         }
+        shared.answer_overdue(now);
+        shared.add_thread_if_needed();
         lingering.poll(now);
         if now - log.at > REFUSAL_LOG_INTERVAL {
             log.write(now, &shared.metrics());
--- a/crates/http-server/src/shared.rs
+++ b/crates/http-server/src/shared.rs
@@ -1,31 +1,43 @@
 //! What all threads of a server share.
 
 use crate::bounds::Bounds;
-use crate::connection_table::ConnectionTable;
+use crate::connection_table::{ConnectionId, ConnectionTable};
 use crate::lingering::{LingerQueue, close_after_answer};
 use crate::metrics::{ClassMetrics, ServerMetrics};
+use crate::pending_answer::{AnswerSink, PendingAnswer};
 use crate::phase::Timeouts;
+use crate::readiness::Readiness;
 use crate::request_class::RequestClass;
+use crate::request_pool::RequestPool;
 use crate::retry_jitter::RetryJitter;
-use crate::thread_pool::ThreadPool;
-use crate::{Answer, encode};
+use crate::{Answer, Service, encode};
+use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
-use std::time::Instant;
+use std::time::{Duration, Instant};
+
+/// A request without an answer for so long is answered 503. The service has timeouts
+/// of its own below this.
+const SERVICE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Requests that wait for the service, the earliest first.
+type PendingAnswers<S> = BTreeMap<(Instant, ConnectionId), Arc<PendingAnswer<S>>>;
 
 /// The state of a server.
-pub(crate) struct Shared<S> {
+pub(crate) struct Shared<S: Service> {
     pub service: S,
     pub lingering: LingerQueue,
-    pub pool: Arc<ThreadPool>,
+    pub pool: RequestPool<S::Request>,
+    pub readiness: Readiness<S::Request>,
+    pending: Mutex<PendingAnswers<S>>,
     bounds: Bounds,
     connections: Mutex<ConnectionTable<Arc<TcpStream>>>,
     jitter: Mutex<RetryJitter>,
     started: Instant,
-    /// Bytes that large bodies may still take.
-    body_bytes_free: AtomicUsize,
+    /// Bytes that large bodies and heads may still take.
+    body_bytes_free: Arc<AtomicUsize>,
     stopping: AtomicBool,
     pub accept_failed: AtomicU64,
     pub listener_reopened: AtomicU64,
@@ -33,25 +45,32 @@
     pub most_open: AtomicUsize,
 }
 
-impl<S> Shared<S> {
-    pub fn new(service: S, bounds: Bounds, timeouts: Timeouts, lingering: LingerQueue) -> Self {
+impl<S: Service> Shared<S> {
+    pub fn new(
+        service: S,
+        bounds: Bounds,
+        timeouts: Timeouts,
+        lingering: LingerQueue,
+    ) -> std::io::Result<Self> {
         // A tenth of all connections in a second is a wave that can be served.
         let retries_per_second = (bounds.connections / 10).max(20) as u32;
-        Shared {
+        Ok(Shared {
             service,
             lingering,
-            pool: Arc::new(ThreadPool::new(bounds.connections)),
+            pool: RequestPool::new(bounds.threads),
+            readiness: Readiness::new()?,
+            pending: Mutex::default(),
             bounds,
             connections: Mutex::new(ConnectionTable::new(bounds, timeouts)),
             jitter: Mutex::new(RetryJitter::new(retries_per_second)),
             started: Instant::now(),
-            body_bytes_free: AtomicUsize::new(bounds.body_bytes),
+            body_bytes_free: Arc::new(AtomicUsize::new(bounds.body_bytes)),
             stopping: AtomicBool::new(false),
             accept_failed: AtomicU64::new(0),
             listener_reopened: AtomicU64::new(0),
             turned_away: AtomicU64::new(0),
             most_open: AtomicUsize::new(0),
-        }
+        })
     }
 
     pub fn connections(&self) -> MutexGuard<'_, ConnectionTable<Arc<TcpStream>>> {
@@ -74,13 +93,44 @@
         jitter.next(second, least, &mut rand::rng())
     }
 
-    /// Takes memory for a large body, until the reservation is dropped.
-    pub fn reserve_body(&self, bytes: usize) -> Option<BodyReservation<'_>> {
+    /// Takes memory for a large body or head, until the reservation is dropped.
+    pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let take = |left: usize| left.checked_sub(bytes);
         let (set, fetch) = (Ordering::SeqCst, Ordering::SeqCst);
         let free = &self.body_bytes_free;
-        let taken = free.fetch_update(set, fetch, take);
-        taken.ok().map(|_| BodyReservation { free, bytes })
+        free.fetch_update(set, fetch, take).ok()?;
+        Some(MemoryReservation {
+            free: free.clone(),
+            bytes,
+        })
+    }
+
+    fn pending_answers(&self) -> MutexGuard<'_, PendingAnswers<S>> {
+        self.pending.lock().unwrap_or_else(|e| e.into_inner())
+    }
+
+    /// From now on this connection waits for the service.
+    pub fn pending(&self, asked: Instant, id: ConnectionId, answer: Arc<PendingAnswer<S>>) {
+        self.pending_answers().insert((asked, id), answer);
+    }
+
+    pub fn no_longer_pending(&self, asked: Instant, id: ConnectionId) {
+        self.pending_answers().remove(&(asked, id));
+    }
+
+    /// Answers requests that the service has left alone for too long.
+    pub fn answer_overdue(&self, now: Instant) {
+        loop {
+            let mut pending = self.pending_answers();
+            let first = pending
+                .first_entry()
+                .filter(|e| e.key().0 + SERVICE_TIMEOUT <= now);
+            let Some(overdue) = first.map(|e| e.remove()) else {
+                return;
+            };
+            drop(pending);
+            overdue.deliver(Answer::later("no answer in time", 1));
+        }
     }
 
     /// Refuses a connection before it has sent anything: it is told why, and when to
@@ -88,11 +138,9 @@
     pub fn refuse(&self, stream: Arc<TcpStream>) {
         self.turned_away.fetch_add(1, Ordering::Relaxed);
         let answer = Answer::later("too many connections", self.retry_after(1));
-        if stream.set_nonblocking(true).is_ok() {
-            let mut to = &*stream;
-            let _ = to.write_all(&encode(&answer, true, false));
-            close_after_answer(&self.lingering, stream);
-        }
+        let mut to = &*stream;
+        let _ = to.write_all(&encode(&answer, true, false));
+        close_after_answer(&self.lingering, stream);
     }
 
     pub fn metrics(&self) -> ServerMetrics {
@@ -127,13 +175,13 @@
     }
 }
 
-/// Memory that a body takes. It gives itself back, whichever way a request ends.
-pub(crate) struct BodyReservation<'a> {
-    free: &'a AtomicUsize,
+/// Memory that a request takes. It gives itself back, whichever way the request ends.
+pub(crate) struct MemoryReservation {
+    free: Arc<AtomicUsize>,
     bytes: usize,
 }
 
-impl Drop for BodyReservation<'_> {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.free.fetch_add(self.bytes, Ordering::SeqCst);
     }
