--- a/crates/http-server/benches/connections.rs
+++ b/crates/http-server/benches/connections.rs
@@ -1,10 +1,13 @@
-//! Threads, memory and answers a second by the number of open connections,
-//! beside the way that controllers served them before: `tiny_http` with a
-//! thread for each connection and no bound. Each server is a process of its own.
+//! What a controller with many workers takes: connections that are kept open and
+//! mostly idle, and requests at a steady rate over all of them in turn. Then threads,
+//! memory and answers a second by the number of open connections, as fast as clients
+//! can ask, beside `tiny_http` with a thread for each connection and no bound. Each
+//! server is a process of its own.
 //!
 //!     cargo bench -p hookworks-http-server
 //!
-//! `CONNECTIONS=1500` measures that number only.
+//! `CONNECTIONS=1500` measures that number only, `ONLY=idle` and `ONLY=busy` one of
+//! the two tables.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -20,6 +23,10 @@
 
 const CLIENTS: usize = 8;
 const MEASURE: Duration = Duration::from_secs(3);
+/// Kept open by workers of a large fleet that all report to one controller.
+const IDLE_CONNECTIONS: usize = 4500;
+const REQUESTS_PER_SECOND: u32 = 1200;
+const MEASURE_IDLE: Duration = Duration::from_secs(15);
 const BODY: &str = "{\"Host\":\"n-000231\",\"Shift\":1,\"Tally\":88,\"Pieces\":[]}";
 
 /// What stands in for a controller's main loop: one thread that answers.
@@ -41,11 +48,11 @@
     }
 }
 
-fn serve_now() -> SocketAddr {
+fn serve_now(sockets: usize, memory: u64) -> SocketAddr {
     let machine = MachineResources {
-        sockets: 3129,
-        descriptors: descriptors(3129),
-        memory: 188_000_000,
+        sockets,
+        descriptors: descriptors(sockets),
+        memory,
         reserved_sockets: 60,
     };
     let b = Bounds::plan(&machine, &BoundsSettings::default()).expect("bounds");
@@ -190,27 +197,144 @@
     let _ = child.wait();
 }
 
-fn main() {
-    let addr = match std::env::var("SERVE").as_deref() {
-        Ok("bounded") => serve_now(),
-        Ok(_) => serve_before(),
-        Err(_) => {
-            let _ = descriptors(20_000);
-            println!(
-                "| server | connections tried | answered | told no | failed | stay open | threads | MiB | KiB each | answers a second |"
-            );
-            println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-            let asked = std::env::var("CONNECTIONS")
-                .ok()
-                .and_then(|n| n.parse().ok());
-            for n in asked.map_or(vec![100, 1000, 1500, 2500, 4500], |n| vec![n]) {
-                for which in ["before", "bounded"] {
-                    measure(which, n);
-                }
-            }
-            return;
+/// Processor time of a process so far, in ticks of 10 ms.
+fn processor_ticks(of: &Child) -> u64 {
+    let text = std::fs::read_to_string(format!("/proc/{}/stat", of.id())).unwrap_or_default();
+    let fields = text.rsplit(") ").next().unwrap_or_default();
+    let ticks = fields.split(' ').skip(11).take(2);
+    ticks.filter_map(|t| t.parse::<u64>().ok()).sum()
+}
+
+/// What one client thread saw.
+#[derive(Default)]
+struct Seen {
+    latencies: Vec<Duration>,
+    refused: u64,
+    failed: u64,
+}
+
+/// One request over a connection that is opened if it is not; counted from `due`.
+fn request(addr: SocketAddr, slot: &mut Option<Client>, due: Instant, seen: &mut Seen) {
+    let mut client = slot.take().unwrap_or_else(|| Client::to(addr));
+    let mut got = client.ask("/beat", BODY);
+    if got.is_none() {
+        // It was closed while idle.
+        client = Client::to(addr);
+        got = client.ask("/beat", BODY);
+    }
+    match got {
+        Some(answer) if answer.status == 200 => {
+            seen.latencies.push(due.elapsed());
+            *slot = (!answer.close).then_some(client);
+        }
+        Some(_) => seen.refused += 1,
+        None => seen.failed += 1,
+    }
+}
+
+/// Requests at a steady rate over its connections in turn, until the time is over.
+fn ask_steadily(addr: SocketAddr, open: &mut [Option<Client>], until: Instant) -> Seen {
+    let mut seen = Seen::default();
+    let interval = Duration::from_secs(1) * CLIENTS as u32 / REQUESTS_PER_SECOND;
+    let mut due = Instant::now();
+    for turn in 0.. {
+        due += interval;
+        if due >= until {
+            break;
         }
+        std::thread::sleep(due.saturating_duration_since(Instant::now()));
+        let slot = turn % open.len();
+        request(addr, &mut open[slot], due, &mut seen);
+    }
+    seen
+}
+
+fn measure_mostly_idle() {
+    let (mut child, addr) = start("idle");
+    let empty = size(&child).0;
+    let mut open: Vec<Vec<Option<Client>>> = std::thread::scope(|s| {
+        let open = || {
+            let mut open: Vec<_> = (0..IDLE_CONNECTIONS / CLIENTS).map(|_| None).collect();
+            for slot in &mut open {
+                request(addr, slot, Instant::now(), &mut Seen::default());
+            }
+            open
+        };
+        let threads: Vec<_> = (0..CLIENTS).map(|_| s.spawn(open)).collect();
+        threads
+            .into_iter()
+            .map(|t| t.join().expect("opened"))
+            .collect()
+    });
+    let kept = open.iter().flatten().flatten().count();
+    let (begun, ticks) = (Instant::now(), processor_ticks(&child));
+    let seen: Vec<Seen> = std::thread::scope(|s| {
+        let until = begun + MEASURE_IDLE;
+        let ask = |part| s.spawn(move || ask_steadily(addr, part, until));
+        let threads: Vec<_> = open.iter_mut().map(|part| ask(&mut part[..])).collect();
+        threads
+            .into_iter()
+            .map(|t| t.join().expect("asked"))
+            .collect()
+    });
+    let ticks = processor_ticks(&child) - ticks;
+    let (memory, threads) = size(&child);
+    let mut latencies: Vec<Duration> = seen.iter().flat_map(|s| s.latencies.clone()).collect();
+    latencies.sort();
+    let answered = latencies.len().max(1);
+    let at = |share: f64| latencies[(answered as f64 * share) as usize].as_secs_f64() * 1e3;
+    let sum = |of: fn(&Seen) -> u64| seen.iter().map(of).sum::<u64>();
+    println!(
+        "| {IDLE_CONNECTIONS} | {kept} | {:.0} | {} | {} | {threads} | {:.1} | {:.1} | {:.0} | {:.2} | {:.2} |",
+        answered as f64 / begun.elapsed().as_secs_f64(),
+        sum(|s| s.refused),
+        sum(|s| s.failed),
+        memory as f64 / 1024.0,
+        (memory - empty) as f64 / kept as f64,
+        ticks as f64 * 10_000.0 / answered as f64,
+        at(0.5),
+        at(0.99),
+    );
+    let _ = child.kill();
+    let _ = child.wait();
+}
+
+fn serve(which: &str) -> ! {
+    let addr = match which {
+        "idle" => serve_now(6000, 400_000_000),
+        "bounded" => serve_now(3129, 188_000_000),
+        _ => serve_before(),
     };
     println!("{addr}");
     std::thread::sleep(Duration::from_secs(120));
+    std::process::exit(0)
+}
+
+fn main() {
+    if let Ok(which) = std::env::var("SERVE") {
+        serve(&which);
+    }
+    let _ = descriptors(20_000);
+    let only = std::env::var("ONLY").unwrap_or_default();
+    if only != "busy" {
+        println!(
+            "| connections tried | stay open | answers a second | refused | failed | threads | MiB | KiB each | processor us each | 50% ms | 99% ms |"
+        );
+        println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+        measure_mostly_idle();
+    }
+    if only == "idle" {
+        return;
+    }
+    println!(
+        "| server | connections tried | answered | told no | failed | stay open | threads | MiB | KiB each | answers a second |"
+    );
+    println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    let asked = std::env::var("CONNECTIONS");
+    let asked = asked.ok().and_then(|n| n.parse().ok());
+    for n in asked.map_or(vec![100, 1000, 1500, 2500, 4500], |n| vec![n]) {
+        for which in ["before", "bounded"] {
+            measure(which, n);
+        }
+    }
 }
