--- a/src/client.rs
+++ b/src/client.rs
@@ -22,11 +22,22 @@
     }
 }
 
+/// Submits the job described in a file; answers what the controller told.
+///
+/// # Errors
+///
+/// The file can't be read, there is no answer, or the job is refused; one line for the user,
+/// as for all requests here.
 pub fn submit(addr: &str, file: &str) -> Result<String, String> {
     let body = std::fs::read(file).map_err(|e| format!("{file}: {e}"))?;
     call("POST", addr, "/v2/runs", Some(&body))
 }
 
+/// The state of a job, or the controller's own overview.
+///
+/// # Errors
+///
+/// No answer, or a refusal.
 pub fn status(addr: &str, job: Option<&str>) -> Result<String, String> {
     match job {
         Some(j) => call("GET", addr, &format!("/v2/runs/{j}"), None),
@@ -34,14 +45,29 @@
     }
 }
 
+/// Cancels a job.
+///
+/// # Errors
+///
+/// No answer, or a refusal.
 pub fn cancel(addr: &str, job: &str) -> Result<String, String> {
     call("POST", addr, &format!("/v2/runs/{job}/abort"), None)
 }
 
+/// A job whole: history, use, holds.
+///
+/// # Errors
+///
+/// No answer, or a refusal.
 pub fn show(addr: &str, job: &str) -> Result<String, String> {
     call("GET", addr, &format!("/v2/jobs/{job}"), None)
 }
 
+/// Holds a job; `kind` is `user` or `operator`, and `stop` ends what runs of it.
+///
+/// # Errors
+///
+/// No answer, or a refusal.
 pub fn hold(
     addr: &str,
     job: &str,
@@ -55,6 +81,11 @@
     call("POST", addr, &path, Some(body.to_string().as_bytes()))
 }
 
+/// Takes back the hold of that kind.
+///
+/// # Errors
+///
+/// No answer, or a refusal.
 pub fn release(addr: &str, job: &str, kind: &str, by: &str) -> Result<String, String> {
     let body = serde_json::json!({ "Kind": kind, "By": by });
     let path = format!("/v2/runs/{job}/release");
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,3 +1,5 @@
+//! The command line: a controller, its check of settings, and the client.
+
 use clap::{Parser, Subcommand};
 use hookworks::settings::Settings;
 use hookworks::{api, client, node};
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -18,14 +18,25 @@
 
 use thiserror::Error;
 
+/// Why settings are refused.
 #[derive(Debug, Error)]
 pub enum SettingsError {
+    /// The file can't be read, or is malformed.
     #[error("{file}: {why}")]
-    Read { file: String, why: String },
+    Read {
+        /// The file.
+        file: String,
+        /// What is wrong.
+        why: String,
+    },
+    /// A value can't be served.
     #[error("{file}: {field}: {why}")]
     Field {
+        /// The file.
         file: String,
+        /// The field, with the elements that it stands in.
         field: String,
+        /// What is wrong.
         why: String,
     },
 }
@@ -33,7 +44,9 @@
 /// Everything a controller is told.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// What the platform hands over.
     pub platform: Platform,
+    /// What the operators set.
     pub tuning: Tuning,
 }
 
--- a/src/settings/served.rs
+++ b/src/settings/served.rs
@@ -32,6 +32,7 @@
 }
 
 impl ServedLimits {
+    /// What the scheduler is told.
     pub fn floor(&self) -> FairnessPolicy {
         FairnessPolicy {
             reserved_share: self.room,
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -68,6 +68,11 @@
         self.classes.rules()
     }
 
+    /// Reads and checks the operators' file; `file` names it in errors.
+    ///
+    /// # Errors
+    ///
+    /// Malformed XML, or a value out of its range.
     pub fn parse(file: &str, text: &str) -> Result<Tuning, SettingsError> {
         let t: Tuning = quick_xml::de::from_str(text).map_err(|e| SettingsError::Read {
             file: file.into(),
--- a/src/time.rs
+++ b/src/time.rs
@@ -7,6 +7,7 @@
 pub struct Clock(std::time::Instant);
 
 impl Clock {
+    /// A clock that counts from now on.
     pub fn start() -> Clock {
         Clock(std::time::Instant::now())
     }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -3,78 +3,110 @@
 use crate::ids::{Build, Host, Zone};
 use serde::{Deserialize, Serialize};
 
+/// The answer to the question for machine types.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Flavors {
+    /// All machine types.
     #[serde(rename = "Builds")]
     pub builds: Vec<Flavor>,
 }
 
+/// A machine type.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Flavor {
+    /// Its name.
     #[serde(rename = "Label")]
     pub build: Build,
+    /// CPUs of a node.
     #[serde(rename = "Vcpus")]
     pub cpus: f64,
+    /// Accelerators of a node.
     #[serde(rename = "Accelerators", default)]
     pub gpus: f64,
+    /// Memory of a node, in GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
+    /// Room for images on a node, in GB.
     #[serde(rename = "LocalGb", default)]
     pub cache_gb: f64,
+    /// Rate at which a node fetches images, in GB/s.
     #[serde(rename = "FetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
+    /// Price of an ordinary node by the hour.
     #[serde(rename = "Hourly", default)]
     pub price: f64,
+    /// Price of a spot instance by the hour; none if there are none.
     #[serde(rename = "SpotPrice", default)]
     pub spot_price: Option<f64>,
+    /// Seconds that a node usually takes to boot.
     #[serde(rename = "BootS", default)]
     pub boot_s: f64,
+    /// Zones where it can be rented.
     #[serde(rename = "Yards", default)]
     pub zones: Vec<Zone>,
 }
 
+/// A request to rent nodes; sent again under the same name it rents nothing more.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hire {
+    /// Name of the request, by which the cloud knows a repetition.
     #[serde(rename = "Hire")]
     pub name: String,
+    /// The machine type.
     #[serde(rename = "Build")]
     pub build: Build,
+    /// The zone.
     #[serde(rename = "Yard")]
     pub zone: Zone,
+    /// Whether spot instances are wanted.
     #[serde(rename = "Lendable")]
     pub spot: bool,
+    /// How many nodes at the most.
     #[serde(rename = "HowMany")]
     pub count: u32,
 }
 
+/// Nodes by name: those that were rented, or are to be returned.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hosts {
+    /// Their names.
     #[serde(rename = "Hosts")]
     pub hosts: Vec<Host>,
 }
 
+/// A page of the nodes that are rented.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostList {
+    /// The nodes of this page.
     #[serde(rename = "Hosts")]
     pub hosts: Vec<Listed>,
+    /// Whether another page follows.
     #[serde(rename = "Truncated", default)]
     pub more: bool,
 }
 
+/// A node as the cloud lists it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listed {
+    /// Its name.
     #[serde(rename = "Id")]
     pub host: Host,
+    /// Where its worker takes direct calls, once that is known.
     #[serde(rename = "Endpoint", default)]
     pub addr: Option<String>,
+    /// Its machine type.
     #[serde(rename = "Build")]
     pub build: Build,
+    /// Its zone.
     #[serde(rename = "Yard")]
     pub zone: Zone,
+    /// Whether it is a spot instance.
     #[serde(rename = "Lendable", default)]
     pub spot: bool,
+    /// `booting`, `running`, or `failed` if it stopped on its own.
     #[serde(rename = "Status")]
     pub status: String,
+    /// Seconds since it was asked for.
     #[serde(rename = "HeldS", default)]
     pub age_s: f64,
 }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -4,12 +4,16 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
+/// A stored key with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Item {
+    /// The key.
     #[serde(rename = "K")]
     pub key: String,
+    /// Its value.
     #[serde(rename = "V")]
     pub value: Value,
+    /// The revision of its latest change.
     #[serde(rename = "Stamp")]
     pub stamp: Stamp,
     /// The lease that the key goes with, if any.
@@ -17,48 +21,65 @@
     pub lease: Option<u64>,
 }
 
+/// A page of the keys under a prefix.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
+    /// The keys of this page, in order.
     #[serde(rename = "Pairs")]
     pub items: Vec<Item>,
+    /// Whether another page follows.
     #[serde(rename = "Truncated", default)]
     pub more: bool,
 }
 
+/// A condition of a compare-and-swap: the key has this revision, 0 if it must not exist.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
+    /// The key.
     #[serde(rename = "K")]
     pub key: String,
+    /// The revision that it must have.
     #[serde(rename = "Stamp")]
     pub stamp: Stamp,
 }
 
+/// A change of one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
+    /// Set a value.
     Put {
+        /// The key.
         #[serde(rename = "Put")]
         key: String,
+        /// Its new value.
         #[serde(rename = "V")]
         value: Value,
+        /// The lease with which the key ends, if any.
         #[serde(rename = "Permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
+    /// Delete a key.
     Delete {
+        /// The key.
         #[serde(rename = "Delete")]
         key: String,
     },
 }
 
+/// A compare-and-swap: all changes are made if all conditions hold, else none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
+    /// What must hold.
     #[serde(rename = "When", default)]
     pub conditions: Vec<Condition>,
+    /// What is changed then.
     #[serde(rename = "Apply", default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
 }
 
 impl Change {
+    /// The key that it changes.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -66,25 +87,33 @@
     }
 }
 
+/// The answer to a compare-and-swap that was carried out.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Applied {
+    /// The revision of all that it changed.
     #[serde(rename = "Ledger")]
     pub revision: Stamp,
 }
 
+/// The answer to a compare-and-swap whose conditions did not hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Failed {
+    /// Keys whose conditions failed.
     pub failed: Vec<String>,
 }
 
+/// Asks for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
+    /// Milliseconds for which it lives without a renewal.
     #[serde(rename = "LifeMs")]
     pub ttl_ms: u64,
 }
 
+/// A lease that was granted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Lease {
+    /// Its number.
     #[serde(rename = "Permit")]
     pub lease: u64,
 }
