--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -76,97 +76,105 @@
 pub(crate) struct Line {
     pub measure: &'static str,
     pub role: &'static str,
-    /// The measure grows so many times when another controller has ended.
-    pub on_one_less: f64,
+    /// The controllers share it out, so that each has more when others have ended.
+    pub is_shared: bool,
     /// The bound and where it comes from.
     pub bound: Option<(f64, &'static str)>,
     pub mechanism: &'static str,
 }
 
+/// Controllers that have ended, of three, and how many times what they shared out
+/// each of the others then has.
+pub(crate) const ENDED: [(&str, f64); 3] = [
+    ("", 1.0),
+    (", one controller ended", 1.5),
+    (", two controllers ended", 3.0),
+];
+
 /// Bounds are those of the largest deployments of today, which a scale run's
 /// settings repeat.
 pub(crate) const LINES: [Line; 12] = [
     Line {
         measure: "leader cores",
         role: "leader",
-        on_one_less: 1.0,
+        is_shared: false,
         bound: Some((0.24, "core share of a controller")),
         mechanism: "reports by way of all controllers (`src/node/balance.rs`); machines shared out so that the leader hears of changes only: missing",
     },
     Line {
         measure: "leader main loop cores",
         role: "leader",
-        on_one_less: 1.0,
+        is_shared: false,
         bound: Some((0.24, "core share of a controller")),
         mechanism: "one pass a turn (`src/node/mod.rs`); more than one loop: missing",
     },
     Line {
         measure: "leader memory MB",
         role: "leader",
-        on_one_less: 1.0,
+        is_shared: false,
         bound: Some((158.0, "memory of a controller")),
         mechanism: "sizes by need (`src/settings/sizes.rs`)",
     },
     Line {
         measure: "leader messages/s",
         role: "leader",
-        on_one_less: 1.0,
+        is_shared: false,
         bound: None,
         mechanism: "reports passed on whole (`src/peer.rs`); changes only: missing",
     },
     Line {
         measure: "leader peer KB/s",
         role: "leader",
-        on_one_less: 1.0,
+        is_shared: false,
         bound: None,
         mechanism: "reports passed on whole (`src/peer.rs`); changes only: missing",
     },
     Line {
         measure: "follower cores",
         role: "follower",
-        on_one_less: 1.5,
+        is_shared: true,
         bound: Some((0.24, "core share of a controller")),
         mechanism: "reports spread over the controllers (`src/node/balance.rs`)",
     },
     Line {
         measure: "follower memory MB",
         role: "follower",
-        on_one_less: 1.5,
+        is_shared: true,
         bound: Some((158.0, "memory of a controller")),
         mechanism: "sizes by need (`src/settings/sizes.rs`)",
     },
     Line {
         measure: "follower threads",
         role: "follower",
-        on_one_less: 1.5,
-        bound: Some((1850.0, "threads for connections, `threads` in the tuning")),
-        mechanism: "a thread for each connection, bounded (`crates/http-server`); connections without threads: missing",
+        is_shared: true,
+        bound: Some((2000.0, "threads of a process")),
+        mechanism: "idle connections hold no thread, a pool serves requests (`crates/http-server`)",
     },
     Line {
         measure: "follower connections",
         role: "follower",
-        on_one_less: 1.5,
+        is_shared: true,
         bound: Some((3046.0, "sockets of a controller")),
         mechanism: "lanes and shedding (`crates/http-server`)",
     },
     Line {
         measure: "state requests/s",
         role: "state service",
-        on_one_less: 1.0,
+        is_shared: false,
         bound: Some((150.0, "requests a second that it takes")),
         mechanism: "group commit by purpose (`src/store/commit.rs`)",
     },
     Line {
         measure: "state changes/s",
         role: "state service",
-        on_one_less: 1.0,
+        is_shared: false,
         bound: Some((40.0, "changes a second that it takes")),
         mechanism: "group commit by purpose (`src/store/commit.rs`); records of several jobs in one change: missing",
     },
     Line {
         measure: "worker report bytes/s",
         role: "worker",
-        on_one_less: 1.0,
+        is_shared: false,
         bound: Some((7000.0, "bytes a second of a worker")),
         mechanism: "the protocol's reports (`src/wire/worker.rs`)",
     },
--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -1,7 +1,7 @@
 //! The capacity page, worked out from the slopes and from recorded runs. No
 //! figure of it is written by hand.
 
-use crate::bounds::{Demand, JOBS_A_DAY, LINES, NOT_MEASURED, TARGET, TASKS_OF_A_JOB};
+use crate::bounds::{Demand, ENDED, JOBS_A_DAY, LINES, Line, NOT_MEASURED, TARGET, TASKS_OF_A_JOB};
 use crate::figures::{ControllerFigures, Figures};
 use crate::slopes::{Axis, MEASURES, Series, Size, Slopes};
 use clap::Args;
@@ -245,42 +245,70 @@
     Ok(())
 }
 
+/// A bound, and at how many machines it is reached.
+struct Reached {
+    machines: f64,
+    measure: String,
+    bound: String,
+    mechanism: &'static str,
+}
+
+impl Reached {
+    /// None if the line has no bound or never rises to it.
+    fn of(model: &Model, line: &Line, (when, times): (&str, f64)) -> Option<Reached> {
+        let (bound, origin) = line.bound?;
+        Some(Reached {
+            machines: model.ends_at(line.measure, bound / times)?,
+            measure: format!("{}{when}", line.measure),
+            bound: format!("{} ({origin})", short(bound)),
+            mechanism: line.mechanism,
+        })
+    }
+
+    /// Every bound that is reached, with none, one and two controllers ended,
+    /// from the fewest machines.
+    fn all(model: &Model) -> Vec<Reached> {
+        let cases = |line: &'static Line| {
+            let cases = ENDED.into_iter();
+            let cases = cases.filter(|(_, times)| line.is_shared || *times == 1.0);
+            cases.filter_map(|case| Reached::of(model, line, case))
+        };
+        let mut all: Vec<Reached> = LINES.iter().flat_map(cases).collect();
+        all.sort_by(|a, b| a.machines.total_cmp(&b.machines));
+        all
+    }
+
+    fn machines_text(&self) -> String {
+        match self.machines {
+            m if m <= 0.0 => "always".into(),
+            m if m > 10.0 * TARGET.workers => "beyond 45,000".into(),
+            m => format!("{:.0}", (m / 10.0).round() * 10.0),
+        }
+    }
+}
+
 fn write_ends(page: &mut String, model: &Model, slopes: &Slopes, runs: &Runs) -> std::fmt::Result {
     writeln!(page, "## What ends first\n")?;
     writeln!(
         page,
         "Each bound with the number of machines at which the lines reach it, in the peak\n\
          second, starts in proportion to machines ({} at {}). With one of three controllers\n\
-         ended the others hold half as many workers again, worked out, not measured:\n",
+         ended the others hold half as many workers again, with two ended the third holds\n\
+         three times as many; both worked out from the lines, not measured:\n",
         TARGET.starts, TARGET.workers
     )?;
-    let reached = LINES.iter().filter_map(|l| {
-        let (bound, of) = l.bound?;
-        Some((model.ends_at(l.measure, bound)?, "", l, bound, of))
-    });
-    let with_one_less = LINES.iter().filter(|l| l.on_one_less > 1.0);
-    let with_one_less = with_one_less.filter_map(|l| {
-        let (bound, of) = l.bound?;
-        let machines = model.ends_at(l.measure, bound / l.on_one_less)?;
-        Some((machines, ", one controller ended", l, bound, of))
-    });
-    let reached = reached.chain(with_one_less);
-    let mut reached: Vec<_> = reached.collect();
-    reached.sort_by(|a, b| a.0.total_cmp(&b.0));
     writeln!(page, "| machines | what ends | bound | mechanism |")?;
     writeln!(page, "| ---: | --- | --- | --- |")?;
-    for (machines, when, line, bound, of) in reached {
-        let machines = match machines {
-            m if m <= 0.0 => "always".to_string(),
-            m if m > 10.0 * TARGET.workers => "beyond 45,000".to_string(),
-            m => format!("{:.0}", (m / 10.0).round() * 10.0),
-        };
-        let (measure, bound, how) = (line.measure, short(bound), line.mechanism);
-        writeln!(
-            page,
-            "| {machines} | {measure}{when} | {bound} ({of}) | {how} |"
-        )?;
+    for reached in Reached::all(model) {
+        let machines = reached.machines_text();
+        let (measure, bound, how) = (reached.measure, reached.bound, reached.mechanism);
+        writeln!(page, "| {machines} | {measure} | {bound} | {how} |")?;
     }
+    write_seen(page, slopes, runs)
+}
+
+/// What held and what broke in runs.
+fn write_seen(page: &mut String, slopes: &Slopes, runs: &Runs) -> std::fmt::Result {
     writeln!(page, "\nSeen in runs of several sizes:\n")?;
     for series in slopes.series.values() {
         let held = series.largest_that_held.map_or("none".into(), short);
@@ -291,13 +319,14 @@
             series.axis
         )?;
     }
-    for run in runs.values().filter(|r| r.size.broke.is_some()) {
-        let broke = run.size.broke.as_deref().unwrap_or_default();
-        writeln!(
-            page,
-            "- run \"{}\" ({} workers): {broke}",
-            run.name, run.workers
-        )?;
+    for run in runs.values() {
+        if let Some(broke) = &run.size.broke {
+            writeln!(
+                page,
+                "- run \"{}\" ({} workers): {broke}",
+                run.name, run.workers
+            )?;
+        }
     }
     writeln!(page)
 }
