--- a/crates/scale/src/pipeline/progress.rs
+++ b/crates/scale/src/pipeline/progress.rs
@@ -42,7 +42,12 @@
 
     fn is_ready(&self, plan: &Plan) -> bool {
         let is_held_back = self.last_is_late && plan.spec.id == self.last && !self.open.is_empty();
-        !is_held_back && plan.needs.iter().all(|need| self.accepted.contains(need))
+        !is_held_back
+            && plan
+                .spec
+                .needs
+                .iter()
+                .all(|need| self.accepted.contains(need))
     }
 
     /// A job of it was accepted.
