--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -1,6 +1,7 @@
 //! Whether a submission can be taken: what is refused, and as what.
 
 use super::job::{Job, LATER, LEAST_PART, compact_part_size, part_size};
+use super::needs::Needs;
 use super::{Room, Sched};
 use crate::ids::Zone;
 use crate::store::RecordFormat;
@@ -10,6 +11,12 @@
 use crate::wire::peer::Answer;
 use crate::wire::user::{JobSpec, Kind};
 
+/// The answer to a submission that names more unfinished jobs than its record holds.
+pub(super) fn too_many_names() -> Answer {
+    let text = "Awaits: too many jobs that are not done yet to be stored with this one";
+    Answer::later(text, 5)
+}
+
 impl Sched {
     /// Why a job can never run, if so; `Err` when that can't be told yet.
     pub(super) fn never_runs(&self, s: &JobSpec) -> Result<Option<String>, String> {
@@ -70,11 +77,11 @@
             RecordFormat::Legacy => part_size(self.cfg.value_kb),
             RecordFormat::Compact => compact_part_size(self.smallest_value()),
         };
-        let mut job = Job::new(spec, self.next_seq, now, self.wall, usual);
+        let of_size = |size| Job::new(spec.clone(), self.next_seq, now, self.wall, size);
+        let mut job = of_size(usual);
         // Beside long names fewer tasks fit.
         while !self.fits_smallest(&job) && job.part_size > LEAST_PART {
-            let size = job.part_size - LEAST_PART;
-            job = Job::new(job.spec, self.next_seq, now, self.wall, size);
+            job = of_size(job.part_size - LEAST_PART);
         }
         job
     }
@@ -106,6 +113,17 @@
         first + size.min(job.spec.tasks) as usize * 42 > room
     }
 
+    /// Its first record would be small enough but for the names of jobs that are not
+    /// done. They become fewer with time, so it is no reason to refuse the job for good.
+    pub(super) fn names_too_many(&self, job: &Job) -> bool {
+        if job.needs.is_empty() || !self.too_large(job) {
+            return false;
+        }
+        let mut without = job.clone();
+        without.needs = Needs::default();
+        !self.too_large(&without)
+    }
+
     /// What a submission gets that would be refused, now that nothing is known of
     /// a job of that name.
     pub(super) fn refusal(&self, now: Time, body: &[u8]) -> Answer {
@@ -118,6 +136,7 @@
         }
         match self.never_runs(&spec) {
             Ok(Some(text)) => Answer::error(422, &text),
+            Ok(None) if self.names_too_many(&self.new_job(now, spec.clone())) => too_many_names(),
             Ok(None) if self.too_large(&self.new_job(now, spec)) => {
                 let text = "Builds: the job's description is too large to be stored";
                 Answer::error(400, text)
--- a/src/sched/dependencies.rs
+++ b/src/sched/dependencies.rs
@@ -82,6 +82,8 @@
     announcements: VecDeque<Announcement>,
     /// Ended before this leader came, or unknown why not: to be read.
     unread: BTreeSet<JobId>,
+    /// Neither live nor over, on record: those that need them wait.
+    absent: BTreeSet<JobId>,
     /// The latest of them that was asked for, the next round, and what there is for
     /// that of the state service's requests.
     asked_up_to: Option<JobId>,
@@ -96,6 +98,7 @@
             children: HashMap::new(),
             announcements: VecDeque::new(),
             unread: BTreeSet::new(),
+            absent: BTreeSet::new(),
             asked_up_to: None,
             ask_at: Time::default(),
             budget: Budget::new(reads_per_s, (2.0 * reads_per_s).max(1.0)),
@@ -207,7 +210,7 @@
             match self.outcome_of(&parent) {
                 Some(outcome) => known.push((parent, outcome)),
                 None => {
-                    if !self.jobs.contains_key(&parent) && !self.unreadable.contains_key(&parent) {
+                    if !self.is_known(&parent) && !self.dependencies.absent.contains(&parent) {
                         self.dependencies.unread.insert(parent.clone());
                     }
                     self.dependencies.add_child(&parent, id);
@@ -479,6 +482,15 @@
         }
     }
 
+    /// Nothing is on record of a job that others wait for, though it was known when they
+    /// were accepted. So nobody can have been told that it is cancelled.
+    pub(super) fn parent_is_absent(&mut self, id: &JobId) {
+        if !self.jobs.contains_key(id) && self.dependencies.unread.remove(id) {
+            tracing::error!(job = %id, "nothing is on record of a job that others wait for");
+            self.dependencies.absent.insert(id.clone());
+        }
+    }
+
     /// Asks for final states that are not known yet.
     pub(super) fn read_parents(&mut self, now: Time) {
         if self.dependencies.unread.is_empty() {
--- a/src/sched/inheritance.rs
+++ b/src/sched/inheritance.rs
@@ -168,7 +168,9 @@
 
     /// Answers how many jobs it has looked at.
     fn inherit_anew(&mut self, id: &JobId) -> usize {
-        let Some(j) = self.jobs.get(id) else { return 0 };
+        let Some(j) = self.jobs.get(id).filter(|j| !j.cancelled) else {
+            return 0;
+        };
         let before = j.inherited;
         let mut inherited = Inherited::default();
         let mut looked = 0;
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -345,6 +345,9 @@
         let mut value = self.header(StoredPart::Compact(text), holds.abbreviated(), 0);
         value["runtimes"] = vec![LONGEST_RUNTIME; RUNTIMES_KEPT].into();
         value["h"] = "x".repeat(COUNTS_MOST).into();
+        if !self.needs.is_empty() {
+            value["ready_at"] = u64::MAX.into();
+        }
         pieces::needed(&value.to_string(), value_bytes)
     }
 
--- a/src/sched/named_jobs.rs
+++ b/src/sched/named_jobs.rs
@@ -144,7 +144,7 @@
         conditions.chain(needs).cloned().collect()
     }
 
-    fn is_known(&self, id: &JobId) -> bool {
+    pub(super) fn is_known(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
             || self.finals.contains_key(id)
             || self.unreadable.contains_key(id)
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -123,7 +123,8 @@
             let seq = j.seq;
             (j.id().clone(), Rank { tier, due, seq })
         };
-        let ranks = self.jobs.values().map(rank).collect();
+        let served = |j: &&Job| j.needs.is_empty() || !j.live.is_empty();
+        let ranks = self.jobs.values().filter(served).map(rank).collect();
         let plain_wanted = self
             .jobs
             .values()
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -138,7 +138,7 @@
     fn replicas_missing(&self) -> BTreeMap<String, u32> {
         let mut missing = BTreeMap::new();
         let services = self.jobs.values().filter(|j| j.spec.kind == Kind::Service);
-        for j in services.filter(|j| !j.cancelled) {
+        for j in services.filter(|j| !j.cancelled && j.needs.is_empty()) {
             let n = j.spec.tasks - j.running();
             if n > 0 {
                 *missing.entry(j.spec.class.to_string()).or_default() += n;
--- a/src/sched/users.rs
+++ b/src/sched/users.rs
@@ -1,6 +1,7 @@
 //! What users ask: submissions, polls and cancellations.
 
 use super::Sched;
+use super::admission::too_many_names;
 use super::dependencies::ParentOutcome;
 use super::job::{Final, Job, Waiting};
 use super::records::Purpose;
@@ -109,6 +110,9 @@
             return self.answer(req, Answer::later("too many unfinished jobs", 10));
         }
         let mut job = self.new_job(now, spec);
+        if self.names_too_many(&job) {
+            return self.answer(req, too_many_names());
+        }
         if self.too_large(&job) {
             return self.look_up(now, req, id, Ask::Submit(body));
         }
@@ -260,9 +264,13 @@
             Some(f) => Ok(Some(*f)),
             None => r,
         };
-        if let Ok(Some(f)) = r {
-            self.remember_final(&id, f);
-            self.announce(&id, ParentOutcome::Over(f.state));
+        match r {
+            Ok(Some(f)) => {
+                self.remember_final(&id, f);
+                self.announce(&id, ParentOutcome::Over(f.state));
+            }
+            Ok(None) => self.parent_is_absent(&id),
+            Err(()) => {}
         }
         for (req, ask) in asked {
             let a = match (&r, &ask) {
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -6,7 +6,7 @@
 use hookworks::ids::*;
 use hookworks::sched::job::{Final, Job};
 use hookworks::sched::needs::Needs;
-use hookworks::sched::{Effect, Event, Key};
+use hookworks::sched::{Config, Effect, Event, Key};
 use hookworks::store::RecordFormat;
 use hookworks::time::{Time, Wall};
 use hookworks::wire::peer::Ask;
@@ -254,6 +254,35 @@
     panic!("never accepted");
 }
 
+/// Whatever the body holds is taken as long as its record fits under the smallest limits;
+/// beyond that the user comes again, since jobs that are done need not be stored.
+#[test]
+fn thousands_of_unfinished_names_are_taken_or_come_again_later() {
+    let smaller = |c: &mut Config| {
+        (c.smallest.value_kb, c.smallest.txn_ops, c.most_jobs) = (2.0, 4, 10_000);
+    };
+    let unfinished = |n: u64| {
+        let mut j = Job::new(job(n * 199, 1), n, Time(4_000_000_000), Wall(1_000_000), 64);
+        (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+        j
+    };
+    let found = (1..=5000).map(unfinished).collect();
+    let mut d = Desk::set_up(5, found, smaller);
+    d.s.set_format(RecordFormat::Compact);
+    let many = |n: u64, names: u64| needing(n, (1..=names).map(|n| n * 199));
+    let mut wide = many(2, 2000);
+    wide.tasks = 3000;
+    for spec in [many(1, 2000), wide] {
+        assert_eq!(submit(&mut d, &spec), Some(201));
+        // Made smaller to fit, the record once lost what the job needs.
+        assert_eq!(d.s.jobs[&spec.id].needs.len(), 2000);
+        assert_eq!(d.s.jobs[&spec.id].pending(), 0);
+    }
+    let asked = d.submit(&many(3, 5000));
+    let a = d.answer(asked).unwrap();
+    assert!(a.status == 503 && a.body.contains("Awaits"), "{a:?}");
+}
+
 #[test]
 fn a_job_that_waits_is_queued_and_takes_no_part_of_guarantee_or_shares() {
     let mut d = desk(5, vec![]);
@@ -585,6 +614,47 @@
     assert_eq!(poll(&mut next, 1100).0, 200);
 }
 
+/// Of one that was lost nobody was told anything else: those that need it wait, and say
+/// so, and questions about them are answered.
+#[test]
+fn a_job_that_needs_one_of_which_nothing_is_on_record_waits() {
+    let mut d = desk(5, vec![]);
+    d.submit(&job(1, 1));
+    d.submit(&needing(2, [1]));
+    let mut next = desk(6, vec![on_record(&d, 2)]);
+    machines(&mut next, 1);
+    assert_eq!(poll(&mut next, 2).0, 503);
+    next.event(Event::FinalRead(id(1), Ok(None)));
+    next.wait(10.0);
+    assert_eq!(state(&mut next, 2), "queued");
+    assert!(!placed(&next, 2));
+    assert_eq!(next.s.jobs[&id(2)].detail().needs, [id(1)]);
+}
+
+/// Two ways of other lengths to the last job: the longest counts.
+#[test]
+fn the_longest_way_decides_by_when_a_job_is_to_be_done() {
+    let mut d = desk(5, vec![]);
+    d.submit(&job(1, 1));
+    for (n, needs, run) in [(2, vec![1], 100.0), (3, vec![1], 10.0), (4, vec![3], 40.0)] {
+        let mut j = needing(n, needs);
+        j.estimate_s = run;
+        d.submit(&j);
+    }
+    let mut last = needing(5, [2, 4]);
+    (last.deadline_s, last.estimate_s) = (Some(600.0), 50.0);
+    d.submit(&last);
+    let due = |n: u64| {
+        let due = d.s.jobs[&id(n)].inherited_due();
+        due.map(|t| (t - Time(d.now)).as_secs())
+    };
+    let all = [5, 4, 3, 2, 1].map(due);
+    assert_eq!(
+        all,
+        [None, Some(550.0), Some(510.0), Some(550.0), Some(450.0)]
+    );
+}
+
 /// Its user sets priority and deadline on the last job alone.
 #[test]
 fn a_job_counts_with_the_priority_and_the_deadline_of_the_last_that_needs_it() {
