--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -358,10 +358,11 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        let time_of = |at: u64| Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)));
-        job.arrived = time_of(h.at);
-        job.ready = h.ready_at.map_or(job.arrived, time_of);
+        job.arrived = time_of(Wall(h.at), now, wall);
         job.ready_at = h.ready_at.map(Wall);
+        job.ready = job
+            .ready_at
+            .map_or(job.arrived, |at| time_of(at, now, wall));
         job.needs = h.needs;
         job.cancelled = h.cancelled;
         job.median = estimate::median(&h.runtimes);
@@ -392,6 +393,12 @@
     }
 }
 
+/// A time of day on the steady clock.
+fn time_of(at: Wall, now: Time, wall: Wall) -> Time {
+    let ago = crate::time::Span::millis(wall.0.saturating_sub(at.0));
+    Time(now.0.saturating_sub(ago.0))
+}
+
 /// Parts begin and end at whole words of the bit set.
 pub const LEAST_PART: u32 = 64;
 const MOST_PART: u32 = 512;
