--- a/src/node/load.rs
+++ b/src/node/load.rs
@@ -7,7 +7,7 @@
 use crate::settings::Settings;
 use crate::store::client::{ReadError, State};
 use crate::store::pieces::Pieces;
-use crate::store::{FENCES, LIVE, PARTS, PIECES, StateClient};
+use crate::store::{FENCES, FORMAT, FormatRecord, LIVE, PARTS, PIECES, RecordFormat, StateClient};
 use crate::time::{Clock, Time, Wall, wall};
 use crate::wire::state::Item;
 use crate::wire::user::JobState;
@@ -27,6 +27,15 @@
     pub unreadable: BTreeMap<JobId, JobState>,
     /// Zones that earlier terms did not answer.
     pub fences: Option<FenceRecord>,
+    /// The switch to compact records, once it is on record.
+    pub format: Option<FormatRecord>,
+}
+
+impl Loaded {
+    /// The form in which records are written.
+    pub fn record_format(&self) -> RecordFormat {
+        self.format.map_or(RecordFormat::Legacy, |f| f.records)
+    }
 }
 
 /// Reads in a thread of its own, so that the leadership is kept up meanwhile.
@@ -76,6 +85,7 @@
         litter: vec![],
         unreadable: BTreeMap::new(),
         fences: None,
+        format: None,
     };
     let pieces = Pieces::new(all(state, PIECES)?);
     for i in all(state, LIVE)? {
@@ -121,6 +131,7 @@
         l.fences = serde_json::from_value(i.value).ok();
         l.stamps.push((i.key, i.stamp));
     }
+    l.format = state.get(FORMAT)?.map(|i| FormatRecord::read(&i.value));
     for (_, mut j) in jobs {
         // What is loaded is stored: versions go on from 1.
         for p in &mut j.parts {
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -74,7 +74,9 @@
         // Beside long names fewer tasks fit.
         while !self.fits_smallest(&job) && job.part_size > LEAST_PART {
             let size = job.part_size - LEAST_PART;
+            let needs = job.needs;
             job = Job::new(job.spec, self.next_seq, now, self.wall, size);
+            job.needs = needs;
         }
         job
     }
@@ -113,6 +115,9 @@
             Ok(spec) => spec,
             Err(e) => return Answer::error(400, &e),
         };
+        if spec.needs.contains(&spec.id) {
+            return Answer::error(422, "Awaits: a job can't need itself");
+        }
         match self.never_runs(&spec) {
             Ok(Some(text)) => Answer::error(422, &text),
             Ok(None) if self.too_large(&self.new_job(now, spec)) => {
--- a/src/sched/job/mod.rs
+++ b/src/sched/job/mod.rs
@@ -5,6 +5,8 @@
 
 pub use record::{LATER, LEAST_PART, compact_part_size, part_size};
 
+use super::inheritance::Inherited;
+use super::needs::Needs;
 use super::places::Place;
 use super::records::Purpose;
 use super::room::Room;
@@ -85,6 +87,8 @@
     pub need: Room,
     pub seq: u64,
     pub arrived: Time,
+    /// When the last job that it needs was done; when it arrived, if it needs none.
+    pub ready: Time,
     pub submitted: Wall,
     pub cancelled: bool,
     /// Version of the first part that says so; told only once stored.
@@ -131,6 +135,16 @@
     /// Which can't be met any more, and were told so by a hold: released, that
     /// hold does not come back.
     pub never: u32,
+    /// Jobs that are to be done before anything of this one starts.
+    pub needs: Needs,
+    /// How many of them were done since the job was last stored.
+    pub needs_met_unsaved: u32,
+    /// When the last of them was done, if it needed any.
+    pub ready_at: Option<Wall>,
+    /// The job that it needed and that was cancelled, by which it is cancelled.
+    pub cancelled_with: Option<JobId>,
+    /// What it takes over from jobs that need it.
+    pub(super) inherited: Inherited,
     /// Of a job whose tasks wait for those of another: which need not wait any
     /// more, and how many still do.
     opened: Vec<u64>,
@@ -154,13 +168,15 @@
 }
 
 impl Job {
-    pub fn new(spec: JobSpec, seq: u64, now: Time, wall: Wall, part_size: u32) -> Job {
+    pub fn new(mut spec: JobSpec, seq: u64, now: Time, wall: Wall, part_size: u32) -> Job {
         let n = spec.tasks;
+        let needs = std::mem::take(&mut spec.needs);
         Job {
             need: Room::of_task(&spec),
             spec,
             seq,
             arrived: now,
+            ready: now,
             submitted: wall,
             cancelled: false,
             cancel_ver: 0,
@@ -191,6 +207,11 @@
             ended: None,
             met: 0,
             never: 0,
+            needs: needs.into_iter().collect(),
+            needs_met_unsaved: 0,
+            ready_at: None,
+            cancelled_with: None,
+            inherited: Inherited::default(),
             opened: vec![],
             closed: 0,
             damaged: false,
@@ -210,6 +231,11 @@
         }
     }
 
+    /// It is cancelled, and a later leader will find that.
+    pub fn cancellation_stored(&self) -> bool {
+        self.cancelled && self.parts[0].stored >= self.cancel_ver
+    }
+
     /// The state to show to users, of what is stored.
     pub fn state(&self) -> JobState {
         if self.cancelled {
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -4,6 +4,7 @@
 use super::{Job, Live, Phase, RUNTIMES_KEPT, Rest};
 use crate::ids::{Attempt, Host, TaskIx};
 use crate::sched::estimate;
+use crate::sched::needs::Needs;
 use crate::sched::places::Places;
 use crate::store::pieces::{self, RecordRoom};
 use crate::time::{Time, Wall};
@@ -50,6 +51,10 @@
     met: u32,
     #[serde(default, skip_serializing_if = "none_met")]
     never: u32,
+    #[serde(default, skip_serializing_if = "Needs::is_empty")]
+    needs: Needs,
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    ready_at: Option<u64>,
     /// Of a record from before there were histories there is none.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     history: Option<serde_json::Value>,
@@ -254,6 +259,8 @@
             holds,
             met: self.met,
             never: self.never,
+            needs: self.needs.clone(),
+            ready_at: self.ready_at.map(|w| w.0),
             history: Some(self.history.encode(history_bytes)),
             rest: self.rest.clone(),
         };
@@ -348,7 +355,11 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        job.arrived = Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(h.at)));
+        let time_of = |at: u64| Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)));
+        job.arrived = time_of(h.at);
+        job.ready = h.ready_at.map_or(job.arrived, time_of);
+        job.ready_at = h.ready_at.map(Wall);
+        job.needs = h.needs;
         job.cancelled = h.cancelled;
         job.median = estimate::median(&h.runtimes);
         job.runtimes = h.runtimes;
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -2,20 +2,23 @@
 //! in as an event with its time; what is to be done goes out as effects.
 
 mod admission;
-mod after;
 mod allowed_zones;
 mod audit;
 mod beats;
 mod catchup;
+mod dependencies;
 mod direct;
 mod estimate;
 mod fences;
 mod fleet;
 mod gang;
 mod hearing;
+mod inheritance;
 pub mod job;
 mod life;
 pub mod machine;
+mod named_jobs;
+pub mod needs;
 mod order;
 mod overview;
 mod place;
@@ -213,8 +216,9 @@
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
     finals_order: VecDeque<JobId>,
-    /// Who waits for whom.
-    waits: after::Waits,
+    dependencies: dependencies::Dependencies,
+    inheritance: inheritance::InheritanceQueue,
+    look_ups_for_submissions: named_jobs::LookUps,
     /// When running tasks reach their limit.
     time_limits: BTreeSet<(Time, TaskId)>,
     reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
@@ -278,6 +282,7 @@
 
 impl Sched {
     pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: Wall) -> Sched {
+        let look_ups = 2.0 * cfg.look_ups;
         Sched {
             teams: team::Teams::new(&cfg.teams),
             quick: BTreeSet::new(),
@@ -300,7 +305,9 @@
             record_format: RecordFormat::default(),
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
-            waits: Default::default(),
+            dependencies: Default::default(),
+            inheritance: Default::default(),
+            look_ups_for_submissions: named_jobs::LookUps::new(look_ups),
             time_limits: BTreeSet::new(),
             reads: HashMap::new(),
             counter: 0,
@@ -380,6 +387,8 @@
                 self.tick(now);
             }
         }
+        self.tell_children(now);
+        self.inherit();
         if may_pass && self.replan && now >= self.pass_due() && self.may_start(now) {
             self.replan = false;
             self.pass_at = now + self.cfg.pass_every;
@@ -412,7 +421,9 @@
     pub fn wake_at(&self) -> Option<Time> {
         let pass = self.replan.then_some(self.pass_due());
         let ready = (!self.ready.is_empty()).then_some(Time::default());
-        let due = [pass, ready, self.held_until()];
+        let goes_on = self.dependencies.is_announcing() || !self.inheritance.is_empty();
+        let goes_on = goes_on.then_some(Time::default());
+        let due = [pass, ready, goes_on, self.held_until()];
         due.into_iter().flatten().min()
     }
 
@@ -531,7 +542,7 @@
         }
         self.fleet.first_own = self.next_seq;
         self.book_loaded(now);
-        self.load_waiting(now);
+        self.load_dependencies(now);
         self.dirty.changed.extend(self.jobs.keys().cloned());
         self.replan = true;
     }
@@ -564,6 +575,7 @@
         self.push_all(now);
         self.look_at_shares(now);
         self.read_parents(now);
+        self.go_on_looking_up(now);
         self.end_overlong(now);
         // What waits for time alone, such as a back-off, is tried again.
         self.replan = true;
