--- a/src/node/duties.rs
+++ b/src/node/duties.rs
@@ -44,7 +44,7 @@
                 let msg = match job {
                     StoreJob::Txn(epoch, id, txn) => Msg::Txn(epoch, id, client.txn(&txn)),
                     StoreJob::ReadBack(epoch, key) => {
-                        let r = client.get(&key).map_err(|_| ());
+                        let r = client.get(&key);
                         if r.is_err() {
                             std::thread::sleep(Duration::from_millis(200));
                         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -18,6 +18,7 @@
 use crate::sched::{Effect, Event, Sched};
 use crate::settings::{Settings, Sizes};
 use crate::store::budget::Budget;
+use crate::store::client::ReadError;
 use crate::store::commit::{Committer, Step};
 use crate::store::{Outcome, final_key};
 use crate::time::{Clock, Span, Time, wall};
@@ -78,7 +79,7 @@
     /// An event of a term; those of earlier terms are dropped.
     Event(Epoch, Event),
     Txn(Epoch, TxnId, Outcome),
-    ReadBack(Epoch, String, Result<Option<Item>, ()>),
+    ReadBack(Epoch, String, Result<Option<Item>, ReadError>),
     /// A page of jobs is ready.
     Listed(ReqId, Answer),
     /// A look-up of a final state without a leader.
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -355,9 +355,10 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        let time_of = |at: u64| Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)));
-        job.arrived = time_of(h.at);
-        job.ready = h.ready_at.map_or(job.arrived, time_of);
+        job.arrived = moment_of(h.at, now, wall);
+        job.ready = h
+            .ready_at
+            .map_or(job.arrived, |at| moment_of(at, now, wall));
         job.ready_at = h.ready_at.map(Wall);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
@@ -389,6 +390,11 @@
     }
 }
 
+/// A past time of day as a moment of our clock.
+fn moment_of(at: u64, now: Time, wall: Wall) -> Time {
+    Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)))
+}
+
 /// Parts begin and end at whole words of the bit set.
 pub const LEAST_PART: u32 = 64;
 const MOST_PART: u32 = 512;
--- /dev/null
+++ b/src/store/commit/counts.rs
@@ -0,0 +1,55 @@
+//! What the changes that there are go to.
+
+use super::Committer;
+use crate::sched::Purpose;
+use crate::time::{Span, Time};
+
+/// How often the changes by purpose go to the log.
+const SUM_UP_EVERY: Span = Span(10_000_000);
+
+/// Changes that were sent, by what they were for.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
+pub struct ChangeCounts {
+    pub now: u64,
+    pub start: u64,
+    pub end: u64,
+    pub progress: u64,
+    pub garbage: u64,
+    pub fences: u64,
+}
+
+impl ChangeCounts {
+    pub(super) fn note(&mut self, purpose: Purpose, changes: usize) {
+        let count = match purpose {
+            Purpose::Now => &mut self.now,
+            Purpose::Start => &mut self.start,
+            Purpose::End => &mut self.end,
+            Purpose::Progress => &mut self.progress,
+        };
+        *count += changes as u64;
+    }
+}
+
+impl Committer {
+    pub(super) fn sum_up(&mut self, now: Time) {
+        let (at, before) = self.summed_up;
+        if now - at < SUM_UP_EVERY {
+            return;
+        }
+        self.summed_up = (now, self.sent);
+        let s = self.sent;
+        if s != before {
+            tracing::info!(
+                now = s.now - before.now,
+                start = s.start - before.start,
+                end = s.end - before.end,
+                progress = s.progress - before.progress,
+                garbage = s.garbage - before.garbage,
+                fences = s.fences - before.fences,
+                write_rps = self.limits.values().write_rps,
+                set_aside = self.set_aside.len(),
+                "changes by purpose"
+            );
+        }
+    }
+}
--- /dev/null
+++ b/src/store/commit/draft.rs
@@ -0,0 +1,112 @@
+//! A transaction that is being put together, and what it changes.
+
+use super::super::limits::TxnSize;
+use crate::ids::{JobId, Stamp};
+use crate::sched::Purpose;
+use crate::wire::state::{Change, Condition, Txn};
+use serde_json::Value;
+
+/// Room left in a transaction of 64 KiB.
+const MAX_BYTES: usize = 56 * 1024;
+
+pub(super) struct Work {
+    pub(super) job: JobId,
+    pub(super) purpose: Purpose,
+    /// The part and its version, or the end of the job.
+    pub(super) what: What,
+    pub(super) keys: Vec<KeyWrite>,
+}
+
+/// A key that a transaction changes, or only looks at.
+pub(super) struct KeyWrite {
+    pub(super) key: String,
+    pub(super) put: bool,
+}
+
+pub(super) enum What {
+    Part(usize, u64),
+    End,
+    /// The record of fenced zones, which belongs to no job.
+    Fences(u64),
+}
+
+/// A change, and the bytes that its value takes.
+pub(super) struct SizedChange {
+    pub(super) change: Change,
+    pub(super) value_bytes: usize,
+}
+
+impl SizedChange {
+    pub(super) fn put(key: String, value: Value) -> SizedChange {
+        SizedChange {
+            value_bytes: value.to_string().len(),
+            change: Change::Put {
+                key,
+                value,
+                lease: None,
+            },
+        }
+    }
+
+    pub(super) fn delete(key: String) -> SizedChange {
+        SizedChange {
+            value_bytes: 0,
+            change: Change::Delete { key },
+        }
+    }
+
+    /// What it takes of a transaction, with its condition.
+    pub(super) fn bytes(&self) -> usize {
+        self.change.key().len() * 2 + 80 + self.value_bytes
+    }
+}
+
+/// A transaction that is being put together.
+pub(super) struct Draft {
+    pub(super) txn: Txn,
+    pub(super) works: Vec<Work>,
+    pub(super) bytes: usize,
+    pub(super) most: usize,
+    pub(super) size: TxnSize,
+}
+
+impl Draft {
+    pub(super) fn new(most: usize) -> Draft {
+        Draft {
+            txn: Txn::default(),
+            works: vec![],
+            bytes: 0,
+            most,
+            size: TxnSize::default(),
+        }
+    }
+
+    pub(super) fn changes(&self) -> usize {
+        self.txn.changes.len()
+    }
+
+    pub(super) fn has_room(&self, changes: &[SizedChange]) -> bool {
+        let bytes: usize = changes.iter().map(SizedChange::bytes).sum();
+        self.changes() + changes.len() <= self.most && self.bytes + bytes <= MAX_BYTES
+    }
+
+    pub(super) fn require(&mut self, key: String, stamp: Stamp) {
+        self.txn.conditions.push(Condition { key, stamp });
+    }
+
+    pub(super) fn add(&mut self, change: SizedChange) {
+        self.bytes += change.bytes();
+        self.size.changes += 1;
+        self.size.largest_value = self.size.largest_value.max(change.value_bytes);
+        self.txn.changes.push(change.change);
+    }
+
+    pub(super) fn has_end_of(&self, job: &JobId) -> bool {
+        let ends = |w: &Work| w.job == *job && matches!(w.what, What::End);
+        self.works.iter().any(ends)
+    }
+
+    pub(super) fn has_job(&self, job: &JobId) -> bool {
+        self.works.iter().any(|w| w.job == *job)
+    }
+}
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -452,7 +452,7 @@
         }
         for step in steps {
             let Step::Read(key) = step else { panic!() };
-            let item = s.read(&key).map_err(|_| ());
+            let item = s.read(&key);
             let (events, _) = c.read_back(key, item, &mut d.s);
             for e in events {
                 d.event(e);
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -46,7 +46,7 @@
             let Step::Read(key) = step else {
                 panic!("{step:?}")
             };
-            let item = s.read(&key).map_err(|_| ());
+            let item = s.read(&key);
             events.extend(c.read_back(key, item, &mut d.s).0);
         }
         for e in events {
