--- a/crates/scale/src/tally.rs
+++ b/crates/scale/src/counters.rs
@@ -14,14 +14,18 @@
     Reports,
     /// Commands that go straight to workers.
     Commands,
+    /// Submissions, polls and cancellations.
     Users,
+    /// The state service.
     State,
+    /// The cloud.
     Cloud,
     /// Other controllers; messages are pieces of the stream here.
     Peers,
 }
 
 impl Counterpart {
+    /// Each of them, in the order of their numbers.
     pub const ALL: [Counterpart; 6] = [
         Counterpart::Reports,
         Counterpart::Commands,
@@ -41,15 +45,19 @@
 
 /// Messages and bytes so far.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Amount {
+pub struct TrafficTotal {
+    /// Requests with their responses, or pieces of a stream.
     pub messages: u64,
+    /// Bytes that the controller received.
     pub to_controller: u64,
+    /// Bytes that the controller sent.
     pub from_controller: u64,
 }
 
-impl Amount {
-    pub fn since(self, before: Amount) -> Amount {
-        Amount {
+impl TrafficTotal {
+    /// What was added since `before`.
+    pub fn since(self, before: TrafficTotal) -> TrafficTotal {
+        TrafficTotal {
             messages: self.messages - before.messages,
             to_controller: self.to_controller - before.to_controller,
             from_controller: self.from_controller - before.from_controller,
@@ -59,27 +67,34 @@
 
 /// What the state service was asked for under one purpose.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Asked {
+pub struct StateRequests {
+    /// Requests, refused ones too.
     pub requests: u64,
+    /// Puts and deletes that were carried out.
     pub changes: u64,
+    /// Requests that were refused.
     pub refused: u64,
 }
 
-/// Amounts by counterpart.
-pub type Amounts = BTreeMap<Counterpart, Amount>;
+/// TrafficTotals by counterpart.
+pub type TrafficTotals = BTreeMap<Counterpart, TrafficTotal>;
 
 /// All counters of a run.
-pub struct Tally {
+pub struct Counters {
     controllers: Vec<[Traffic; Counterpart::ALL.len()]>,
-    state: Mutex<BTreeMap<String, Asked>>,
+    state: Mutex<BTreeMap<String, StateRequests>>,
+    /// Requests of users and workers that failed or were refused.
     pub refusals: AtomicU64,
+    /// Tasks that ended otherwise than by completion or command.
     pub lost_tasks: AtomicU64,
+    /// Workers' leases that ended.
     pub lease_ends: AtomicU64,
 }
 
-impl Tally {
-    pub fn new(controllers: usize) -> Tally {
-        Tally {
+impl Counters {
+    /// Counters of so many controllers, all at zero.
+    pub fn new(controllers: usize) -> Counters {
+        Counters {
             controllers: (0..controllers).map(|_| Default::default()).collect(),
             state: Mutex::default(),
             refusals: AtomicU64::new(0),
@@ -96,10 +111,11 @@
         t.from_controller.fetch_add(from as u64, Ordering::Relaxed);
     }
 
-    pub fn amounts(&self, controller: usize) -> Amounts {
+    /// What a controller exchanged so far.
+    pub fn amounts(&self, controller: usize) -> TrafficTotals {
         let one = |c: Counterpart| {
             let t = &self.controllers[controller][c as usize];
-            let amount = Amount {
+            let amount = TrafficTotal {
                 messages: t.messages.load(Ordering::Relaxed),
                 to_controller: t.to_controller.load(Ordering::Relaxed),
                 from_controller: t.from_controller.load(Ordering::Relaxed),
@@ -110,7 +126,7 @@
     }
 
     /// A request to the state service, with the purpose of each of its changes.
-    pub fn asked_state(&self, purpose: &str, changes: &[String], refused: bool) {
+    pub fn count_state_request(&self, purpose: &str, changes: &[String], refused: bool) {
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
         let asked = state.entry(purpose.to_string()).or_default();
         asked.requests += 1;
@@ -123,7 +139,8 @@
         }
     }
 
-    pub fn state(&self) -> BTreeMap<String, Asked> {
+    /// What the state service was asked for so far, by purpose.
+    pub fn state(&self) -> BTreeMap<String, StateRequests> {
         self.state.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
 }
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -23,7 +23,7 @@
 const HOLD: usize = 320;
 /// Bytes that a started task takes in the compact form, most of the time; a started
 /// task at the most; and what such a record takes besides.
-const COMPACT_TASK: usize = 10;
+const COMPACT_TASK: usize = 5;
 const COMPACT_TASK_MOST: usize = 16;
 const COMPACT_BASE: usize = 320;
 /// The longest runtime that is kept, in seconds, and the most that the counts of a
