--- a/tests/record_limits.rs
+++ b/tests/record_limits.rs
@@ -6,7 +6,7 @@
 use hookworks::ids::*;
 use hookworks::node::load::load;
 use hookworks::sched::job::{Job, Live, compact_part_size};
-use hookworks::sched::{Event, Sched};
+use hookworks::sched::{DirectResult, Event, Sched};
 use hookworks::settings::{Platform, StateLimits};
 use hookworks::store::client::{ReadError, State};
 use hookworks::store::commit::Committer;
@@ -16,12 +16,14 @@
 use hookworks::wire::peer::Ask;
 use hookworks::wire::state::{Change, Item, Page, Txn};
 use hookworks::wire::user::JobState;
+use hookworks::wire::worker::Orders;
 use hookworks_job_lifecycle::{Failure, Hold, HoldKind, JobEvent, WallMillis};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, VecDeque};
 use world::desk::{Desk, report};
+use world::worker::Worker;
 use world::{job, settings};
 
 /// The smallest limits that any service has.
@@ -136,6 +138,12 @@
     keys: BTreeMap<String, (Value, u64)>,
     revision: u64,
     too_large: u32,
+    /// Changes a second that are allowed, if that is judged; what is left of them,
+    /// and when that was.
+    rate: Option<f64>,
+    left: f64,
+    now: u64,
+    too_many: u32,
 }
 
 impl Limited {
@@ -146,6 +154,10 @@
             keys: BTreeMap::new(),
             revision: 0,
             too_large: 0,
+            rate: None,
+            left: 0.0,
+            now: 0,
+            too_many: 0,
         };
         s.put(LEADER, json!("a"));
         s
@@ -164,7 +176,20 @@
         Stamp(self.keys.get(key).map_or(0, |v| v.1))
     }
 
+    /// Bursts of one second's worth are allowed.
+    fn at(&mut self, now: u64) {
+        let rate = self.rate.unwrap_or(0.0);
+        let past = (now - self.now) as f64 / 1e6;
+        (self.left, self.now) = ((self.left + past * rate).min(rate), now);
+    }
+
     fn apply(&mut self, t: &Txn) -> Outcome {
+        let changes = t.changes.len() as f64;
+        if self.rate.is_some() && self.left < changes {
+            self.too_many += 1;
+            return Outcome::TooMany;
+        }
+        self.left -= changes;
         let large = |c: &Change| match c {
             Change::Put { value, .. } => value.to_string().len() > self.value_bytes,
             Change::Delete { .. } => false,
@@ -787,3 +812,160 @@
         }
     }
 }
+
+/// Jobs as they come to a busy site, and the machines that they run on.
+struct Site {
+    t: Term,
+    workers: Vec<Worker>,
+    specs: BTreeMap<JobId, hookworks::wire::user::JobSpec>,
+    calls: VecDeque<(CallId, Host, Orders)>,
+    waiting: Vec<(ReqId, u64)>,
+    /// How long submissions waited, in microseconds.
+    waited: Vec<u64>,
+}
+
+/// How long each task runs, and how often each machine reports.
+const RUN_S: f64 = 25.0;
+const REPORT: u64 = 3_000_000;
+
+impl Site {
+    fn new(machines: u32) -> Site {
+        let limits = limits(Some(
+            json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 18.0}),
+        ));
+        let mut t = Term::new(&limits, RecordFormat::Compact, vec![]);
+        let mut workers = vec![];
+        for n in 1..=machines {
+            let r = report(n, 1, Token(0));
+            t.d.beat(&r);
+            let mut w = Worker::new(r.host, r.zone, false, t.d.now);
+            w.up = true;
+            w.next_beat = t.d.now + n as u64 * REPORT / machines as u64;
+            // The report above was its first.
+            w.report();
+            workers.push(w);
+        }
+        t.d.lists = false;
+        t.d.fx.clear();
+        let (specs, calls, waiting, waited) = Default::default();
+        Site {
+            t,
+            workers,
+            specs,
+            calls,
+            waiting,
+            waited,
+        }
+    }
+
+    fn submit(&mut self, n: u64, tasks: u32) {
+        let spec = job(n, tasks);
+        self.specs.insert(spec.id.clone(), spec.clone());
+        let req = self.t.d.submit(&spec);
+        self.waiting.push((req, self.t.d.now));
+    }
+
+    fn beat(&mut self, n: usize) {
+        let now = self.t.d.now;
+        let w = &mut self.workers[n];
+        w.step(now, u64::MAX / 4);
+        w.next_beat = now + REPORT;
+        if let Some(answer) = self.t.d.beat(&w.report()) {
+            w.answered(now, now, answer, &self.specs, RUN_S);
+        }
+    }
+
+    fn calls(&mut self) {
+        let now = self.t.d.now;
+        while let Some((call, host, orders)) = self.calls.pop_front().or_else(|| {
+            self.calls = self.t.d.direct().into();
+            self.calls.pop_front()
+        }) {
+            let w = self.workers.iter_mut().find(|w| w.host == host).unwrap();
+            let result = match w.direct(now, orders, &self.specs, RUN_S) {
+                Ok(report) => DirectResult::Done(report),
+                Err(report) => DirectResult::Conflict(report),
+            };
+            self.t.d.event(Event::Direct(call, host, result));
+        }
+    }
+
+    fn step(&mut self) {
+        self.t.d.now += 25_000;
+        let now = self.t.d.now;
+        self.t.s.at(now);
+        let due = |w: &Worker| w.next_beat <= now;
+        let due: Vec<usize> = (0..self.workers.len())
+            .filter(|n| due(&self.workers[*n]))
+            .collect();
+        due.into_iter().for_each(|n| self.beat(n));
+        if now % 250_000 == 0 {
+            self.t.d.event(Event::Tick(Wall(now / 1000)));
+        }
+        while let Some((id, txn)) = self.t.next() {
+            let outcome = self.t.s.apply(&txn);
+            let (events, steps) = self.t.c.finished(Time(now), id, outcome, &mut self.t.d.s);
+            assert!(steps.is_empty());
+            self.t.told(events);
+        }
+        self.calls();
+        let (d, waited) = (&self.t.d, &mut self.waited);
+        self.waiting.retain(|(req, since)| match d.status(*req) {
+            Some(status) => {
+                assert_eq!(status, 201);
+                waited.push(now - since);
+                false
+            }
+            None => true,
+        });
+        self.t.d.fx.clear();
+    }
+}
+
+/// 1.4 jobs a second, as many as a busy site has with its pipelines, and an array of
+/// 1,500 tasks in their midst; the limits fall after 20 s.
+#[test]
+fn eighteen_changes_a_second_are_enough_for_submissions_starts_and_ends() {
+    let mut rng = StdRng::seed_from_u64(12);
+    let mut site = Site::new(600);
+    site.t.s.rate = Some(40.0);
+    let (mut next_at, mut n) = (site.t.d.now, 0);
+    let began = site.t.d.now;
+    while site.t.d.now < began + 150_000_000 {
+        let now = site.t.d.now;
+        if now >= next_at && now < began + 100_000_000 {
+            n += 1;
+            let tasks = if n == 70 {
+                1500
+            } else {
+                rng.random_range(1..60)
+            };
+            site.submit(n, tasks);
+            next_at = now + rng.random_range(100_000..1_330_000);
+        }
+        if now >= began + 20_000_000 && site.t.s.rate == Some(40.0) {
+            site.t.s.rate = Some(18.0);
+            site.t.s.fall(2048, 4);
+        }
+        site.step();
+    }
+    let within = site.waited.iter().filter(|w| **w <= 200_000).count();
+    let sent = site.t.c.changes_sent();
+    println!(
+        "{n} jobs, {within} within 200 ms of {}; {sent:?}",
+        site.waited.len()
+    );
+    println!(
+        "refused: {} too large, {} too many",
+        site.t.s.too_large, site.t.s.too_many
+    );
+    assert_eq!(site.waited.len() as u64, n);
+    assert!(within as f64 >= 0.98 * n as f64, "{within} of {n}");
+    assert!(site.t.s.too_large + site.t.s.too_many < 10);
+    assert!(
+        site.t.d.s.jobs.is_empty(),
+        "{} jobs are left",
+        site.t.d.s.jobs.len()
+    );
+    assert_eq!(site.t.keys(FINALS).len() as u64, n);
+}
