--- a/tests/record_limits.rs
+++ b/tests/record_limits.rs
@@ -6,7 +6,7 @@
 use hookworks::ids::*;
 use hookworks::node::load::load;
 use hookworks::sched::job::{Job, Live, compact_part_size};
-use hookworks::sched::{DirectResult, Event, Sched};
+use hookworks::sched::{DirectResult, Event, FenceRecord, Sched};
 use hookworks::settings::{Platform, StateLimits};
 use hookworks::store::client::{ReadError, State};
 use hookworks::store::commit::Committer;
@@ -899,7 +899,7 @@
             .filter(|n| due(&self.workers[*n]))
             .collect();
         due.into_iter().for_each(|n| self.beat(n));
-        if now % 250_000 == 0 {
+        if now.is_multiple_of(250_000) {
             self.t.d.event(Event::Tick(Wall(now / 1000)));
         }
         while let Some((id, txn)) = self.t.next() {
@@ -969,3 +969,44 @@
     );
     assert_eq!(site.t.keys(FINALS).len() as u64, n);
 }
+
+/// A name that takes six bytes for each of its own on record.
+fn longest_name() -> String {
+    "\u{1}".repeat(200)
+}
+
+/// The final state of a job is kept whatever its names are, and the fences of as many
+/// zones as a value holds.
+#[test]
+fn final_states_and_fences_keep_to_the_smallest_value() {
+    let mut t = Term::new(&announced(), RecordFormat::Compact, vec![]);
+    machines(&mut t, 40);
+    t.s.fall(2048, 4);
+    let mut wordy = job(1, 1);
+    wordy.class = longest_name().as_str().into();
+    wordy.image = longest_name().as_str().into();
+    for spec in [&wordy, &job(2, 1)] {
+        let req = t.d.submit(spec);
+        t.write(1.0);
+        assert_eq!(t.d.status(req), Some(201));
+        t.d.ask(Ask::Cancel(spec.id.to_string()));
+        if let Some(j) = t.d.s.jobs.get_mut(&spec.id) {
+            j.live.clear();
+            j.closing = Some(JobState::Cancelled);
+        }
+        touch(&mut t.d.s, &spec.id, 0);
+        t.write(2.0);
+    }
+    assert_eq!(t.keys(FINALS).len(), 2);
+    assert!(t.keys(LIVE).is_empty() && t.keys(PIECES).is_empty());
+    let zones = (0..200).map(|n| (Zone::from(format!("zone-{n}").as_str()), WALL.0));
+    let all = FenceRecord {
+        epoch: Epoch(3),
+        since: zones.collect(),
+    };
+    let kept = all.clone().within(2048);
+    let bytes = serde_json::to_string(&kept).unwrap().len();
+    assert!(bytes <= 2048 && kept.since.len() > 60, "{bytes} bytes");
+    assert!(kept.since.iter().all(|(z, at)| all.since[z] == *at));
+    assert_eq!(all.clone().within(1 << 20), all);
+}
