--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -74,7 +74,9 @@
         // Beside long names fewer tasks fit.
         while !self.fits_smallest(&job) && job.part_size > LEAST_PART {
             let size = job.part_size - LEAST_PART;
+            let needs = job.needs;
             job = Job::new(job.spec, self.next_seq, now, self.wall, size);
+            job.needs = needs;
         }
         job
     }
