--- a/tests/world/followers.rs
+++ b/tests/world/followers.rs
@@ -129,7 +129,7 @@
 
     /// What a controller that does not lead makes of it.
     fn follow(&mut self, i: usize, q: ReqId, ask: &Ask) {
-        match route(ask, self.known_leader(i)) {
+        match route(ask, self.known_leader(i, ask)) {
             Route::PassOn(leader, _) => self.go(index(&leader), q, Leg::PassedOn(i)),
             Route::ReadFinal(id) => self.go(i, q, Leg::Read(id)),
             Route::Answer(a) => self.go(i, q, Leg::Told(a)),
@@ -162,7 +162,7 @@
 
     /// The latest leader that it or any other controller in touch speaks of, which
     /// may be one that leads no more.
-    fn known_leader(&self, i: usize) -> Option<KnownLeader> {
+    fn known_leader(&self, i: usize, ask: &Ask) -> Option<KnownLeader> {
         let in_touch = (0..self.ctls.len()).filter(|j| *j == i || self.in_touch(i, *j));
         let named = in_touch.filter_map(|j| self.ctls[j].sees);
         let (leader, epoch) = named.max_by_key(|l| l.1).filter(|l| l.0 != i)?;
@@ -170,7 +170,7 @@
             label: label(leader),
             epoch,
             reachable: self.in_touch(i, leader),
-            understands: true,
+            understands: self.leader_understands(i, leader, ask.needs()),
         })
     }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -20,6 +20,7 @@
 pub mod store;
 pub mod submissions;
 mod users;
+pub mod versions;
 pub mod worker;
 
 pub use given::{flavor, job, settings};
@@ -111,6 +112,7 @@
     Question(usize, ReqId, followers::Leg),
     /// The next election is carried out at once, without an answer.
     LostElection,
+    Versions(versions::VersionAct),
 }
 
 struct Term {
@@ -206,6 +208,7 @@
     pub done_tasks: BTreeSet<TaskId>,
     pub submissions: submissions::Submissions,
     pub handover: handover::HandOver,
+    pub versions: versions::Versions,
 }
 
 const S: u64 = 1_000_000;
@@ -278,6 +281,7 @@
             done_tasks: BTreeSet::new(),
             submissions: submissions::Submissions::default(),
             handover: Default::default(),
+            versions: Default::default(),
         };
         for i in 0..controllers {
             let c = w.new_ctl(i, 1);
@@ -589,6 +593,7 @@
             Ev::Chances(c) => self.chaos = c,
             Ev::OddRequests(until) => self.odd_requests(until),
             Ev::HandOver(a) => self.act(a),
+            Ev::Versions(a) => self.version_act(a),
             Ev::LateElection(i, by_s) => self.store.of(i).delay_next((by_s * 1e6) as u64),
         }
     }
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -10,6 +10,7 @@
 use hookworks::settings::Settings;
 use hookworks::store::commit::Committer;
 use hookworks::time::Time;
+use hookworks::versions::Switch;
 use rand::RngExt;
 
 impl World {
@@ -50,12 +51,18 @@
             return self.load_again(i, epoch, stamp, proven);
         };
         let s = settings("x");
+        let format = l.record_format();
+        let takes_format = self.note_term(i, epoch, Switch::new(stamp, format));
         let mut commit = Committer::new(stamp, &s.platform.params.state);
         for (k, st) in l.stamps {
             commit.know(k, st);
         }
         let cfg = self.config(i, &s);
         let mut sched = Sched::new(cfg, epoch, proven, now, wall);
+        if takes_format {
+            commit.set_format(format);
+            sched.set_format(format);
+        }
         if let Some(f) = l.fences {
             sched.take_fences(now, wall, f);
         }
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -152,6 +152,12 @@
         }))
     }
 
+    /// A value, whoever is refused.
+    pub fn peek(&self, key: &str) -> Option<serde_json::Value> {
+        let s = self.0.lock().unwrap();
+        s.keys.get(key).map(|v| v.0.clone())
+    }
+
     /// Writes a key by other means.
     pub fn put(&self, key: &str, value: serde_json::Value) {
         let mut s = self.0.lock().unwrap();
