--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -1,12 +1,12 @@
 //! Which records wait to be written, and what happens when they are.
 
-use super::after::Came;
+use super::dependencies::ParentOutcome;
 use super::job::{Final, Job};
 use super::{Effect, Sched};
 use crate::ids::{JobId, TaskIx};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobState, Kind};
+use crate::wire::user::{JobState, Kind, Priority};
 use hookworks_fairness::JobEvent as What;
 use std::collections::{HashSet, VecDeque};
 
@@ -40,8 +40,11 @@
 ];
 /// Share of the write budget that must be left for each purpose.
 const RESERVE: [f64; 4] = [0.0, 0.25, 0.3, 0.5];
-/// Progress waits so long, since more of the same record may come.
+/// Progress waits so long, since more of the same record may come; and so long where
+/// less than this share of the write budget is left.
 const GATHER: Span = Span(1_000_000);
+const GATHER_WHEN_SHORT: Span = Span(3_000_000);
+const SHORT: f64 = 0.8;
 /// The end of a job waits no longer than that for starts of others.
 const END_WITHIN: Span = Span(1_500_000);
 
@@ -77,9 +80,14 @@
         if self.queues[end].front().is_some_and(old) {
             return self.queues[end].pop_front();
         }
+        let gather = if left < SHORT {
+            GATHER_WHEN_SHORT
+        } else {
+            GATHER
+        };
         for p in PURPOSES {
             let q = &mut self.queues[p as usize];
-            let gathers = |d: &Dirty| p == Purpose::Progress && now - d.since < GATHER;
+            let gathers = |d: &Dirty| p == Purpose::Progress && now - d.since < gather;
             if left >= RESERVE[p as usize] && q.front().is_some_and(|d| !gathers(d)) {
                 return q.pop_front();
             }
@@ -175,7 +183,16 @@
             return;
         }
         j.ended = Some(self.wall);
-        j.touch(0, &mut self.dirty, Purpose::End);
+        let needed = !self.dependencies.children_of(id).is_empty();
+        let purpose = match j.closing {
+            // That it is cancelled with another is on record by that one.
+            _ if j.cancelled_with.is_some() => Purpose::Progress,
+            // Others start once this is stored.
+            Some(JobState::Done) if needed && j.priority() <= Priority::High => Purpose::Now,
+            Some(JobState::Done) if needed => Purpose::Start,
+            _ => Purpose::End,
+        };
+        j.touch(0, &mut self.dirty, purpose);
     }
 
     pub fn final_of(&self, id: &JobId) -> Option<Final> {
@@ -206,8 +223,10 @@
                 let Some(j) = self.jobs.get_mut(&id) else {
                     return;
                 };
+                let cancelled_before = j.cancellation_stored();
                 let p = &mut j.parts[part];
                 p.stored = p.stored.max(ver);
+                let cancelled_now = j.cancellation_stored() && !cancelled_before;
                 self.dirty.changed.insert(id.clone());
                 if part == 0 {
                     if ver >= j.holds_ver {
@@ -219,6 +238,9 @@
                     j.waiters = rest;
                     self.tell_waiters(now, &id, ready);
                 }
+                if cancelled_now {
+                    self.announce(&id, ParentOutcome::Cancelled);
+                }
                 self.open_counterparts(&id, part, None);
                 self.note_ready(&id);
             }
@@ -236,17 +258,22 @@
                     JobState::Cancelled => What::Cancelled,
                     _ => What::Done,
                 };
-                self.book(now, &id, what);
+                // What still needed others never counted as having come.
+                if self.jobs.get(&id).is_some_and(|j| j.needs.is_empty()) {
+                    self.book(now, &id, what);
+                }
                 if let Some(j) = self.jobs.remove(&id) {
-                    self.tell_waiters_final(&id, j.waiters, f);
+                    // Cancelled with one that it needs before its own first write.
+                    let new = j.cancelled_with.is_some();
+                    self.tell_waiters_final(&id, j.waiters, f, new);
                 }
-                self.came(now, &id, Came::Over(f.state));
+                self.announce(&id, ParentOutcome::Over(f.state));
             }
         }
     }
 
     /// Users need not wait for a state service that refuses: a retry is safe.
-    pub(super) fn not_stored(&mut self, id: &JobId) {
+    pub(crate) fn not_stored(&mut self, id: &JobId) {
         let waiters = match self.jobs.get_mut(id) {
             Some(j) => std::mem::take(&mut j.waiters),
             None => return,
@@ -274,8 +301,8 @@
             self.dirty.changed.insert(id.clone());
         }
         self.remember_final(&id, f);
-        self.tell_waiters_final(&id, waiters, f);
-        self.came(now, &id, Came::Over(f.state));
+        self.tell_waiters_final(&id, waiters, f, false);
+        self.announce(&id, ParentOutcome::Over(f.state));
     }
 
     pub(super) fn read_final(&mut self, id: &JobId) {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -10,7 +10,10 @@
 
 pub use classes::Classes;
 pub use connections::Connections;
-pub use platform::{Limits, Objective, Params, Platform, Seed, StateLimits, TeamLimit, Workers};
+pub use platform::{
+    LimitValues, Limits, NextLimits, Objective, Params, Platform, Seed, StateLimits, TeamLimit,
+    Workers,
+};
 pub use served::ServedLimits;
 pub use sizes::Sizes;
 pub use tuning::Tuning;
@@ -18,14 +21,25 @@
 
 use thiserror::Error;
 
+/// Why settings are refused.
 #[derive(Debug, Error)]
 pub enum SettingsError {
+    /// The file can't be read, or is malformed.
     #[error("{file}: {why}")]
-    Read { file: String, why: String },
+    Read {
+        /// The file.
+        file: String,
+        /// What is wrong.
+        why: String,
+    },
+    /// A value can't be served.
     #[error("{file}: {field}: {why}")]
     Field {
+        /// The file.
         file: String,
+        /// The field, with the elements that it stands in.
         field: String,
+        /// What is wrong.
         why: String,
     },
 }
@@ -33,7 +47,9 @@
 /// Everything a controller is told.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// What the platform hands over.
     pub platform: Platform,
+    /// What the operators set.
     pub tuning: Tuning,
 }
 
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -3,13 +3,15 @@
 use crate::ids::{Build, Class, Image, JobId, Team, Zone};
 use hookworks_job_lifecycle::{HistoryEntry, Hold, JobEvent};
 use hookworks_listing::Line;
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use serde::{Deserialize, Deserializer, Serialize, de};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Most tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
 /// Longest duration in seconds, and largest image in GB, of a job.
 const MAX_AMOUNT: f64 = 1e9;
+/// Needed jobs that a line of a list names.
+const NEEDS_IN_LINE: usize = 10;
 /// Most conditions that a job may wait for.
 pub const MAX_AFTER: usize = 16;
 
@@ -61,6 +63,28 @@
     /// What must come about before the job starts anything; ours.
     #[serde(rename = "After", default, skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<After>,
+    /// Jobs of any team that must be done before any task of this one starts
+    /// (DAG dependency). Empty in records: what is not met is kept beside the spec.
+    #[serde(
+        rename = "Awaits",
+        default,
+        deserialize_with = "job_ids",
+        skip_serializing_if = "Vec::is_empty"
+    )]
+    pub needs: Vec<JobId>,
+}
+
+/// A list of well-formed ids, each once; null is none.
+fn job_ids<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<JobId>, D::Error> {
+    let names = Option::<Vec<String>>::deserialize(d)?.unwrap_or_default();
+    let mut ids = BTreeSet::new();
+    for name in names {
+        if !JobId::well_formed(&name) {
+            return Err(de::Error::custom("must be a list of ids, job- and digits"));
+        }
+        ids.insert(JobId::from(name.as_str()));
+    }
+    Ok(ids.into_iter().collect())
 }
 
 /// A condition on another job of the same team.
@@ -79,6 +103,10 @@
     !*b
 }
 
+fn is_zero(n: &usize) -> bool {
+    *n == 0
+}
+
 /// What a job may wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -205,6 +233,19 @@
     pub due_ms: Option<u64>,
     #[serde(rename = "Holds", default, skip_serializing_if = "Vec::is_empty")]
     pub held: Vec<Hold>,
+    /// Jobs that are to be done before this one starts; the first of them.
+    #[serde(rename = "Awaits", default, skip_serializing_if = "Vec::is_empty")]
+    pub needs: Vec<JobId>,
+    /// How many there are.
+    #[serde(rename = "AwaitsCount", default, skip_serializing_if = "is_zero")]
+    pub needs_count: usize,
+    /// The job that it needed and whose cancellation cancelled it.
+    #[serde(
+        rename = "CancelledWith",
+        default,
+        skip_serializing_if = "Option::is_none"
+    )]
+    pub cancelled_with: Option<JobId>,
     #[serde(rename = "Counts", default)]
     pub counts: BTreeMap<JobEvent, u32>,
     #[serde(rename = "Useful", default)]
@@ -224,6 +265,7 @@
             "" => h.by.clone(),
             why => format!("{}: {why}", h.by),
         };
+        let awaits = self.needs.iter().take(NEEDS_IN_LINE);
         Line {
             id: self.job.id.to_string(),
             status: self.job.state.as_str().into(),
@@ -239,6 +281,9 @@
             due_ms: self.due_ms,
             late: matches!((self.due_ms, self.ended_ms), (Some(d), Some(e)) if e > d),
             held: self.held.iter().map(hold).collect(),
+            awaits: awaits.map(JobId::to_string).collect(),
+            awaits_count: self.needs_count,
+            cancelled_with: self.cancelled_with.as_ref().map(JobId::to_string),
         }
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -8,6 +8,7 @@
 pub mod close_looks;
 mod cloud;
 pub mod desk;
+pub mod effect_log;
 pub mod followers;
 pub mod given;
 pub mod handover;
@@ -209,6 +210,7 @@
     pub submissions: submissions::Submissions,
     pub handover: handover::HandOver,
     pub versions: versions::Versions,
+    pub effect_log: effect_log::EffectLog,
 }
 
 const S: u64 = 1_000_000;
@@ -282,6 +284,7 @@
             submissions: submissions::Submissions::default(),
             handover: Default::default(),
             versions: Default::default(),
+            effect_log: Default::default(),
         };
         for i in 0..controllers {
             let c = w.new_ctl(i, 1);
