--- a/src/node/upgrade.rs
+++ b/src/node/upgrade.rs
@@ -8,7 +8,7 @@
 use crate::store::{FORMAT, FormatRecord, RecordFormat, StateClient, VERSIONS};
 use crate::time::{Clock, Time, wall};
 use crate::versions::switch::{Decision, Reply, Step};
-use crate::versions::{Announcer, VersionTable};
+use crate::versions::{Announcer, VersionTable, reads};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use std::time::Duration;
 
@@ -59,6 +59,11 @@
         }
     }
 
+    /// Records are written in a form that this version can't read.
+    fn is_too_old(&self, version: ControllerVersion) -> bool {
+        self.format.is_some_and(|f| reads(version) < f.records)
+    }
+
     /// For operators.
     pub(super) fn overview(&self) -> serde_json::Value {
         let known = |(label, version): (&Label, Option<_>)| {
@@ -69,10 +74,15 @@
             (label.to_string(), view)
         };
         let controllers: serde_json::Map<_, _> = self.versions.all().map(known).collect();
+        let too_old = self.versions.all().filter_map(|(label, version)| {
+            let (version, _) = version?;
+            self.is_too_old(version).then_some(label)
+        });
         serde_json::json!({
             "controllers": controllers,
             "all_new": self.versions.all_read(RecordFormat::Compact),
             "records": self.format.map_or(RecordFormat::Legacy, |f| f.records),
+            "cannot_read_records": too_old.collect::<Vec<_>>(),
             "compact_since_ms": self.format.map(|f| f.since),
         })
     }
@@ -127,6 +137,9 @@
         for (label, reported) in self.peers.versions() {
             if let Some(version) = self.upgrade.versions.record_ping(&label, reported) {
                 tracing::info!(%label, %version, source = "ping", "version of a controller");
+                if self.upgrade.is_too_old(version) {
+                    tracing::warn!(%label, %version, "a controller can't read the records");
+                }
             }
         }
         let all_new = self.upgrade.versions.all_read(RecordFormat::Compact);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -585,3 +585,27 @@
         all_done(&mut w, 120.0);
     }
 }
+
+/// Back on the old version after the switch, a leader leaves compact records alone: it
+/// neither starts their tasks nor deletes what belongs to them.
+#[test]
+fn production_leaves_compact_records_alone() {
+    let mut w = fleet(500);
+    for i in 0..3 {
+        w.replace(i, 1.0 + i as f64, 4.0, OWN);
+    }
+    w.run(25.0);
+    assert!(w.store.peek(FORMAT).is_some());
+    w.run_s = 60.0;
+    for n in 11..=13 {
+        w.submit(job(n, [4, 90, 400][n as usize - 11]));
+    }
+    w.run(30.0);
+    let keys = w.store.keys();
+    let value = |key: &String| w.store.peek(key).unwrap();
+    let stored: BTreeMap<String, Value> = keys.iter().map(|k| (k.clone(), value(k))).collect();
+    let found = production::load(&stored);
+    let later: Vec<String> = (11..=13).map(|n| format!("job-{n:06}")).collect();
+    assert_eq!((found.unreadable, found.litter), (later, vec![]));
+    all_done(&mut w, 300.0);
+}
--- a/tests/upgrade/production.rs
+++ b/tests/upgrade/production.rs
@@ -319,6 +319,39 @@
     }
 }
 
+/// What `node::load` finds in the records of unfinished jobs.
+#[derive(Debug, Default, PartialEq)]
+pub struct Loaded {
+    pub jobs: Vec<String>,
+    /// Left alone, and told as queued or cancelled.
+    pub unreadable: Vec<String>,
+    /// Deleted.
+    pub litter: Vec<String>,
+}
+
+/// Reads all keys of the state service as a leader of this version does.
+pub fn load(stored: &BTreeMap<String, Value>) -> Loaded {
+    let mut found = Loaded::default();
+    for (key, value) in stored {
+        if let Some(id) = key.strip_prefix("hookworks/live/") {
+            match read_live(value) {
+                Some(job) if job.header.spec.id == id => found.jobs.push(id.into()),
+                _ => found.unreadable.push(id.into()),
+            }
+        }
+    }
+    let parts = stored
+        .keys()
+        .filter_map(|k| k.strip_prefix("hookworks/part/"));
+    for (id, part) in parts.filter_map(|name| name.rsplit_once('/')) {
+        let is = |known: &[String]| known.iter().any(|k| k == id);
+        if !is(&found.unreadable) && !is(&found.jobs) {
+            found.litter.push(format!("{id}/{part}"));
+        }
+    }
+    found
+}
+
 /// `sched::job::Final`, and what `sched::life` keeps beside it.
 #[derive(Deserialize, Serialize)]
 pub struct FinalRecord {
