--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -21,6 +21,7 @@
 pub mod store;
 pub mod submissions;
 mod users;
+pub mod versions;
 pub mod worker;
 
 pub use given::{flavor, job, settings};
@@ -112,6 +113,7 @@
     Question(usize, ReqId, followers::Leg),
     /// The next election is carried out at once, without an answer.
     LostElection,
+    Versions(versions::VersionAct),
 }
 
 struct Term {
@@ -207,6 +209,7 @@
     pub done_tasks: BTreeSet<TaskId>,
     pub submissions: submissions::Submissions,
     pub handover: handover::HandOver,
+    pub versions: versions::Versions,
     pub effect_log: effect_log::EffectLog,
 }
 
@@ -280,6 +283,7 @@
             done_tasks: BTreeSet::new(),
             submissions: submissions::Submissions::default(),
             handover: Default::default(),
+            versions: Default::default(),
             effect_log: Default::default(),
         };
         for i in 0..controllers {
@@ -592,6 +596,7 @@
             Ev::Chances(c) => self.chaos = c,
             Ev::OddRequests(until) => self.odd_requests(until),
             Ev::HandOver(a) => self.act(a),
+            Ev::Versions(a) => self.version_act(a),
             Ev::LateElection(i, by_s) => self.store.of(i).delay_next((by_s * 1e6) as u64),
         }
     }
