--- a/src/main.rs
+++ b/src/main.rs
@@ -142,6 +142,7 @@
             let b = api::bounds(&s).map_err(|_| ExitCode::from(2))?;
             let one = |l: RequestClass| b.guaranteed[l as usize];
             println!("connections: {} at a time, {}", b.connections, b.limited_by);
+            println!("  threads that serve them: {} at the most", b.threads);
             for (who, class) in [
                 ("workers", RequestClass::Workers),
                 ("users", RequestClass::Users),
@@ -160,8 +161,10 @@
             let z = s.sizes().map_err(|_| ExitCode::from(2))?;
             let [c, j, f, m] = z.bytes.map(|n| n / 1_000_000);
             println!(
-                "sizes: {} machines with no other controller left, {}",
-                z.machines, b.limited_by
+                "sizes: {} machines with no other controller left, limited by {}; {} of them can keep a connection open",
+                z.alone.most,
+                z.alone.limited_by,
+                z.machines.min(z.alone.most)
             );
             println!(
                 "  {} unfinished jobs, {} final states at hand, {} open requests, {} messages",
@@ -198,6 +201,10 @@
                 z.settle.as_secs(),
                 z.settle_most.as_secs()
             );
+            if let Err(e) = s.check_machines(&config) {
+                eprintln!("hookworks: {e}");
+                return Err(ExitCode::from(2));
+            }
             Ok(ExitCode::SUCCESS)
         }
         Verb::Submit { to, file } => Ok(tell(client::submit(&to, &file))),
--- a/src/settings/connections.rs
+++ b/src/settings/connections.rs
@@ -4,12 +4,15 @@
 use hookworks_http_server::BoundsSettings;
 use serde::{Deserialize, Serialize};
 
-/// `<connections><threads>1850</threads>…</connections>`; all optional.
+/// `<connections><threads>128</threads>…</connections>`; all optional.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Connections {
-    /// Most connections served at a time, a thread each.
+    /// Most threads that serve requests.
     pub threads: usize,
+    /// Machines that one controller has to hold with no other left; `hookworks check`
+    /// ends if it can't. 0: not told.
+    pub machines: usize,
     /// Share of the machine's memory that connections may take.
     pub memory_share: f64,
     /// Share of the memory that bodies over 8 KiB may take together.
@@ -35,6 +38,7 @@
         let defaults = BoundsSettings::default();
         Connections {
             threads: defaults.threads,
+            machines: 0,
             memory_share: defaults.memory_share,
             body_share: defaults.body_share,
             workers_share: defaults.workers,
--- a/src/settings/sizes.rs
+++ b/src/settings/sizes.rs
@@ -1,7 +1,7 @@
-//! How much of everything a controller holds, by its memory and connections.
+//! How much of everything a controller holds, by its memory, sockets and processor.
 
 use super::{Settings, SettingsError, bad};
-use hookworks_http_server::{BYTES_PER_CONNECTION, Bounds, RequestClass};
+use hookworks_http_server::{BYTES_PER_CONNECTION, Bounds, LimitedBy, RequestClass};
 
 /// What an unfinished job takes, with its line in lists, measured (docs/sizes.md).
 const JOB: f64 = 2_400.0;
@@ -13,16 +13,27 @@
 /// own threads and what is on its way the rest.
 const JOBS_SHARE: f64 = 0.3;
 const FINALS_SHARE: f64 = 0.05;
+const MACHINES_SHARE: f64 = 0.08;
 const MOST_JOBS: usize = 20_000;
 const MOST_FINALS: usize = 50_000;
 /// Messages on their way that are no requests: results of calls, ticks.
 const RESULTS: usize = 1024;
+/// From this share of the workers' connections on, answers end their connections.
+const KEPT_OPEN: f64 = 0.95;
+/// A connection that is opened for a single report holds its slot for so long.
+const REPORT_SLOT_S: f64 = 0.2;
+/// Processor time of a controller that serves everything by itself, for each report:
+/// the slopes of leader and follower in docs/CAPACITY.md, at a report each 3 s.
+const CORE_S_PER_REPORT: f64 = 3.0 * (0.031 + 0.018) / 1000.0;
 
 /// Bounds in force; all worked out, none set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sizes {
-    /// Machines whose workers all report here, with no other controller left.
+    /// Workers that can keep a connection open here, with no other controller left.
     pub machines: usize,
+    /// Machines whose workers can all report here with no other controller left, some
+    /// of them with a connection for each report.
+    pub alone: MachinesAlone,
     /// Unfinished jobs; more are turned away.
     pub jobs: usize,
     /// Final states kept at hand; others are read from the state service.
@@ -35,13 +46,52 @@
     pub bytes: [u64; 4],
 }
 
+/// How many machines a lone controller can look after.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MachinesAlone {
+    pub most: usize,
+    /// The setting that keeps it from being more.
+    pub limited_by: &'static str,
+}
+
+impl MachinesAlone {
+    fn plan(s: &Settings, b: &Bounds) -> MachinesAlone {
+        let limits = &s.platform.params.machine_limits;
+        let report_s = s.platform.params.workers.report_s;
+        let slots = b.max_for(RequestClass::Workers) as f64;
+        let in_turn = slots * (1.0 - KEPT_OPEN) * report_s / REPORT_SLOT_S;
+        let connections = match b.limited_by {
+            LimitedBy::Memory => "params.machine_limits.ram_mb",
+            LimitedBy::Sockets => "params.machine_limits.max_connections",
+            LimitedBy::Descriptors => "the system's limit of descriptors (ulimit -n)",
+        };
+        let all = [
+            (slots * KEPT_OPEN + in_turn, connections),
+            (
+                limits.ram_mb * 1e6 * MACHINES_SHARE / MACHINE,
+                "params.machine_limits.ram_mb",
+            ),
+            (
+                limits.core_share * report_s / CORE_S_PER_REPORT,
+                "params.machine_limits.core_share",
+            ),
+        ];
+        let first = all.into_iter().min_by(|a, b| a.0.total_cmp(&b.0));
+        let (most, limited_by) = first.unwrap_or((0.0, connections));
+        MachinesAlone {
+            most: most as usize,
+            limited_by,
+        }
+    }
+}
+
 impl Sizes {
     pub fn plan(s: &Settings, b: &Bounds) -> Sizes {
         let memory = s.platform.params.machine_limits.ram_mb * 1e6;
         let part = |share: f64, each: f64| (memory * share / each) as usize;
         let jobs = part(JOBS_SHARE, JOB).min(MOST_JOBS);
         let finals = part(FINALS_SHARE, FINAL).min(MOST_FINALS);
-        let machines = b.max_for(RequestClass::Workers);
+        let alone = MachinesAlone::plan(s, b);
         // A caller has one request at a time, and each of the other controllers
         // passes on what its callers ask.
         let requests = b.connections * (1 + s.platform.seeds.len());
@@ -49,10 +99,11 @@
             b.connections as u64 * BYTES_PER_CONNECTION,
             (jobs as f64 * JOB) as u64,
             (finals as f64 * FINAL) as u64,
-            (machines as f64 * MACHINE) as u64,
+            (alone.most as f64 * MACHINE) as u64,
         ];
         Sizes {
-            machines,
+            machines: b.max_for(RequestClass::Workers),
+            alone,
             jobs,
             finals,
             requests,
@@ -72,4 +123,22 @@
         let bounds = bounds.map_err(|e| bad("connections", "connections", &e.to_string()))?;
         Ok(Sizes::plan(self, &bounds))
     }
+
+    /// Whether a controller that is left alone can hold the machines that operators
+    /// say there are (`<connections><machines>`).
+    ///
+    /// # Errors
+    /// Names the setting that is too low, and how many machines would be held.
+    pub fn check_machines(&self, file: &str) -> Result<(), SettingsError> {
+        let needed = self.tuning.connections.machines;
+        let alone = self.sizes()?.alone;
+        if alone.most >= needed {
+            return Ok(());
+        }
+        let why = format!(
+            "too low: with no other controller left {} machines would be held, {needed} are needed",
+            alone.most
+        );
+        Err(bad(file, alone.limited_by, &why))
+    }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,6 +3,10 @@
 use hookworks::settings::{Platform, Settings, Sizes, Tuning};
 
 fn sizes(ram_mb: f64, sockets: usize) -> Sizes {
+    settings(ram_mb, sockets, 0.24).sizes().unwrap()
+}
+
+fn settings(ram_mb: f64, sockets: usize, core_share: f64) -> Settings {
     let text = serde_json::json!({
         "label": "a", "zone": "z", "listen": "10.0.0.1:1", "cluster_listen": "10.0.0.1:2",
         "seeds": [{"label": "b", "zone": "z", "peer_addr": "10.0.0.2:2"},
@@ -13,15 +17,42 @@
             "workers": {"report_s": 5.0, "lease_s": 26.0, "cancel_s": 50.0},
             "state": {"rps": 150.0, "write_rps": 40.0, "value_kb": 4.0, "txn_ops": 12},
             "cloud": {"rps": 8.0, "list_lag_s": 3.0},
-            "machine_limits": {"core_share": 0.24, "ram_mb": ram_mb, "max_connections": sockets}
+            "machine_limits": {"core_share": core_share, "ram_mb": ram_mb, "max_connections": sockets}
         }
     });
     let platform = Platform::parse("t", &text.to_string()).unwrap();
-    let s = Settings {
+    Settings {
         platform,
         tuning: Tuning::default(),
-    };
-    s.sizes().unwrap()
+    }
+}
+
+/// A thread for each connection was the bound at 1,650 machines, whatever the
+/// settings. Now it is what the platform gives, and `check` names it.
+#[test]
+fn machines_that_a_lone_controller_holds_follow_the_settings() {
+    let cases = [
+        (400.0, 3046, 0.24, "params.machine_limits.max_connections"),
+        (158.0, 1000, 0.24, "params.machine_limits.max_connections"),
+        (60.0, 3046, 0.24, "params.machine_limits.ram_mb"),
+        (158.0, 3046, 0.08, "params.machine_limits.core_share"),
+    ];
+    for (ram_mb, sockets, core_share, field) in cases {
+        let mut s = settings(ram_mb, sockets, core_share);
+        let alone = s.sizes().unwrap().alone;
+        assert_eq!(alone.limited_by, field, "{alone:?}");
+        s.tuning.connections.machines = alone.most;
+        s.check_machines("t.json").unwrap();
+        s.tuning.connections.machines = alone.most + 1;
+        let e = s.check_machines("t.json").unwrap_err().to_string();
+        assert!(e.contains(field), "{e}");
+        assert!(
+            e.contains(&format!("{} machines would be held", alone.most)),
+            "{e}"
+        );
+    }
+    // The largest deployment that there is, three times over.
+    assert!(settings(158.0, 3046, 0.24).sizes().unwrap().alone.most >= 4000);
 }
 
 /// Whatever the machine, the bounds together fit its memory with a part left
@@ -46,7 +77,7 @@
     assert!(large.requests >= 1982 + 1000, "{large:?}");
     // Alone it holds almost as many workers as the largest fleets have; one
     // that small can't, and turns the others away.
-    assert!(large.machines >= 1300, "{large:?}");
+    assert!(large.machines >= 2400, "{large:?}");
     assert!(small.machines >= 350, "{small:?}");
     assert!(large.finals > small.finals);
 }
