--- a/crates/http-server/benches/connections.rs
+++ b/crates/http-server/benches/connections.rs
@@ -48,7 +48,7 @@
     }
 }
 
-fn serve_now(sockets: usize, memory: u64) -> SocketAddr {
+fn serve_now(sockets: usize, memory: u64, answer: fn((Vec<u8>, Reply))) -> SocketAddr {
     let machine = MachineResources {
         sockets,
         descriptors: descriptors(sockets),
@@ -56,10 +56,7 @@
         reserved_sockets: 60,
     };
     let b = Bounds::plan(&machine, &BoundsSettings::default()).expect("bounds");
-    let inbox = main_loop(|(body, reply): (Vec<u8>, Reply)| {
-        let text = String::from_utf8_lossy(&body).into_owned();
-        reply.answer(Answer::new(200, text));
-    });
+    let inbox = main_loop(answer);
     let any = "127.0.0.1:0".parse().expect("address");
     let server = Server::start(any, b, Timeouts::default(), Loop(inbox)).expect("server");
     let addr = server.addr();
@@ -197,6 +194,33 @@
     let _ = child.wait();
 }
 
+/// Requests that wait for their answers on all of so many connections: resident
+/// memory and threads.
+fn measure_held() {
+    let (mut child, addr) = start("held");
+    let empty = size(&child).0;
+    let text = format!(
+        "POST /beat HTTP/1.1\r\nContent-Length: {}\r\n\r\n{BODY}",
+        BODY.len()
+    );
+    let mut held: Vec<Client> = vec![];
+    for _ in 0..IDLE_CONNECTIONS {
+        let mut client = Client::to(addr);
+        client.send(&text).expect("sent");
+        held.push(client);
+    }
+    std::thread::sleep(Duration::from_secs(2));
+    let (memory, threads) = size(&child);
+    println!(
+        "| {} | {threads} | {:.1} | {:.1} |",
+        held.len(),
+        memory as f64 / 1024.0,
+        (memory - empty) as f64 / held.len() as f64
+    );
+    let _ = child.kill();
+    let _ = child.wait();
+}
+
 /// Processor time of a process so far, in ticks of 10 ms.
 fn processor_ticks(of: &Child) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{}/stat", of.id())).unwrap_or_default();
@@ -300,9 +324,16 @@
 }
 
 fn serve(which: &str) -> ! {
+    let answer = |(body, reply): (Vec<u8>, Reply)| {
+        let text = String::from_utf8_lossy(&body).into_owned();
+        reply.answer(Answer::new(200, text));
+    };
+    // Never answered.
+    let hold = std::mem::forget::<(Vec<u8>, Reply)>;
     let addr = match which {
-        "idle" => serve_now(6000, 400_000_000),
-        "bounded" => serve_now(3129, 188_000_000),
+        "idle" => serve_now(6000, 400_000_000, answer),
+        "held" => serve_now(6000, 400_000_000, hold),
+        "bounded" => serve_now(3129, 188_000_000, answer),
         _ => serve_before(),
     };
     println!("{addr}");
@@ -323,6 +354,11 @@
         println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         measure_mostly_idle();
     }
+    if only != "busy" {
+        println!("| requests that wait for answers | threads | MiB | KiB each |");
+        println!("| --- | --- | --- | --- |");
+        measure_held();
+    }
     if only == "idle" {
         return;
     }
--- a/crates/http-server/src/acceptor.rs
+++ b/crates/http-server/src/acceptor.rs
@@ -18,17 +18,17 @@
 const MAX_ACCEPT_FAILURES: u32 = 20;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(500);
-const BACKLOG: i32 = 512;
 
-/// Opens a listening socket.
-pub(crate) fn listen(addr: SocketAddr) -> std::io::Result<TcpListener> {
+/// Opens a listening socket. A whole wave of connections may wait to be accepted, as
+/// many as can be open; the system may allow fewer.
+pub(crate) fn listen(addr: SocketAddr, connections: usize) -> std::io::Result<TcpListener> {
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     // Accepted connections inherit this.
     socket.set_tcp_nodelay(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(i32::try_from(connections).unwrap_or(i32::MAX))?;
     Ok(socket.into())
 }
 
@@ -89,7 +89,8 @@
     /// whatever it is, it may pass.
     fn reopen(&mut self) {
         let addr = self.addr;
-        match listen(addr) {
+        let connections = self.shared.connections().bounds().connections;
+        match listen(addr, connections) {
             Ok(listener) => {
                 self.reserve = listener.try_clone().ok();
                 self.listener = Some(listener);
--- a/crates/http-server/tests/floods.rs
+++ b/crates/http-server/tests/floods.rs
@@ -139,6 +139,51 @@
     assert_eq!(Client::to(addr).ask("/submit", "{}").unwrap().status, 200);
 }
 
+/// As when the two others end: half as many workers again as can keep a connection
+/// all come at once, and come back when they are told to. All get their turn, and
+/// users and health checks find theirs meanwhile.
+#[test]
+fn storm_of_workers_leaves_nobody_out() {
+    let server = server(300, Timeouts::default());
+    let (addr, bounds) = (server.addr(), server.metrics().bounds);
+    let workers = bounds.max_for(RequestClass::Workers) * 3 / 2;
+    let reported = AtomicBool::new(false);
+    let others = std::thread::scope(|s| {
+        let others = s.spawn(|| {
+            let mut statuses = vec![];
+            while !reported.load(Ordering::SeqCst) {
+                for path in ["/submit", "/health"] {
+                    let got = come(addr, path, "{}").1;
+                    statuses.push(got.map_or(0, |g| g.status));
+                }
+            }
+            statuses
+        });
+        let mut waiting = workers;
+        for round in 0.. {
+            assert!(round < 50, "{waiting} left out: {:?}", server.metrics());
+            // All connect and ask before any answer is read.
+            let mut storm: Vec<Client> = (0..waiting).map(|_| Client::to(addr)).collect();
+            for client in &mut storm {
+                let _ = client.send("POST /beat HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+            }
+            let answers = storm.iter_mut().map(|client| client.answer());
+            waiting = answers
+                .filter(|a| a.as_ref().is_none_or(|g| g.status != 200))
+                .count();
+            if waiting == 0 {
+                break;
+            }
+        }
+        reported.store(true, Ordering::SeqCst);
+        others.join().unwrap()
+    });
+    assert!(others.iter().all(|status| *status == 200), "{others:?}");
+    let metrics = server.metrics();
+    assert!(metrics.most_threads <= bounds.threads, "{metrics:?}");
+    assert!(metrics.most_open <= bounds.connections + 16, "{metrics:?}");
+}
+
 #[test]
 fn worker_without_a_slot_is_redirected() {
     let server = server(60, Timeouts::default());
