--- a/crates/http-server/src/connection.rs
+++ b/crates/http-server/src/connection.rs
@@ -495,6 +495,8 @@
 
     fn end(self, ending: Ending) {
         let stream = self.connection.stream;
+        // Whoever has its last answer finds the memory given back.
+        drop(self.connection.stage);
         let answered = match ending {
             Ending::Silent => false,
             Ending::Answered => true,
