--- a/crates/http-server/src/readiness.rs
+++ b/crates/http-server/src/readiness.rs
@@ -88,8 +88,9 @@
                 .poller
                 .modify_with_mode(stream, event, PollMode::Oneshot);
         }
-        // SAFETY: a connection is served until its end by whoever holds it, and the
-        // end of one that is watched goes by way of `forget` before its socket closes.
+        // SAFETY: the socket has to be removed before it is closed. The end of a
+        // connection that is watched goes by way of `forget`; those that are left when
+        // the server is dropped are closed after the poller, see `Shared`.
         unsafe { self.poller.add_with_mode(stream, event, PollMode::Oneshot) }
     }
 
--- a/crates/http-server/src/shared.rs
+++ b/crates/http-server/src/shared.rs
@@ -27,10 +27,12 @@
 
 /// The state of a server.
 pub(crate) struct Shared<S: Service> {
+    /// The first field, so that nothing is watched any more when the connections
+    /// that others hold are dropped.
+    pub readiness: Readiness<S::Request>,
     pub service: S,
     pub lingering: LingerQueue,
     pub pool: RequestPool<S::Request>,
-    pub readiness: Readiness<S::Request>,
     pending: Mutex<PendingAnswers<S>>,
     bounds: Bounds,
     connections: Mutex<ConnectionTable<Arc<TcpStream>>>,
