--- a/crates/http-server/tests/threads.rs
+++ b/crates/http-server/tests/threads.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn slow_senders_hold_no_thread() {
-    let server = server(400, Timeouts::default());
+    let server = server(1200, Timeouts::default());
     let partial = [
         "POST /submit HTTP/1.1\r\nX-Slow: a",
         "POST /submit HTTP/1.1\r\nContent-Length: 6\r\n\r\nabc",
@@ -99,14 +99,17 @@
         "def",
         "def\r\n0\r\n\r\n",
     ];
-    // Fewer than may be open without a whole head.
-    let mut slow: Vec<Client> = (0..30).map(|_| Client::to(server.addr())).collect();
-    for (n, client) in slow.iter_mut().enumerate() {
+    // A third of them have no whole head: fewer than may be open without one.
+    let mut slow: Vec<Client> = vec![];
+    for n in 0..90 {
+        let mut client = Client::to(server.addr());
         client.send(partial[n % 3]).unwrap();
+        slow.push(client);
+        let with_head = (0..=n).filter(|n| n % 3 != 0).count();
+        until("it has begun", || {
+            server.metrics().classes[&RequestClass::Users].open == with_head
+        });
     }
-    until("all have begun", || {
-        server.metrics().classes[&RequestClass::Users].open == 20
-    });
     ask_all(server.addr(), &["/submit", "/beat", "/health"]);
     let metrics = server.metrics();
     assert!(slow.len() > 2 * metrics.bounds.threads, "{metrics:?}");
