--- a/src/node/asks.rs
+++ b/src/node/asks.rs
@@ -264,7 +264,7 @@
 
 /// The leader that was asked has begun another term since: it does not know of
 /// the request any more.
-pub(super) fn replaced(asked: &(Label, Epoch), now: Option<&(Label, Epoch)>) -> bool {
+pub fn replaced(asked: &(Label, Epoch), now: Option<&(Label, Epoch)>) -> bool {
     now.is_some_and(|(label, epoch)| *label == asked.0 && *epoch > asked.1)
 }
 
@@ -285,21 +285,3 @@
         Ask::Submit(_) | Ask::Cancel(_) | Ask::Hold(..) | Ask::Release(..) => Span::millis(4200),
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Reports that a leader was asked before it ended waited for its answer until
-    /// their workers gave up, though it led again under the same name.
-    #[test]
-    fn a_leader_that_leads_again_has_forgotten_what_it_was_asked() {
-        let of = |l: &str, e| (Label::from(l), Epoch(e));
-        let asked = of("a", 4);
-        assert!(replaced(&asked, Some(&of("a", 5))));
-        assert!(!replaced(&asked, Some(&of("a", 4))));
-        // Another leads: the answer may be on its way yet.
-        assert!(!replaced(&asked, Some(&of("b", 5))));
-        assert!(!replaced(&asked, None));
-    }
-}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -10,6 +10,8 @@
 mod terms;
 mod upgrade;
 
+pub use asks::replaced;
+
 use crate::api::{self, Incoming, Notice, Published};
 use crate::ids::{Epoch, Instance, JobId, Label, ReqId, TxnId};
 use crate::lead::{Candidate, Elect, Home, Leader};
@@ -257,7 +259,7 @@
 
 /// Numbers of requests that no other process under this label has used: what an
 /// earlier one was to be told arrives here, and once answered others' requests.
-fn first_request(instance: Instance) -> u64 {
+pub fn first_request(instance: Instance) -> u64 {
     (instance.0 << 32) + 1
 }
 
@@ -579,20 +581,3 @@
 pub(crate) fn key_of_final(id: &JobId) -> String {
     final_key(id)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A follower was back after 0.3 s with request 1 open when the leader's
-    /// answer to request 1 of its earlier process arrived.
-    #[test]
-    fn no_two_processes_of_a_label_number_their_requests_alike() {
-        let of =
-            |i: u64| first_request(Instance(i))..first_request(Instance(i)) + (u32::MAX as u64 - 1);
-        for (a, b) in [(0, 1), (7, 8), (u32::MAX as u64 - 1, u32::MAX as u64)] {
-            assert!(!of(a).contains(&first_request(Instance(b))));
-            assert!(!of(b).contains(&first_request(Instance(a))));
-        }
-    }
-}
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -22,7 +22,7 @@
 mod order;
 mod overview;
 mod place;
-mod places;
+pub mod places;
 mod preempt;
 mod records;
 mod report;
--- a/src/sched/places.rs
+++ b/src/sched/places.rs
@@ -13,14 +13,17 @@
 /// A machine's place and kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
+    /// The zone.
     pub zone: Zone,
+    /// The machine type.
     pub build: Build,
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
 /// The places of a record's attempts, in their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(super) struct Places {
+pub struct Places {
     /// The different ones.
     #[serde(rename = "k")]
     kinds: Vec<(Zone, Build, bool)>,
@@ -93,62 +96,3 @@
         all.filter(|_| fits).unwrap_or_default()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::sched::job::Job;
-    use crate::time::{Time, Wall};
-    use crate::wire::user::JobSpec;
-
-    fn place(zone: &str) -> Place {
-        Place {
-            zone: zone.into(),
-            build: "m8".into(),
-            spot: zone == "b",
-        }
-    }
-
-    /// A job with live attempts, by way of its record.
-    fn job(parts: serde_json::Value) -> Job {
-        let spec = serde_json::json!({
-            "Id": "job-1", "Jobline": "w", "Crew": "red", "Shape": "batch", "Urgency": "normal",
-            "Pieces": 64, "Vcpus": 1.0, "Accelerators": 0.0, "RamGb": 1.0, "OneZone": false,
-            "Scatter": false, "Lendable": true, "Bundle": "i", "SizeGb": 1.0, "GuessS": 9.0,
-            "BookmarkS": 0.0, "StowS": 0.0,
-        });
-        let spec = JobSpec::parse(spec.to_string().as_bytes()).unwrap();
-        let mut record = serde_json::json!({"spec": spec, "at": 0, "seq": 1, "part_size": 64});
-        record["first"] = parts;
-        Job::decode(&record, Time(9_000_000), Wall(9_000)).unwrap()
-    }
-
-    #[test]
-    fn places_come_back_with_their_attempts_and_only_with_these() {
-        let mut j = job(serde_json::json!({"a": [[0, 7, "n-1", 5], [3, 8, "n-2", 6]]}));
-        assert!(
-            j.live.values().all(|l| l.place.is_none()),
-            "an older record"
-        );
-        for (l, zone) in j.live.values_mut().zip(["a", "b"]) {
-            l.place = Some(place(zone));
-        }
-        let record = j.encode(0);
-        let again = Job::decode(&record, Time(9_000_000), Wall(9_000)).unwrap();
-        let places: Vec<_> = again
-            .live
-            .values()
-            .map(|l| l.place.clone().unwrap())
-            .collect();
-        assert_eq!(places, [place("a"), place("b")]);
-        // An earlier release wrote other attempts beside a field unknown to it:
-        // the zones would have been those of other machines.
-        let mut stale = record.clone();
-        stale["first"]["a"][1][2] = "n-3".into();
-        let stale = Job::decode(&stale, Time(9_000_000), Wall(9_000)).unwrap();
-        assert!(stale.live.values().all(|l| l.place.is_none()));
-        // They give way where a record is full.
-        assert!(Places::of(j.live.values(), 20).is_none());
-        assert!(Places::of(j.live.values(), 200).unwrap().size() <= 200);
-    }
-}
