--- a/crates/scale/src/pipeline.rs
+++ b/crates/scale/src/pipeline.rs
@@ -58,8 +58,9 @@
             let needs = needs.into_iter().map(|n| jobs[n].spec.id.clone());
             let needs = needs.collect();
             let draft = draft(rng, shape, first_number + jobs.len());
-            let plan = draft.draw(rng, options.teams, 0.0, shape.run_s);
-            jobs.push(Plan { needs, ..plan });
+            let mut plan = draft.draw(rng, options.teams, 0.0, shape.run_s);
+            plan.spec.needs = needs;
+            jobs.push(plan);
         }
         before = from..jobs.len();
     }
@@ -127,7 +128,7 @@
 fn longest_way_s(jobs: &[Plan]) -> f64 {
     let mut ends: Vec<(&JobId, f64)> = vec![];
     for job in jobs {
-        let needed = ends.iter().filter(|(id, _)| job.needs.contains(id));
+        let needed = ends.iter().filter(|(id, _)| job.spec.needs.contains(id));
         let start = needed.map(|(_, end)| *end).fold(0.0, f64::max);
         ends.push((&job.spec.id, start + job.run.as_secs_f64()));
     }
--- a/crates/scale/src/workload.rs
+++ b/crates/scale/src/workload.rs
@@ -5,7 +5,6 @@
 use hookworks::wire::user::{JobSpec, Kind, Priority};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use serde::Serialize;
 use std::time::Duration;
 
 /// The class of jobs that are to start at once.
@@ -28,8 +27,6 @@
 pub struct Plan {
     /// What its user submits.
     pub spec: JobSpec,
-    /// Jobs that have to be done before any task of this one starts.
-    pub needs: Vec<JobId>,
     /// When its user submits it first, counted from the first arrival.
     pub at: Duration,
     /// How long each task runs.
@@ -40,15 +37,6 @@
     pub repeated: bool,
 }
 
-/// The body of a submission.
-#[derive(Serialize)]
-struct Submission<'p> {
-    #[serde(flatten)]
-    spec: &'p JobSpec,
-    #[serde(rename = "Awaits", skip_serializing_if = "<[JobId]>::is_empty")]
-    needs: &'p [JobId],
-}
-
 impl Plan {
     /// It is to start at once.
     pub fn is_urgent(&self) -> bool {
@@ -57,11 +45,7 @@
 
     /// The body of its submission.
     pub fn submission(&self) -> Vec<u8> {
-        let submission = Submission {
-            spec: &self.spec,
-            needs: &self.needs,
-        };
-        serde_json::to_vec(&submission).unwrap_or_default()
+        serde_json::to_vec(&self.spec).unwrap_or_default()
     }
 }
 
@@ -113,7 +97,6 @@
         };
         Plan {
             spec,
-            needs: vec![],
             at: Duration::ZERO,
             run: Duration::from_secs_f64(run_s),
             cancel_after: is_cancelled.then(|| random_duration(rng, cancel_s)),
--- a/crates/scale/tests/dependencies.rs
+++ b/crates/scale/tests/dependencies.rs
@@ -212,13 +212,13 @@
     s.runs(1, FIRST);
     let mut plan = s.pipeline.jobs[LAST].clone();
     plan.spec.id = JobId::from("job-777");
-    plan.needs.push(JobId::from("job-888"));
-    let needed = plan.needs.clone();
+    plan.spec.needs.push(JobId::from("job-888"));
+    let needed = plan.spec.needs.clone();
     for (needs, expected) in [
         (needed.clone(), vec![]),
         (needed[..1].to_vec(), vec![Rule::Forgotten]),
     ] {
-        plan.needs = needs;
+        plan.spec.needs = needs;
         let at = s.at(20);
         s.judge.submitted(at, Arc::new(plan.clone()));
         s.judge.answered(at, at, &plan.spec.id, Answer::Refused);
