--- a/crates/http-server/src/request_pool.rs
+++ b/crates/http-server/src/request_pool.rs
@@ -5,7 +5,7 @@
 use crate::Service;
 use crate::connection::{self, Work};
 use crate::shared::Shared;
-use crossbeam_channel::{Receiver, Sender, unbounded};
+use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, unbounded};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -129,30 +129,31 @@
     fn take(&self) -> Option<Work<R>> {
         loop {
             let work = match self.work.try_recv() {
-                Ok(work) => Some(work),
+                Ok(work) => Ok(work),
                 Err(_) => self.wait(),
             };
             match work {
-                Some(Some(work)) => {
+                Ok(Some(work)) => {
                     let now = self.started.elapsed().as_millis() as u64;
                     self.taken_ms.store(now, Ordering::Relaxed);
                     return Some(work);
                 }
-                Some(None) => {
+                Ok(None) => {
                     self.threads().counts.now -= 1;
                     return None;
                 }
-                None if self.retire() => return None,
-                None => {}
+                Err(_) if self.retire() => return None,
+                Err(_) => {}
             }
         }
     }
 
-    fn wait(&self) -> Option<Option<Work<R>>> {
+    /// The next work, waited for; an error if none came.
+    fn wait(&self) -> Result<Option<Work<R>>, RecvTimeoutError> {
         self.idle.fetch_add(1, Ordering::SeqCst);
-        let received = self.work.recv_timeout(IDLE_TIMEOUT);
+        let work = self.work.recv_timeout(IDLE_TIMEOUT);
         self.idle.fetch_sub(1, Ordering::SeqCst);
-        received.ok()
+        work
     }
 
     /// A thread that found no work ends, unless it is the last one.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,30 @@
 //! hookworks: a cluster scheduler that balances the tasks of each machine in
 //! time, so that machines empty together and go back sooner.
 
+#![deny(missing_docs)]
+#![deny(clippy::many_single_char_names, clippy::too_many_lines)]
+
+// `allow` stands where public items without a doc comment are left; it goes with the last.
+#[allow(missing_docs)]
 pub mod agent;
+#[allow(missing_docs)]
 pub mod api;
 pub mod client;
+#[allow(missing_docs)]
 pub mod cloud;
+#[allow(missing_docs)]
 pub mod lead;
+#[allow(missing_docs)]
 pub mod node;
+#[allow(missing_docs)]
 pub mod peer;
+#[allow(missing_docs)]
 pub mod sched;
 pub mod settings;
+#[allow(missing_docs)]
 pub mod store;
 pub mod time;
+#[allow(missing_docs)]
 pub mod versions;
 pub mod wire;
 
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -108,6 +108,12 @@
     }
 }
 
+/// The moment of the steady clock at which the clock on the wall showed `at`; `now` and
+/// `wall` are what both show at present.
+fn steady_time(now: Time, wall: Wall, at: Wall) -> Time {
+    Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at.0)))
+}
+
 impl Job {
     fn legacy_part(&self, part: usize) -> PartRecord {
         let (from, to) = self.part_range(part);
@@ -355,9 +361,10 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        let time_of = |at: u64| Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)));
-        job.arrived = time_of(h.at);
-        job.ready = h.ready_at.map_or(job.arrived, time_of);
+        job.arrived = steady_time(now, wall, Wall(h.at));
+        job.ready = h
+            .ready_at
+            .map_or(job.arrived, |at| steady_time(now, wall, Wall(at)));
         job.ready_at = h.ready_at.map(Wall);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -2,8 +2,10 @@
 
 mod classes;
 mod connections;
+#[allow(missing_docs)]
 mod platform;
 mod served;
+#[allow(missing_docs)]
 mod sizes;
 mod tuning;
 mod zones;
--- a/src/time.rs
+++ b/src/time.rs
@@ -28,5 +28,5 @@
 /// The time of day.
 pub fn wall() -> Wall {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    Wall(since.map(|d| d.as_millis() as u64).unwrap_or(0))
+    Wall(since.map_or(0, |since| since.as_millis() as u64))
 }
