--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -108,6 +108,12 @@
     }
 }
 
+/// The moment of the steady clock at which the clock on the wall showed `at`; `now` and
+/// `wall` are what both show at present.
+fn steady_time(now: Time, wall: Wall, at: Wall) -> Time {
+    Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at.0)))
+}
+
 impl Job {
     fn legacy_part(&self, part: usize) -> PartRecord {
         let (from, to) = self.part_range(part);
