--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -43,6 +43,9 @@
     pub submissions_p99_s: f64,
     /// The rules that broke.
     pub rules_broken: Vec<String>,
+    /// The version of the controllers, in words; runs kept before this was noted have none.
+    #[serde(default)]
+    pub version: Option<String>,
     /// The most that each controller took; runs kept before this was noted have none.
     #[serde(default)]
     pub peaks: Vec<Peak>,
@@ -79,7 +82,7 @@
 
 impl Recorded {
     /// Made from a run's figures.
-    pub fn of(name: &str, f: &Figures) -> Recorded {
+    pub fn of(name: &str, version: Option<&str>, f: &Figures) -> Recorded {
         let options = &f.options;
         let broken = f.verdict.broken.keys().map(|r| format!("{r:?}"));
         Recorded {
@@ -97,6 +100,7 @@
             urgent_p99_s: Some(f.urgent.p99_s).filter(|s| s.is_finite()),
             submissions_p99_s: f.submissions.p99_s,
             rules_broken: broken.collect(),
+            version: version.map(Into::into),
             peaks: f.controllers.iter().map(Peak::of).collect(),
             size: Size::of(Axis::Workers, options.workers as f64, f),
         }
@@ -411,6 +415,7 @@
         s.load_average[0],
         s.load_average[1]
     )?;
+    write_version(page, run.version.as_deref())?;
     let rules = match run.rules_broken.is_empty() {
         true => "all rules held".to_string(),
         false => format!("broken: {}", run.rules_broken.join(", ")),
@@ -466,6 +471,11 @@
     writeln!(page)
 }
 
+fn write_version(page: &mut String, version: Option<&str>) -> std::fmt::Result {
+    let version = version.unwrap_or("one before versions were noted here");
+    writeln!(page, "Controllers' version: {version}.\n")
+}
+
 fn write_peaks(page: &mut String, peaks: &[Peak]) -> std::fmt::Result {
     if peaks.is_empty() {
         return Ok(());
@@ -500,6 +510,7 @@
             series.teams,
             series.zones
         )?;
+        write_version(page, series.version.as_deref())?;
         writeln!(
             page,
             "| measure | at zero | for each 1,000 | residual | slopes between sizes, for each 1,000 | linear |"
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -5,7 +5,7 @@
 use hookworks_scale::options::RunOptions;
 use hookworks_scale::run::{RunError, run, write};
 use hookworks_scale::slopes::{SlopeError, SlopeOptions, measure_series};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -27,6 +27,13 @@
         /// Keep the run under this name for the capacity page.
         #[arg(long)]
         name: Option<String>,
+        /// The version of the controllers, in words, for the page.
+        #[arg(
+            id = "controllers-version",
+            long = "controllers-version",
+            requires = "name"
+        )]
+        version: Option<String>,
         /// The file of kept runs.
         #[arg(long, default_value = "docs/capacity/runs.json")]
         keep: PathBuf,
@@ -37,12 +44,15 @@
     Capacity(CapacityOptions),
 }
 
+/// Where a run is kept for the capacity page, and under which name.
+struct Keep {
+    name: String,
+    version: Option<String>,
+    file: PathBuf,
+}
+
 /// Ends with 0 if all held, 1 if something broke or failed, 2 for bad input.
-fn one(
-    options: &RunOptions,
-    keep: Option<(&str, &Path)>,
-    interrupted: &Arc<AtomicBool>,
-) -> ExitCode {
+fn one(options: &RunOptions, keep: Option<&Keep>, interrupted: &Arc<AtomicBool>) -> ExitCode {
     let figures = match run(options, interrupted) {
         Ok(figures) => figures,
         Err(e) => return failed(&e, matches!(e, RunError::Input(_))),
@@ -51,10 +61,10 @@
     if let Err(e) = write(&figures, &options.out) {
         return failed(&format!("{}: {e}", options.out.display()), false);
     }
-    if let Some((name, file)) = keep
-        && let Err(e) = Recorded::of(name, &figures).keep(file)
+    if let Some(keep) = keep
+        && let Err(e) = Recorded::of(&keep.name, keep.version.as_deref(), &figures).keep(&keep.file)
     {
-        return failed(&format!("{}: {e}", file.display()), false);
+        return failed(&format!("{}: {e}", keep.file.display()), false);
     }
     match figures.holds() {
         true => ExitCode::SUCCESS,
@@ -100,10 +110,15 @@
         Verb::Run {
             options,
             name,
-            keep,
+            version,
+            keep: file,
         } => {
-            let keep = name.as_deref().map(|n| (n, keep.as_path()));
-            one(&options, keep, &interrupted)
+            let keep = name.map(|name| Keep {
+                name,
+                version,
+                file,
+            });
+            one(&options, keep.as_ref(), &interrupted)
         }
         Verb::Slopes(options) => several(&options, &interrupted),
         Verb::Capacity(options) => match capacity::write(&options) {
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -163,6 +163,9 @@
     pub run_s: f64,
     /// How long users submitted.
     pub length_s: f64,
+    /// The version of the controllers, in words; none in older files.
+    #[serde(default)]
+    pub version: Option<String>,
     /// The sizes, from the smallest.
     pub sizes: Vec<Size>,
     /// A line for each measure.
@@ -196,6 +199,9 @@
     /// The file that the series is put into.
     #[arg(long, default_value = "docs/capacity/slopes.json")]
     pub into: PathBuf,
+    /// The version of the controllers, in words, for the page.
+    #[arg(id = "controllers-version", long = "controllers-version")]
+    pub version: Option<String>,
     #[command(flatten)]
     /// The options that all sizes share.
     pub run: RunOptions,
@@ -289,6 +295,7 @@
             regions: options.regions,
             run_s: options.run_s,
             length_s: options.length_s,
+            version: None,
             not_linear: bent.map(|(name, _)| name.clone()).collect(),
             largest_that_held: held.last().map(|s| s.asked),
             broke_first,
@@ -360,7 +367,8 @@
         show(&figures);
         sizes.push(Size::of(options.axis, size, &figures));
     }
-    let series = Series::of(options.axis, &options.run, sizes);
+    let mut series = Series::of(options.axis, &options.run, sizes);
+    series.version.clone_from(&options.version);
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     slopes.machine = format!("{cores} cores, shared with other work while measured");
     slopes.series.insert(options.axis, series.clone());
--- a/crates/scale/tests/capacity.rs
+++ b/crates/scale/tests/capacity.rs
@@ -101,6 +101,7 @@
         urgent_p99_s: None,
         submissions_p99_s: 0.1,
         rules_broken: vec![],
+        version: Some("a version".into()),
         peaks: vec![],
         size: size(2000.0, cores, None),
     };
@@ -111,6 +112,7 @@
     assert!(page_of(0.21).contains("| 0.200 | 0.210 | +5% |"));
     assert!(page_of(0.30).contains("| 0.200 | 0.300 | +50% (!) |"));
     assert!(page_of(0.21).contains("| 1500 | leader cores |"));
+    assert!(page_of(0.21).contains("Controllers' version: a version."));
     let empty = page(&Slopes::default(), &BTreeMap::new());
     assert!(empty.contains("not measured"));
 }
