--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -136,6 +136,8 @@
     pub teams: Vec<crate::settings::TeamLimit>,
     pub objectives: Vec<crate::settings::Objective>,
     pub value_kb: f64,
+    /// The smallest limits that the state service is known to have at some time.
+    pub smallest: crate::settings::LimitValues,
     /// Finished jobs read one by one for whoever wants to see them, a second.
     pub look_ups: f64,
     pub leader_lease: Span,
@@ -171,6 +173,7 @@
             teams: s.platform.params.teams.clone(),
             objectives: s.platform.params.objectives.clone(),
             value_kb: s.platform.params.state.value_kb,
+            smallest: s.platform.params.state.smallest(),
             look_ups: s.platform.params.state.rps * LOOK_UPS,
             leader_lease: Span::secs(s.tuning.leader_lease_s),
             pass_every: Span::secs(s.tuning.pass_ms / 1000.0),
@@ -302,7 +305,7 @@
             record_format: RecordFormat::default(),
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
-            dependencies: Default::default(),
+            dependencies: dependencies::Dependencies::new(look_ups),
             inheritance: Default::default(),
             look_ups_for_submissions: named_jobs::LookUps::new(look_ups),
             time_limits: BTreeSet::new(),
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -6,7 +6,7 @@
 use crate::ids::{JobId, TaskIx};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobState, Kind};
+use crate::wire::user::{JobState, Kind, Priority};
 use hookworks_fairness::JobEvent as What;
 use std::collections::{HashSet, VecDeque};
 
@@ -40,8 +40,11 @@
 ];
 /// Share of the write budget that must be left for each purpose.
 const RESERVE: [f64; 4] = [0.0, 0.25, 0.3, 0.5];
-/// Progress waits so long, since more of the same record may come.
+/// Progress waits so long, since more of the same record may come; and so long where
+/// less than this share of the write budget is left.
 const GATHER: Span = Span(1_000_000);
+const GATHER_WHEN_SHORT: Span = Span(3_000_000);
+const SHORT: f64 = 0.8;
 /// The end of a job waits no longer than that for starts of others.
 const END_WITHIN: Span = Span(1_500_000);
 
@@ -77,9 +80,14 @@
         if self.queues[end].front().is_some_and(old) {
             return self.queues[end].pop_front();
         }
+        let gather = if left < SHORT {
+            GATHER_WHEN_SHORT
+        } else {
+            GATHER
+        };
         for p in PURPOSES {
             let q = &mut self.queues[p as usize];
-            let gathers = |d: &Dirty| p == Purpose::Progress && now - d.since < GATHER;
+            let gathers = |d: &Dirty| p == Purpose::Progress && now - d.since < gather;
             if left >= RESERVE[p as usize] && q.front().is_some_and(|d| !gathers(d)) {
                 return q.pop_front();
             }
@@ -175,10 +183,14 @@
             return;
         }
         j.ended = Some(self.wall);
-        // That it is cancelled with another is on record by that one.
-        let purpose = match j.cancelled_with {
-            Some(_) => Purpose::Progress,
-            None => Purpose::End,
+        let needed = !self.dependencies.children_of(id).is_empty();
+        let purpose = match j.closing {
+            // That it is cancelled with another is on record by that one.
+            _ if j.cancelled_with.is_some() => Purpose::Progress,
+            // Others start once this is stored.
+            Some(JobState::Done) if needed && j.priority() <= Priority::High => Purpose::Now,
+            Some(JobState::Done) if needed => Purpose::Start,
+            _ => Purpose::End,
         };
         j.touch(0, &mut self.dirty, purpose);
     }
@@ -261,7 +273,7 @@
     }
 
     /// Users need not wait for a state service that refuses: a retry is safe.
-    pub(super) fn not_stored(&mut self, id: &JobId) {
+    pub(crate) fn not_stored(&mut self, id: &JobId) {
         let waiters = match self.jobs.get_mut(id) {
             Some(j) => std::mem::take(&mut j.waiters),
             None => return,
