--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -162,14 +162,14 @@
         role: "state service",
         is_shared: false,
         bound: Some((150.0, "requests a second that it takes")),
-        mechanism: "group commit by purpose (`src/store/commit.rs`)",
+        mechanism: "group commit by purpose (`src/store`)",
     },
     Line {
         measure: "state changes/s",
         role: "state service",
         is_shared: false,
         bound: Some((40.0, "changes a second that it takes")),
-        mechanism: "group commit by purpose (`src/store/commit.rs`); records of several jobs in one change: missing",
+        mechanism: "group commit by purpose (`src/store`); records of several jobs in one change: missing",
     },
     Line {
         measure: "worker report bytes/s",
@@ -181,7 +181,9 @@
 ];
 
 /// What nothing was measured of; the page repeats it.
-pub(crate) const NOT_MEASURED: [&str; 13] = [
+pub(crate) const NOT_MEASURED: [&str; 15] = [
+    "pipelines at the target's size; they were played with 200 and 400 workers only",
+    "slopes along starts and teams with the version whose slopes along workers these are",
     "a steady state: in runs this short fewer jobs end than come, so final states at the state service are too few",
     "tasks of a job as an axis: the series have jobs of 20, and changes at the state service go with jobs, see the run with jobs of 10",
     "configuration: there is no way to change it while controllers run (missing)",
--- a/crates/scale/src/standin/users.rs
+++ b/crates/scale/src/standin/users.rs
@@ -1,15 +1,18 @@
 //! Users: they submit at their times, poll, repeat and cancel.
 
+mod caller;
+mod queue;
+
 use super::Shared;
-use crate::counters::Counterpart;
-use crate::http::{Client, Exchange};
+use crate::http::Exchange;
 use crate::judge::Answer;
 use crate::pipeline::{Pipeline, Pipelines};
 use crate::workload::Plan;
+use caller::{Caller, answer_of};
 use hdrhistogram::Histogram;
 use hookworks::ids::JobId;
-use hookworks::wire::user::{JobState, JobView};
-use std::cmp::Ordering as Order;
+use hookworks::wire::user::JobState;
+use queue::{RequestKind, UserRequest};
 use std::collections::BinaryHeap;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -20,56 +23,19 @@
 const POLL_EVERY: Duration = Duration::from_secs(5);
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// A user repeats a request for so long.
 const GIVE_UP: Duration = Duration::from_secs(60);
-/// Connections that are tried for a request.
-const TRIES: usize = 3;
 /// Every so many polls somebody asks about a job that nobody submitted.
 const STRAY_EVERY: u64 = 50;
 /// After so many accepted jobs that need others, somebody submits one that needs
 /// a job that nobody submitted.
 const STRAY_NEED_EVERY: u64 = 20;
+/// Statuses by which a submission is refused for good.
+const REFUSALS: [u16; 2] = [400, 422];
 /// Longest time that the histogram tells apart.
 const LONGEST_MS: u64 = 120_000;
 
-#[derive(Clone, Debug, PartialEq)]
-enum RequestKind {
-    Submit,
-    /// A submission that was accepted, once more.
-    Repeat,
-    Poll,
-    Cancel,
-}
-
-#[derive(Clone)]
-struct UserRequest {
-    due: Instant,
-    kind: RequestKind,
-    plan: Arc<Plan>,
-    /// When the user first tried.
-    first: Instant,
-}
-
-impl PartialEq for UserRequest {
-    fn eq(&self, other: &UserRequest) -> bool {
-        self.due == other.due
-    }
-}
-impl Eq for UserRequest {}
-impl PartialOrd for UserRequest {
-    fn partial_cmp(&self, other: &UserRequest) -> Option<Order> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for UserRequest {
-    /// The earliest is the greatest.
-    fn cmp(&self, other: &UserRequest) -> Order {
-        other.due.cmp(&self.due)
-    }
-}
-
 /// What users have seen.
 pub struct Observations {
     /// Milliseconds from the first attempt to the acceptance.
@@ -93,12 +59,6 @@
     observations: Mutex<Observations>,
 }
 
-/// A thread's connection to a controller.
-struct Caller {
-    controller: usize,
-    client: Option<Client>,
-}
-
 impl Users {
     pub fn new(shared: Arc<Shared>) -> Users {
         let submissions = Histogram::new_with_max(LONGEST_MS, 3);
@@ -156,12 +116,7 @@
             let users = self.clone();
             let controller = number % users.shared.layout.controllers;
             let thread = std::thread::Builder::new().name("user".into());
-            thread.spawn(move || {
-                users.run(Caller {
-                    controller,
-                    client: None,
-                })
-            })?;
+            thread.spawn(move || users.run(Caller::new(controller)))?;
         }
         Ok(())
     }
@@ -247,9 +202,9 @@
         }
         let body = request.plan.submission();
         let asked = Instant::now();
-        let exchange = self.call(caller, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
+        let exchange = caller.call(&self.shared, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
         let now = Instant::now();
-        let answer = answer_of(exchange.as_ref(), &[400, 422]);
+        let answer = answer_of(exchange.as_ref(), &REFUSALS);
         self.shared.judge().answered(asked, now, job, answer);
         match (answer, &request.kind) {
             (Answer::State(_), RequestKind::Submit) => self.accepted(caller, request, now),
@@ -296,8 +251,8 @@
         stray.spec.needs = vec![stray_job(number)];
         let asked = Instant::now();
         let body = stray.submission();
-        let exchange = self.call(caller, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
-        let answer = answer_of(exchange.as_ref(), &[400, 422]);
+        let exchange = caller.call(&self.shared, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
+        let answer = answer_of(exchange.as_ref(), &REFUSALS);
         let mut judge = self.shared.judge();
         judge.answered(asked, Instant::now(), &stray.spec.id, answer);
     }
@@ -319,7 +274,13 @@
     fn poll(&self, caller: &mut Caller, request: &UserRequest) {
         let job = &request.plan.spec.id;
         let asked = Instant::now();
-        let exchange = self.call(caller, "GET", &format!("/v2/runs/{job}"), b"", POLL_TIMEOUT);
+        let exchange = caller.call(
+            &self.shared,
+            "GET",
+            &format!("/v2/runs/{job}"),
+            b"",
+            POLL_TIMEOUT,
+        );
         let answer = answer_of(exchange.as_ref(), &[]);
         self.shared
             .judge()
@@ -345,7 +306,13 @@
     fn stray(&self, caller: &mut Caller, number: u64) {
         let job = stray_job(number);
         let asked = Instant::now();
-        let exchange = self.call(caller, "GET", &format!("/v2/runs/{job}"), b"", POLL_TIMEOUT);
+        let exchange = caller.call(
+            &self.shared,
+            "GET",
+            &format!("/v2/runs/{job}"),
+            b"",
+            POLL_TIMEOUT,
+        );
         let answer = answer_of(exchange.as_ref(), &[]);
         self.shared
             .judge()
@@ -357,7 +324,7 @@
         self.shared.judge().asked_to_cancel(job);
         let asked = Instant::now();
         let path = format!("/v2/runs/{job}/abort");
-        let exchange = self.call(caller, "POST", &path, b"", SUBMIT_TIMEOUT);
+        let exchange = caller.call(&self.shared, "POST", &path, b"", SUBMIT_TIMEOUT);
         let answer = answer_of(exchange.as_ref(), &[]);
         self.shared
             .judge()
@@ -367,62 +334,9 @@
             _ => self.try_again(request, exchange.as_ref()),
         }
     }
-
-    fn call(
-        &self,
-        caller: &mut Caller,
-        method: &str,
-        path: &str,
-        body: &[u8],
-        timeout: Duration,
-    ) -> Option<Exchange> {
-        for _ in 0..TRIES {
-            if caller.client.is_none() {
-                let address = self.shared.layout.controller(caller.controller);
-                caller.client = Client::connect(address, CONNECT_TIMEOUT).ok();
-            }
-            if let Some(client) = caller.client.as_mut() {
-                let exchange = client.call(method, path, body, timeout).ok();
-                if let Some(e) = &exchange {
-                    let with = Counterpart::Users;
-                    self.shared
-                        .counters
-                        .add(caller.controller, with, e.sent, e.received);
-                }
-                if exchange.as_ref().is_none_or(|e| e.response.close) {
-                    caller.next_controller(self.shared.layout.controllers);
-                }
-                return exchange;
-            }
-            caller.next_controller(self.shared.layout.controllers);
-        }
-        None
-    }
-}
-
-impl Caller {
-    fn next_controller(&mut self, controllers: usize) {
-        self.client = None;
-        self.controller = (self.controller + 1) % controllers;
-    }
 }
 
 /// A job that nobody submits.
 fn stray_job(number: u64) -> JobId {
     JobId::from(format!("job-9{number:08}").as_str())
 }
-
-fn answer_of(exchange: Option<&Exchange>, refusals: &[u16]) -> Answer {
-    let Some(e) = exchange else {
-        return Answer::Missing;
-    };
-    match e.response.status {
-        200 | 201 => match serde_json::from_slice::<JobView>(&e.response.body) {
-            Ok(view) => Answer::State(view.state),
-            Err(_) => Answer::Missing,
-        },
-        404 => Answer::NotFound,
-        status if refusals.contains(&status) => Answer::Refused,
-        _ => Answer::Missing,
-    }
-}
