--- a/crates/scale/src/capacity/page.rs
+++ b/crates/scale/src/capacity/page.rs
@@ -186,7 +186,9 @@
          jobs, and the series had jobs of 20 tasks where runs have other sizes; a take-over\n\
          loads the new leader; how many workers report to the leader itself differs by run, and\n\
          with it what comes by way of the others; worker bytes grow with tasks on machines.\n\
-         Runs kept before the first thread was named have no figure for the main loop.\n"
+         Runs kept before the first thread was named have no figure for the main loop.\n\
+         Threads and connections beside predictions stand at the end of a run, when controllers\n\
+         that were ended are back; the table above them has the most of each controller.\n"
     )?;
     if runs.is_empty() {
         return writeln!(page, "None recorded.\n");
@@ -234,6 +236,7 @@
         run.lost_tasks,
         run.lease_ends
     )?;
+    write_refusals(page, &run.refusals_by_reason)?;
     for fault in run.faults.iter().take(6) {
         writeln!(page, "- {fault}")?;
     }
@@ -275,6 +278,15 @@
     writeln!(page, "Controllers' version: {version}.\n")
 }
 
+fn write_refusals(page: &mut String, refusals: &BTreeMap<String, u64>) -> std::fmt::Result {
+    if refusals.is_empty() {
+        return Ok(());
+    }
+    let each = refusals.iter().map(|(why, count)| format!("{why} {count}"));
+    let each: Vec<String> = each.collect();
+    writeln!(page, "Refusals by reason: {}.\n", each.join(", "))
+}
+
 fn write_peaks(page: &mut String, peaks: &[Peak]) -> std::fmt::Result {
     if peaks.is_empty() {
         return Ok(());
--- a/crates/scale/src/capacity/recorded.rs
+++ b/crates/scale/src/capacity/recorded.rs
@@ -40,6 +40,10 @@
     /// The version of the controllers, in words; runs kept before this was noted have none.
     #[serde(default)]
     pub version: Option<String>,
+    /// Requests of users and workers that came to nothing, by their reasons; runs
+    /// kept before this was noted have none.
+    #[serde(default)]
+    pub refusals_by_reason: BTreeMap<String, u64>,
     /// The most that each controller took; runs kept before this was noted have none.
     #[serde(default)]
     pub peaks: Vec<Peak>,
@@ -95,6 +99,7 @@
             submissions_p99_s: f.submissions.p99_s,
             rules_broken: broken.collect(),
             version: version.map(Into::into),
+            refusals_by_reason: f.refusals_by_reason.clone(),
             peaks: f.controllers.iter().map(Peak::of).collect(),
             size: Size::of(Axis::Workers, options.workers as f64, f),
         }
--- a/crates/scale/src/counters.rs
+++ b/crates/scale/src/counters.rs
@@ -79,12 +79,33 @@
 /// TrafficTotals by counterpart.
 pub type TrafficTotals = BTreeMap<Counterpart, TrafficTotal>;
 
+/// Why a request of a user or a worker came to nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Refusal {
+    /// No connection, or no whole response on it.
+    Connection,
+    /// No response in time.
+    Timeout,
+    /// The response had this status.
+    Status(u16),
+}
+
+impl std::fmt::Display for Refusal {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Refusal::Connection => f.write_str("no connection or response"),
+            Refusal::Timeout => f.write_str("no response in time"),
+            Refusal::Status(status) => write!(f, "status {status}"),
+        }
+    }
+}
+
 /// All counters of a run.
 pub struct Counters {
     controllers: Vec<[Traffic; Counterpart::ALL.len()]>,
     state: Mutex<BTreeMap<String, StateRequests>>,
-    /// Requests of users and workers that failed or were refused.
-    pub refusals: AtomicU64,
+    refusals: Mutex<BTreeMap<Refusal, u64>>,
     /// Tasks that ended otherwise than by completion or command.
     pub lost_tasks: AtomicU64,
     /// Workers' leases that ended.
@@ -97,7 +118,7 @@
         Counters {
             controllers: (0..controllers).map(|_| Default::default()).collect(),
             state: Mutex::default(),
-            refusals: AtomicU64::new(0),
+            refusals: Mutex::default(),
             lost_tasks: AtomicU64::new(0),
             lease_ends: AtomicU64::new(0),
         }
@@ -125,6 +146,18 @@
         Counterpart::ALL.into_iter().map(one).collect()
     }
 
+    /// A request of a user or a worker came to nothing.
+    pub fn count_refusal(&self, why: Refusal) {
+        let mut refusals = self.refusals.lock().unwrap_or_else(|e| e.into_inner());
+        *refusals.entry(why).or_default() += 1;
+    }
+
+    /// Requests of users and workers that came to nothing, by their reasons.
+    pub fn refusals(&self) -> BTreeMap<Refusal, u64> {
+        let refusals = self.refusals.lock().unwrap_or_else(|e| e.into_inner());
+        refusals.clone()
+    }
+
     /// A request to the state service, with the purpose of each of its changes.
     pub fn count_state_request(&self, purpose: &str, changes: &[String], refused: bool) {
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -78,6 +78,8 @@
     /// What became of pipelines; none were submitted in a run without.
     pub pipelines: Option<PipelineFigures>,
     pub refusals: u64,
+    /// What the refusals were, by name.
+    pub refusals_by_reason: BTreeMap<String, u64>,
     pub lost_tasks: u64,
     pub lease_ends: u64,
     pub controllers: Vec<ControllerFigures>,
@@ -147,6 +149,9 @@
             "refusals and failed requests: {}; tasks lost: {}; leases that ended: {}; polls: {} ({} failed)",
             self.refusals, self.lost_tasks, self.lease_ends, self.polls, self.polls_failed
         )?;
+        for (why, count) in &self.refusals_by_reason {
+            writeln!(page, "  {why}: {count}")?;
+        }
         for controller in &self.controllers {
             controller.write(page, self.measured_s)?;
         }
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -1,6 +1,6 @@
 //! What a run notes while it goes on, and the figures worked out at its end.
 
-use crate::counters::{StateRequests, TrafficTotals};
+use crate::counters::{Counters, StateRequests, TrafficTotals};
 use crate::figures::{ControllerFigures, Figures, Sample, Times};
 use crate::judge::Judge;
 use crate::options::RunOptions;
@@ -99,7 +99,8 @@
             polls_failed: observations.polls_failed,
             cancelled: observations.cancelled,
             pipelines: pipeline_figures(options, &judge, now),
-            refusals: counters.refusals.load(Ordering::Relaxed),
+            refusals: counters.refusals().values().sum(),
+            refusals_by_reason: refusals_by_reason(counters),
             lost_tasks: counters.lost_tasks.load(Ordering::Relaxed),
             lease_ends: counters.lease_ends.load(Ordering::Relaxed),
             controllers,
@@ -191,6 +192,11 @@
     }
 }
 
+fn refusals_by_reason(counters: &Counters) -> BTreeMap<String, u64> {
+    let refusals = counters.refusals().into_iter();
+    refusals.map(|(why, n)| (why.to_string(), n)).collect()
+}
+
 /// What became of the pipelines of a run that has some.
 fn pipeline_figures(options: &RunOptions, judge: &Judge, now: Instant) -> Option<PipelineFigures> {
     let pipelines = options
--- a/crates/scale/src/standin/reports.rs
+++ b/crates/scale/src/standin/reports.rs
@@ -3,7 +3,7 @@
 
 use super::Shared;
 use super::workers::{read_all, write_all};
-use crate::counters::Counterpart;
+use crate::counters::{Counterpart, Refusal};
 use crate::http::{Response, encode_request, parse_response};
 use crate::machine::{Context, InFlight, Machine};
 use hookworks::wire::worker::{Redirect, Report, ReportAnswer};
@@ -101,7 +101,7 @@
     fn time_out(&mut self, shared: &Shared, now: Instant) {
         let is_late = |f: InFlight| f.sent + REPORT_TIMEOUT <= now;
         if self.in_flight.is_some_and(is_late) {
-            self.failed(shared);
+            self.failed(shared, Refusal::Timeout);
         }
     }
 
@@ -118,7 +118,7 @@
             return;
         };
         if !self.is_cut(shared) && self.send(shared, registry, token, &bytes).is_err() {
-            self.failed(shared);
+            self.failed(shared, Refusal::Connection);
         }
     }
 
@@ -192,7 +192,7 @@
             Ok(None) if done.is_ok() => {}
             // Closed between two reports: the next one opens another.
             Ok(None) if self.in_flight.is_none() => self.connection = None,
-            _ if self.arriving.is_none() => self.failed(shared),
+            _ if self.arriving.is_none() => self.failed(shared, Refusal::Connection),
             _ => {}
         }
         if done.is_err() {
@@ -210,7 +210,7 @@
         match response.status {
             200 => self.heartbeat_answered(shared, sent, response),
             421 => self.redirected(shared, response),
-            _ => self.failed(shared),
+            status => self.failed(shared, Refusal::Status(status)),
         }
     }
 
@@ -244,9 +244,9 @@
         }
     }
 
-    fn failed(&mut self, shared: &Shared) {
+    fn failed(&mut self, shared: &Shared, why: Refusal) {
         if !self.is_cut(shared) {
-            shared.counters.refusals.fetch_add(1, Ordering::Relaxed);
+            shared.counters.count_refusal(why);
         }
         self.next_controller(shared);
     }
--- a/crates/scale/src/standin/users.rs
+++ b/crates/scale/src/standin/users.rs
@@ -4,6 +4,7 @@
 mod queue;
 
 use super::Shared;
+use crate::counters::Refusal;
 use crate::http::Exchange;
 use crate::judge::Answer;
 use crate::pipeline::{Pipeline, Pipelines};
@@ -14,7 +15,6 @@
 use hookworks::wire::user::JobState;
 use queue::{RequestKind, UserRequest};
 use std::collections::BinaryHeap;
-use std::sync::atomic::Ordering;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
@@ -258,10 +258,8 @@
     }
 
     fn try_again(&self, request: &UserRequest, exchange: Option<&Exchange>) {
-        self.shared
-            .counters
-            .refusals
-            .fetch_add(1, Ordering::Relaxed);
+        let why = exchange.map_or(Refusal::Connection, |e| Refusal::Status(e.response.status));
+        self.shared.counters.count_refusal(why);
         let asked_for = exchange.and_then(|e| e.response.retry_after).unwrap_or(1);
         let wait = Duration::from_secs(u64::from(asked_for.min(30))).max(RETRY_AFTER);
         if Instant::now() + wait > request.first + GIVE_UP {
--- a/crates/scale/tests/capacity.rs
+++ b/crates/scale/tests/capacity.rs
@@ -102,6 +102,7 @@
         submissions_p99_s: 0.1,
         rules_broken: vec![],
         version: Some("a version".into()),
+        refusals_by_reason: [("status 503".to_string(), 3)].into(),
         peaks: vec![],
         size: size(2000.0, cores, None),
     };
@@ -113,6 +114,7 @@
     assert!(page_of(0.30).contains("| 0.200 | 0.300 | +50% (!) |"));
     assert!(page_of(0.21).contains("| 1500 | leader cores |"));
     assert!(page_of(0.21).contains("Controllers' version: a version."));
+    assert!(page_of(0.21).contains("Refusals by reason: status 503 3."));
     let empty = page(&Slopes::default(), &BTreeMap::new());
     assert!(empty.contains("not measured"));
 }
