--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod api;
 pub mod client;
 pub mod cloud;
-pub mod lead;
+pub mod election;
 pub mod node;
 pub mod peer;
 pub mod sched;
--- a/src/node/duties.rs
+++ b/src/node/duties.rs
@@ -3,8 +3,8 @@
 use super::{Msg, StoreJob, final_of, key_of_final, spawn};
 use crate::agent::AgentClient;
 use crate::cloud::CloudClient;
+use crate::election::{Candidate, ElectionOutcome, Elector};
 use crate::ids::{CallId, Epoch, Host};
-use crate::lead::{Candidate, Elect, Elector};
 use crate::sched::{DirectResult, Event};
 use crate::settings::Settings;
 use crate::store::StateClient;
@@ -87,9 +87,9 @@
     settings: &Settings,
     clock: Clock,
     me: Candidate,
-) -> (Sender<ToElection>, Receiver<Elect>) {
+) -> (Sender<ToElection>, Receiver<ElectionOutcome>) {
     let (tell, told) = bounded::<ToElection>(8);
-    let (say, said) = bounded::<Elect>(ELECTIONS);
+    let (say, said) = bounded::<ElectionOutcome>(ELECTIONS);
     let p = &settings.platform;
     let ttl = Span::secs(settings.tuning.leader_lease_s);
     let timeout = Duration::from_millis(1200);
@@ -104,8 +104,8 @@
             }
             // Not all at the same moment.
             let jitter = Duration::from_millis(rand::random_range(0..60));
-            match told.recv_timeout(elector.pause().std() + jitter) {
-                Ok(ToElection::Hurry) => elector.hurry(),
+            match told.recv_timeout(elector.step_interval().std() + jitter) {
+                Ok(ToElection::Hurry) => elector.suspect_leader(),
                 Ok(ToElection::Stop(done)) => {
                     elector.resign();
                     let _ = done.send(());
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -10,8 +10,8 @@
 mod terms;
 
 use crate::api::{self, Incoming, Notice, Published};
+use crate::election::{BoundAddress, Candidate, ElectionOutcome, LeaderRecord};
 use crate::ids::{Epoch, Instance, JobId, Label, ReqId, TxnId};
-use crate::lead::{Candidate, Elect, Home, Leader};
 use crate::peer::{FromPeers, Own, Peers};
 use crate::sched::job::Final;
 use crate::sched::{Effect, Event, Sched};
@@ -131,7 +131,7 @@
     clock: Clock,
     peers: Arc<Peers>,
     role: Role,
-    seen: Option<Leader>,
+    seen: Option<LeaderRecord>,
     state_ok_at: Time,
     led_at: Time,
     proven: Time,
@@ -194,7 +194,7 @@
     let me = Candidate {
         label: p.label.clone(),
         instance,
-        home: Some(Home::held(p.cluster_listen)),
+        address: Some(BoundAddress::of_this_process(p.cluster_listen)),
     };
     let store = duties::store(&settings, inbox.clone());
     let cloud = duties::cloud(&settings, clock, term.clone(), inbox.clone());
@@ -258,7 +258,7 @@
 }
 
 impl Node {
-    fn run(mut self, rx: Receiver<Msg>, elections: Receiver<Elect>) {
+    fn run(mut self, rx: Receiver<Msg>, elections: Receiver<ElectionOutcome>) {
         // The first one is due at once: health checks are waiting.
         let mut tick = Time::default();
         loop {
--- a/src/node/terms.rs
+++ b/src/node/terms.rs
@@ -3,8 +3,8 @@
 use super::duties::{CloudJob, ToElection};
 use super::load::{self, Loaded};
 use super::{Node, Role, Term};
+use crate::election::ElectionOutcome;
 use crate::ids::{Epoch, Label, ReqId};
-use crate::lead::Elect;
 use crate::sched::{Config, Event, Sched};
 use crate::store::commit::Committer;
 use crate::time::{Span, Time, wall};
@@ -17,12 +17,12 @@
 const REST: (u64, Span) = (3, Span(400_000));
 
 impl Node {
-    pub(super) fn elect(&mut self, now: Time, e: Elect) {
-        if e != Elect::NoAnswer {
+    pub(super) fn elect(&mut self, now: Time, e: ElectionOutcome) {
+        if e != ElectionOutcome::Unavailable {
             self.state_ok_at = now;
         }
         match e {
-            Elect::Seen(l) => {
+            ElectionOutcome::Following(l) => {
                 if !matches!(self.role, Role::Follower) {
                     self.step_down(now);
                 }
@@ -36,7 +36,7 @@
                     .set_leader(told.map(|l| (l.label.clone(), l.epoch)));
                 self.seen = l;
             }
-            Elect::Won {
+            ElectionOutcome::Elected {
                 epoch,
                 stamp,
                 proven,
@@ -47,18 +47,18 @@
                 self.seen = None;
                 load::start(&self.settings, self.clock, self.inbox.clone(), epoch, stamp);
             }
-            Elect::Proven(t) => {
+            ElectionOutcome::Renewed(t) => {
                 self.proven = t;
                 if let Role::Leader(term) = &self.role {
                     let epoch = term.epoch;
                     self.event(now, epoch, Event::Proven(t));
                 }
             }
-            Elect::Lost => {
+            ElectionOutcome::LeaseLost => {
                 tracing::warn!("leadership lost");
                 self.step_down(now);
             }
-            Elect::NoAnswer => {}
+            ElectionOutcome::Unavailable => {}
         }
     }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -4,8 +4,8 @@
 
 mod world;
 
+use hookworks::election::{Candidate, ElectionOutcome, Elector};
 use hookworks::ids::*;
-use hookworks::lead::{Candidate, Elect, Elector};
 use hookworks::store::Outcome;
 use hookworks::store::commit::{Committer, Step};
 use hookworks::time::{Span, Time};
@@ -139,10 +139,12 @@
     let me = Candidate {
         label: "a".into(),
         instance: Instance(1),
-        home: None,
+        address: None,
     };
     match Elector::new(s.clone(), me, Span::secs(2.0)).step(|| Time(0)) {
-        Elect::Won { stamp, .. } => Committer::new(stamp, &settings("x").platform.params.state),
+        ElectionOutcome::Elected { stamp, .. } => {
+            Committer::new(stamp, &settings("x").platform.params.state)
+        }
         e => panic!("{e:?}"),
     }
 }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -2,8 +2,8 @@
 
 mod world;
 
+use hookworks::election::{BoundAddress, Candidate, ElectionOutcome, Elector};
 use hookworks::ids::*;
-use hookworks::lead::{Candidate, Elect, Elector, Home};
 use hookworks::sched::job::Final;
 use hookworks::sched::{Event, Key};
 use hookworks::store::client::{ReadError, State};
@@ -25,11 +25,16 @@
     candidate(s, name, 1, None)
 }
 
-fn candidate(s: &Handle, name: &str, instance: u64, home: Option<Home>) -> Elector<Handle> {
+fn candidate(
+    s: &Handle,
+    name: &str,
+    instance: u64,
+    address: Option<BoundAddress>,
+) -> Elector<Handle> {
     let me = Candidate {
         label: name.into(),
         instance: Instance(instance),
-        home,
+        address,
     };
     Elector::new(s.clone(), me, Span::secs(2.0))
 }
@@ -38,17 +43,20 @@
 fn each_term_has_a_larger_epoch_and_one_leader() {
     let s = Handle::default();
     let (mut a, mut b) = (elector(&s, "a"), elector(&s, "b"));
-    let won = |e: Elect| match e {
-        Elect::Won { epoch, .. } => epoch,
+    let won = |e: ElectionOutcome| match e {
+        ElectionOutcome::Elected { epoch, .. } => epoch,
         e => panic!("{e:?}"),
     };
     assert_eq!(won(a.step(|| Time(0))), Epoch(1));
-    assert!(matches!(b.step(|| Time(0)), Elect::Seen(Some(_))));
+    assert!(matches!(
+        b.step(|| Time(0)),
+        ElectionOutcome::Following(Some(_))
+    ));
     s.at(1_900_000);
-    assert_eq!(a.step(|| Time(7)), Elect::Proven(Time(7)));
+    assert_eq!(a.step(|| Time(7)), ElectionOutcome::Renewed(Time(7)));
     s.at(4_000_000);
     assert_eq!(won(b.step(|| Time(0))), Epoch(2));
-    assert_eq!(a.step(|| Time(0)), Elect::Lost);
+    assert_eq!(a.step(|| Time(0)), ElectionOutcome::LeaseLost);
     b.resign();
     assert_eq!(won(a.step(|| Time(0))), Epoch(3));
 }
@@ -58,31 +66,37 @@
     let s = Handle::default();
     let mut a = elector(&s, "a");
     s.lose_next_answer();
-    assert!(matches!(a.step(|| Time(0)), Elect::Won { .. }));
+    assert!(matches!(
+        a.step(|| Time(0)),
+        ElectionOutcome::Elected { .. }
+    ));
     assert!(s.read(LEADER).unwrap().is_some());
 }
 
-fn home(addr: &str, system: Option<&str>) -> Home {
-    Home {
+fn bound_address(addr: &str, system: Option<&str>) -> BoundAddress {
+    BoundAddress {
         addr: addr.parse().unwrap(),
         system: system.map(String::from),
     }
 }
 
 /// Whether a process at `now` ends what an earlier one of its label led at `then`.
-fn ends(then: Option<Home>, now: Option<Home>) -> bool {
+fn ends(then: Option<BoundAddress>, now: Option<BoundAddress>) -> bool {
     let s = Handle::default();
     let mut first = candidate(&s, "a", 1, then);
-    assert!(matches!(first.step(|| Time(0)), Elect::Won { .. }));
+    assert!(matches!(
+        first.step(|| Time(0)),
+        ElectionOutcome::Elected { .. }
+    ));
     let won = matches!(
         candidate(&s, "a", 2, now).step(|| Time(0)),
-        Elect::Won {
+        ElectionOutcome::Elected {
             epoch: Epoch(2),
             ..
         }
     );
     // The earlier one, were it alive, would hear of it with its next renewal.
-    assert_eq!(first.step(|| Time(9)) == Elect::Lost, won);
+    assert_eq!(first.step(|| Time(9)) == ElectionOutcome::LeaseLost, won);
     won
 }
 
@@ -90,11 +104,11 @@
 /// lease of the very process that it had replaced.
 #[test]
 fn the_lease_of_an_earlier_process_at_the_same_place_is_ended() {
-    let at = |system| Some(home("10.0.0.1:81", system));
+    let at = |system| Some(bound_address("10.0.0.1:81", system));
     assert!(ends(at(None), at(None)));
     assert!(ends(at(Some("boot 1")), at(Some("boot 1"))));
     // Where the system tells who it is, any address will do.
-    let local = Some(home("127.0.0.1:81", Some("boot 1")));
+    let local = Some(bound_address("127.0.0.1:81", Some("boot 1")));
     assert!(ends(local.clone(), local));
 }
 
@@ -102,7 +116,7 @@
 /// starts tasks until that has run out.
 #[test]
 fn the_lease_of_a_process_that_may_be_alive_is_left_alone() {
-    let at = |a: &str, system| Some(home(a, system));
+    let at = |a: &str, system| Some(bound_address(a, system));
     let place = at("10.0.0.1:81", None);
     // The same label by mistake, elsewhere.
     assert!(!ends(place.clone(), at("10.0.0.2:81", None)));
@@ -122,38 +136,38 @@
 #[test]
 fn the_lease_of_another_controller_is_left_alone() {
     let s = Handle::default();
-    let place = Some(home("10.0.0.1:81", None));
+    let place = Some(bound_address("10.0.0.1:81", None));
     candidate(&s, "a", 1, place.clone()).step(|| Time(0));
     let seen = candidate(&s, "b", 1, place).step(|| Time(0));
-    assert!(matches!(seen, Elect::Seen(Some(l)) if l.label == "a".into()));
+    assert!(matches!(seen, ElectionOutcome::Following(Some(l)) if l.label == "a".into()));
 }
 
 /// The same number may come up for two processes in turn: the place decides.
 #[test]
 fn an_instance_that_comes_up_twice_is_told_apart_by_what_it_leads() {
     let s = Handle::default();
-    let at = || Some(home("10.0.0.1:81", None));
+    let at = || Some(bound_address("10.0.0.1:81", None));
     candidate(&s, "a", 7, at()).step(|| Time(0));
     let mut next = candidate(&s, "a", 7, at());
     let won = next.step(|| Time(0));
     assert!(matches!(
         won,
-        Elect::Won {
+        ElectionOutcome::Elected {
             epoch: Epoch(2),
             ..
         }
     ));
-    assert_eq!(next.step(|| Time(5)), Elect::Proven(Time(5)));
+    assert_eq!(next.step(|| Time(5)), ElectionOutcome::Renewed(Time(5)));
 }
 
 /// An election given up as its outcome was unclear may be carried out later.
 #[test]
 fn an_own_election_that_took_effect_late_is_ended_and_held_anew() {
     let s = Handle::default();
-    let mut a = candidate(&s, "a", 1, Some(home("10.0.0.1:81", None)));
+    let mut a = candidate(&s, "a", 1, Some(bound_address("10.0.0.1:81", None)));
     let lease = s.grant(2_000).unwrap();
     let late = serde_json::json!({
-        "label": "a", "epoch": 1, "instance": 1, "home": home("10.0.0.1:81", None)
+        "label": "a", "epoch": 1, "instance": 1, "home": bound_address("10.0.0.1:81", None)
     });
     let put = |key: &str, value, lease| hookworks::wire::state::Change::Put {
         key: key.into(),
@@ -165,7 +179,10 @@
         changes: vec![put(LEADER, late, Some(lease))],
     };
     assert!(matches!(s.apply(&txn), Outcome::Ok(_)));
-    assert!(matches!(a.step(|| Time(0)), Elect::Won { .. }));
+    assert!(matches!(
+        a.step(|| Time(0)),
+        ElectionOutcome::Elected { .. }
+    ));
     assert_eq!(s.renew(lease), Ok(false));
 }
 
@@ -174,8 +191,9 @@
 #[test]
 fn what_a_replaced_process_sent_is_not_applied_any_more() {
     let s = Handle::default();
-    let at = || Some(home("10.0.0.1:81", None));
-    let Elect::Won { stamp, .. } = candidate(&s, "a", 1, at()).step(|| Time(0)) else {
+    let at = || Some(bound_address("10.0.0.1:81", None));
+    let ElectionOutcome::Elected { stamp, .. } = candidate(&s, "a", 1, at()).step(|| Time(0))
+    else {
         panic!()
     };
     let (_, _, txn, _) = submitted(stamp);
@@ -194,14 +212,17 @@
 #[test]
 fn an_outage_only_puts_the_end_of_that_lease_off() {
     let s = Handle::default();
-    let at = || Some(home("10.0.0.1:81", None));
+    let at = || Some(bound_address("10.0.0.1:81", None));
     candidate(&s, "a", 1, at()).step(|| Time(0));
     s.down(true);
     let mut next = candidate(&s, "a", 2, at());
-    assert_eq!(next.step(|| Time(0)), Elect::NoAnswer);
-    assert!(next.pause() < Span::millis(400));
+    assert_eq!(next.step(|| Time(0)), ElectionOutcome::Unavailable);
+    assert!(next.step_interval() < Span::millis(400));
     s.down(false);
-    assert!(matches!(next.step(|| Time(0)), Elect::Won { .. }));
+    assert!(matches!(
+        next.step(|| Time(0)),
+        ElectionOutcome::Elected { .. }
+    ));
 }
 
 /// A new job through scheduler and committer, up to its transaction.
@@ -218,14 +239,14 @@
 fn a_deposed_leader_writes_nothing() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let Elect::Won { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
     s.at(5_000_000);
     assert!(matches!(
         elector(&s, "b").step(|| Time(0)),
-        Elect::Won { .. }
+        ElectionOutcome::Elected { .. }
     ));
     // The late transaction arrives: even a new key is not written.
     let o = s.apply(&txn);
@@ -239,7 +260,7 @@
 fn a_write_whose_answer_is_lost_is_read_back_not_taken_for_granted() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let Elect::Won { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
@@ -396,11 +417,11 @@
 /// term of its own, and nobody else's word is left.
 #[test]
 fn a_process_may_end_anywhere_in_ending_the_lease_of_the_one_before() {
-    let at = || Some(home("10.0.0.1:81", None));
+    let at = || Some(bound_address("10.0.0.1:81", None));
     let me = |instance| Candidate {
         label: "a".into(),
         instance: Instance(instance),
-        home: at(),
+        address: at(),
     };
     for left in 0..8 {
         for carried_out in [false, true] {
@@ -412,9 +433,9 @@
                 carried_out,
             };
             let mut second = Elector::new(store, me(2), Span::secs(2.0));
-            let won = matches!(second.step(|| Time(0)), Elect::Won { .. });
+            let won = matches!(second.step(|| Time(0)), ElectionOutcome::Elected { .. });
             let mut third = candidate(&s, "a", 3, at());
-            let Elect::Won { epoch, stamp, .. } = third.step(|| Time(0)) else {
+            let ElectionOutcome::Elected { epoch, stamp, .. } = third.step(|| Time(0)) else {
                 panic!("not at once: {left} {carried_out}");
             };
             let key = s.read(LEADER).unwrap().unwrap();
@@ -433,7 +454,7 @@
 fn a_job_that_ends_while_its_first_write_is_unclear_leaves_no_record() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let Elect::Won { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -2,8 +2,8 @@
 
 mod world;
 
+use hookworks::election::{Candidate, ElectionOutcome, Elector};
 use hookworks::ids::*;
-use hookworks::lead::{Candidate, Elect, Elector};
 use hookworks::node::load::load;
 use hookworks::sched::{DirectResult, Event, Purpose};
 use hookworks::store::client::State;
@@ -25,10 +25,10 @@
     let me = Candidate {
         label: "a".into(),
         instance: Instance(1),
-        home: None,
+        address: None,
     };
     match Elector::new(s.clone(), me, Span::secs(2.0)).step(|| Time(0)) {
-        Elect::Won { stamp, .. } => stamp,
+        ElectionOutcome::Elected { stamp, .. } => stamp,
         e => panic!("{e:?}"),
     }
 }
--- a/tests/world/given.rs
+++ b/tests/world/given.rs
@@ -1,6 +1,6 @@
 //! What stories begin with: settings, a machine type, a job.
 
-use hookworks::lead::Home;
+use hookworks::election::BoundAddress;
 use hookworks::settings::{Platform, Settings, Tuning};
 use hookworks::wire::cloud::Flavor;
 use hookworks::wire::user::JobSpec;
@@ -61,8 +61,8 @@
 }
 
 /// Where controller `i` listens; its next process does so, too.
-pub fn home(i: usize) -> Home {
-    Home {
+pub fn bound_address(i: usize) -> BoundAddress {
+    BoundAddress {
         addr: ([10, 0, 0, i as u8 + 1], 8081).into(),
         system: None,
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -24,8 +24,8 @@
 pub mod worker;
 
 pub use given::{flavor, job, settings};
+use hookworks::election::{Candidate, Elector};
 use hookworks::ids::*;
-use hookworks::lead::{Candidate, Elector};
 use hookworks::sched::{DirectResult, Event, Sched};
 use hookworks::store::commit::Committer;
 use hookworks::store::{Outcome, final_key};
@@ -298,7 +298,7 @@
         let me = Candidate {
             label,
             instance: Instance(life),
-            home: Some(given::home(i)),
+            address: Some(given::bound_address(i)),
         };
         Ctl {
             elector: Elector::new(self.store.of(i), me, ttl),
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -3,8 +3,8 @@
 use super::followers::label;
 use super::worker::LEASE;
 use super::{Ev, S, Term, World, flavor, settings};
+use hookworks::election::ElectionOutcome;
 use hookworks::ids::*;
-use hookworks::lead::Elect;
 use hookworks::node::load::load;
 use hookworks::sched::{Config, Event, Sched};
 use hookworks::settings::Settings;
@@ -15,7 +15,7 @@
 impl World {
     pub(super) fn elect(&mut self, i: usize) {
         self.stand(i);
-        let pause = self.ctls[i].elector.pause().as_secs();
+        let pause = self.ctls[i].elector.step_interval().as_secs();
         self.at(pause, Ev::Elect(i));
     }
 
@@ -24,20 +24,20 @@
         let now = self.time();
         if self.ctls[i].up {
             match self.ctls[i].elector.step(|| now) {
-                Elect::Won {
+                ElectionOutcome::Elected {
                     epoch,
                     stamp,
                     proven,
                 } => self.won(i, epoch, stamp, proven),
-                Elect::Proven(t) => self.event(i, Event::Proven(t)),
-                Elect::Seen(l) => {
+                ElectionOutcome::Renewed(t) => self.event(i, Event::Proven(t)),
+                ElectionOutcome::Following(l) => {
                     self.ctls[i].term = None;
                     // Our own earlier process leads no more, whatever the key says yet.
                     let other = l.filter(|l| l.label != label(i));
                     self.sees(i, other.map(|l| (l.label, l.epoch)));
                 }
-                Elect::Lost => self.steps_down(i),
-                Elect::NoAnswer => {}
+                ElectionOutcome::LeaseLost => self.steps_down(i),
+                ElectionOutcome::Unavailable => {}
             }
         }
     }
