--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,59 +1,57 @@
-//! The cloud: machine types, rentals, returns and the list.
+//! Client of the cloud: machine types, machines rented and returned, and the list.
 
 use crate::ids::Host;
 use crate::sched::HireResult;
 use crate::store::client::{agent, finish};
-use crate::wire::cloud::{Flavor, Flavors, Hire, HostList, Hosts, Listed};
+use crate::wire::cloud::{Flavor, Flavors, Hire, HostList, Hosts};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_IDLE_CONNECTIONS: usize = 2;
+/// Machines on a page of the list.
+const PAGE_SIZE: usize = 500;
+
+/// Makes one request at a time; keeps no state but its connections.
 pub struct CloudClient {
     agent: ureq::Agent,
     base: String,
 }
 
 impl CloudClient {
+    /// For the cloud at that address. Nothing is sent yet.
     pub fn new(addr: SocketAddr) -> CloudClient {
         CloudClient {
-            agent: agent(Duration::from_secs(4), 2),
+            agent: agent(REQUEST_TIMEOUT, MAX_IDLE_CONNECTIONS),
             base: format!("http://{addr}"),
         }
     }
 
-    fn get<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
-        let (status, body) = finish(self.agent.get(format!("{}{path}", self.base)).call())?;
-        if status != 200 {
-            return None;
-        }
-        serde_json::from_slice(&body).ok()
-    }
-
-    fn post(&self, path: &str, body: &impl serde::Serialize) -> Option<(u16, Vec<u8>)> {
-        let body = serde_json::to_vec(body).ok()?;
-        let r = self.agent.post(format!("{}{path}", self.base));
-        finish(r.header("Content-Type", "application/json").send(&body[..]))
-    }
-
+    /// The machine types, or none if the request failed.
     pub fn flavors(&self) -> Option<Vec<Flavor>> {
-        self.get::<Flavors>("/flavors").map(|f| f.builds)
+        let flavors: Flavors = self.get("/flavors")?;
+        Some(flavors.builds)
     }
 
-    /// One page of the list.
-    pub fn page(&self, after: Option<&Host>) -> Option<(Vec<Listed>, bool)> {
-        let path = match after {
-            Some(h) => format!("/hosts?Since={h}&Page=500"),
-            None => "/hosts?Page=500".to_string(),
-        };
-        self.get::<HostList>(&path).map(|l| (l.hosts, l.more))
+    /// The page of machines that follows `after`, or the first one; none if the
+    /// request failed.
+    pub fn machines(&self, after: Option<&Host>) -> Option<HostList> {
+        match after {
+            Some(host) => self.get(&format!("/hosts?Since={host}&Page={PAGE_SIZE}")),
+            None => self.get(&format!("/hosts?Page={PAGE_SIZE}")),
+        }
     }
 
-    pub fn hire(&self, h: &Hire) -> HireResult {
-        match self.post("/hosts", h) {
-            Some((200, b)) => match serde_json::from_slice::<Hosts>(&b) {
-                Ok(l) => HireResult::Ok(l.hosts),
+    /// Rents machines; idempotent by the name of the request.
+    pub fn rent(&self, request: &Hire) -> HireResult {
+        match self.post("/hosts", request) {
+            Some((200, body)) => match serde_json::from_slice::<Hosts>(&body) {
+                Ok(rented) => HireResult::Ok(rented.hosts),
                 Err(_) => HireResult::Unclear,
             },
-            Some((503, b)) if String::from_utf8_lossy(&b).contains("capacity") => {
+            Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 HireResult::NoCapacity
             }
             Some((429 | 503, _)) => HireResult::Busy,
@@ -62,11 +60,27 @@
         }
     }
 
-    /// True once the machines are gone for certain.
-    pub fn release(&self, hosts: &[Host]) -> bool {
+    /// Returns machines; true once they are gone for certain.
+    pub fn return_machines(&self, hosts: &[Host]) -> bool {
         let body = Hosts {
             hosts: hosts.to_vec(),
         };
         matches!(self.post("/hosts/release", &body), Some((200, _)))
     }
+
+    fn get<T: DeserializeOwned>(&self, path: &str) -> Option<T> {
+        let url = format!("{}{path}", self.base);
+        let (status, body) = finish(self.agent.get(url).call())?;
+        if status != 200 {
+            return None;
+        }
+        serde_json::from_slice(&body).ok()
+    }
+
+    fn post(&self, path: &str, body: &impl Serialize) -> Option<(u16, Vec<u8>)> {
+        let body = serde_json::to_vec(body).ok()?;
+        let request = self.agent.post(format!("{}{path}", self.base));
+        let request = request.header("Content-Type", "application/json");
+        finish(request.send(&body[..]))
+    }
 }
--- a/src/election.rs
+++ b/src/election.rs
@@ -242,7 +242,8 @@
                 self.state.revoke(lease);
                 Ok(ElectionOutcome::Following(None))
             }
-            Outcome::NotDone | Outcome::NoLease => Ok(ElectionOutcome::Unavailable),
+            // Not carried out.
+            _ => Ok(ElectionOutcome::Unavailable),
         }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,6 @@
 //! hookworks: a cluster scheduler that balances the tasks of each machine in
 //! time, so that machines empty together and go back sooner.
 
-pub mod agent;
 pub mod api;
 pub mod client;
 pub mod cloud;
@@ -13,5 +12,6 @@
 pub mod store;
 pub mod time;
 pub mod wire;
+pub mod worker_client;
 
 pub use hookworks_base::ids;
--- a/src/node/asks.rs
+++ b/src/node/asks.rs
@@ -2,7 +2,8 @@
 
 use super::follow::{self, KnownLeader, Route};
 use super::lists::Wanted;
-use super::{Node, Origin, Pending, Role, StoreJob};
+use super::threads::state_service::StateRequest;
+use super::{Node, Origin, Pending, Role};
 use crate::api::redirect;
 use crate::ids::{Epoch, Label, ReqId};
 use crate::sched::Event;
@@ -65,7 +66,7 @@
             return self.answer(now, req, Answer::later("too many requests", 2));
         }
         if let Ask::Report(body) = &ask
-            && let Some(other) = self.better_for(now, body)
+            && let Some(other) = self.redirect_target(now, body)
         {
             return self.answer(now, req, redirect(Some(other)));
         }
@@ -210,14 +211,16 @@
                     return self.answer(now, req, follow::no_leader());
                 }
                 self.looks.take(now, 1.0);
-                let _ = self.store.send(StoreJob::Look(req, id));
+                let _ = self.store.send(StateRequest::LookUpFinal(req, id));
             }
             (_, Ask::Report(body)) => {
                 // Known from the state service, but not to be reached from
                 // here: the worker may well have a way of its own.
                 let leader = self.seen.as_ref().map(|l| l.label.clone());
                 let leader = leader.filter(|l| *l != self.settings.platform.label);
-                match leader.and_then(|l| self.balance.sent(now, &body).then_some(l)) {
+                match leader
+                    .and_then(|l| self.worker_balance.note_redirect(now, &body).then_some(l))
+                {
                     Some(l) => self.answer(now, req, redirect(Some(l))),
                     None => self.answer(now, req, follow::no_leader()),
                 }
--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -4,50 +4,70 @@
 use crate::time::{Span, Time};
 use hdrhistogram::Histogram;
 
-/// Without a way to a leader that is there for so long, others serve better.
-const CUT_OFF: Span = Span(2_500_000);
+/// A controller that has had no way to a leader for so long, though one is there,
+/// leaves its users to the others.
+const MAX_UNREACHABLE_LEADER: Span = Span(2_500_000);
+/// From a start until the other controllers and the state service have been heard.
+const STARTUP_GRACE: Span = Span(1_000_000);
+/// Without any leader for longer, a controller is not healthy.
+const MAX_LEADERLESS: Span = Span(40_000_000);
+/// A controller alone is in touch with the state service if that answered so lately.
+const STATE_SERVICE_FRESH: Span = Span(2_000_000);
 
-/// From a start until the others and the state service have been heard.
-const SETTLING: Span = Span(1_000_000);
-
-fn quantiles(h: &Histogram<u64>) -> serde_json::Value {
-    let ms = |q| h.value_at_quantile(q) as f64 / 1000.0;
-    serde_json::json!({ "p50": ms(0.5), "p99": ms(0.99), "max": h.max() as f64 / 1000.0 })
+fn quantiles_ms(histogram: &Histogram<u64>) -> serde_json::Value {
+    let ms = |us: u64| us as f64 / 1000.0;
+    serde_json::json!({
+        "p50": ms(histogram.value_at_quantile(0.5)),
+        "p99": ms(histogram.value_at_quantile(0.99)),
+        "max": ms(histogram.max()),
+    })
 }
 
 impl Node {
     /// Healthy unless this controller is cut off while others may not be.
     pub(super) fn can_serve(&mut self, now: Time) -> bool {
-        let me = &self.settings.platform.label;
-        let led = match &self.role {
-            Role::Leader(t) => t.sched.may_start(now),
-            Role::Loading(_) => true,
-            Role::Follower => {
-                let l = self.peers.best_leader().map(|l| l.0);
-                l.is_some_and(|l| l != *me && self.peers.reachable(&l))
-            }
-        };
-        if led {
+        if self.has_way_to_leader(now) {
             self.led_at = now;
             return true;
         }
         // Just started, it knows of nobody yet. Two probes that fail in a row cost
         // three seconds without users, or many more the next time.
-        if now - self.started < SETTLING {
+        if now - self.started < STARTUP_GRACE {
             return true;
         }
-        // The state service says that somebody leads, but no way leads there:
-        // users are served better by those that have one.
-        let elsewhere = self.seen.as_ref().is_some_and(|l| l.label != *me);
-        if elsewhere && now - self.led_at > CUT_OFF && now - self.state_ok_at < CUT_OFF {
+        if self.others_serve_better(now) {
             return false;
         }
         // Between two leaders, or while the state service is down for all,
-        // being taken out of the balancing would only make it last longer.
-        let lately = now - self.led_at < Span::secs(40.0);
-        lately && (self.peers.any() || now - self.state_ok_at < Span::secs(2.0))
+        // being taken out of the load balancing would only make it last longer.
+        let in_touch = self.peers.any() || now - self.state_ok_at < STATE_SERVICE_FRESH;
+        now - self.led_at < MAX_LEADERLESS && in_touch
+    }
+
+    /// This controller leads, or reaches the one that does.
+    fn has_way_to_leader(&self, now: Time) -> bool {
+        match &self.role {
+            Role::Leader(term) => term.sched.may_start(now),
+            Role::Loading(_) => true,
+            Role::Follower => {
+                let leader = self.peers.best_leader().map(|(label, _)| label);
+                let own_label = &self.settings.platform.label;
+                leader.is_some_and(|l| l != *own_label && self.peers.reachable(&l))
+            }
+        }
+    }
+
+    /// The state service says that another controller leads, but no way leads there:
+    /// users are served better by those that have one.
+    fn others_serve_better(&self, now: Time) -> bool {
+        let own_label = &self.settings.platform.label;
+        let led_elsewhere = self.seen.as_ref().is_some_and(|l| l.label != *own_label);
+        led_elsewhere
+            && now - self.led_at > MAX_UNREACHABLE_LEADER
+            && now - self.state_ok_at < MAX_UNREACHABLE_LEADER
     }
 
+    /// What operators are shown of this controller, as JSON.
     pub(super) fn overview(&mut self, now: Time) -> serde_json::Value {
         let role = match &self.role {
             Role::Follower => "follower",
@@ -60,14 +80,14 @@
             "leader": self.peers.best_leader().map(|l| l.0),
             "waiting": self.pending.len(),
             "answers": self.latency.len(),
-            "answer_ms": quantiles(&self.latency),
-            "loop_ms": quantiles(&self.turns),
+            "answer_ms": quantiles_ms(&self.latency),
+            "loop_ms": quantiles_ms(&self.turns),
             "messages_waiting": self.waiting,
             "most": { "requests": self.sizes.requests, "messages": self.sizes.inbox,
                 "jobs": self.sizes.jobs, "final_states": self.sizes.finals,
                 "machines_alone": self.sizes.machines },
             "connections": self.server.metrics(),
-            "workers_reporting_here": self.balance.len(),
+            "workers_reporting_here": self.worker_balance.reporting(),
             "calls_waiting": {
                 "state": self.store.len(), "cloud": self.cloud.len(), "workers": self.agents.len(),
             },
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,13 +1,13 @@
 //! A controller: its threads, and the loop that holds everything together.
 
 mod asks;
-mod balance;
-mod duties;
+pub mod balance;
 pub mod follow;
 mod health;
+mod leadership;
 pub mod lists;
 pub mod load;
-mod terms;
+mod threads;
 
 use crate::api::{self, Incoming, Notice, Published};
 use crate::election::{BoundAddress, Candidate, ElectionOutcome, LeaderRecord};
@@ -22,7 +22,8 @@
 use crate::time::{Clock, Span, Time, wall};
 use crate::wire::cloud::Flavor;
 use crate::wire::peer::{Answer, PeerMsg};
-use crate::wire::state::{Item, Txn};
+use crate::wire::state::Item;
+use balance::WorkerBalance;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded, select_biased};
 use hdrhistogram::Histogram;
 use hookworks_http_server::{Reply, RequestClass, Server};
@@ -32,6 +33,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
+use threads::cloud::CloudRequest;
+use threads::direct_calls::DirectCall;
+use threads::election::ElectionCommand;
+use threads::state_service::StateRequest;
 
 /// Small stacks: the machine is small, and nothing here recurses deeply.
 const STACK: usize = 256 * 1024;
@@ -82,16 +87,6 @@
     Look(ReqId, JobId, Result<Option<Final>, ()>),
 }
 
-/// Work for the threads that talk to the state service.
-pub enum StoreJob {
-    Txn(Epoch, TxnId, Txn),
-    ReadBack(Epoch, String),
-    Final(Epoch, JobId),
-    /// The whole record of a finished job, for whoever asks.
-    Record(Epoch, ReqId, JobId),
-    Look(ReqId, JobId),
-}
-
 enum Origin {
     Http(Reply),
     Peer { from: Label, id: u64 },
@@ -138,9 +133,9 @@
     notice: Arc<Notice>,
     server: Server<HttpSide>,
     term: Arc<AtomicU64>,
-    store: Sender<StoreJob>,
-    cloud: Sender<duties::CloudJob>,
-    agents: Sender<duties::AgentJob>,
+    store: Sender<StateRequest>,
+    cloud: Sender<CloudRequest>,
+    agents: Sender<DirectCall>,
     lists: Sender<(ReqId, lists::Wanted)>,
     inbox: Sender<Msg>,
     pending: HashMap<ReqId, Pending>,
@@ -148,7 +143,7 @@
     sizes: Sizes,
     /// Look-ups of final states without a leader.
     looks: Budget,
-    balance: balance::Balance,
+    worker_balance: WorkerBalance,
     /// What goes to other controllers at the end of this turn.
     outbox: HashMap<Label, Vec<PeerMsg>>,
     flavors: Vec<Flavor>,
@@ -161,12 +156,12 @@
     behind: bool,
     started: Time,
     stopping: Option<Time>,
-    election: Sender<duties::ToElection>,
+    election: Sender<ElectionCommand>,
 }
 
 /// Sockets that this controller may need for its own calls.
 pub fn sockets_for_calls() -> usize {
-    duties::SOCKETS + load::SOCKETS
+    threads::SOCKETS + load::SOCKETS
 }
 
 /// Runs a controller until the process ends.
@@ -196,11 +191,11 @@
         instance,
         address: Some(BoundAddress::of_this_process(p.cluster_listen)),
     };
-    let store = duties::store(&settings, inbox.clone());
-    let cloud = duties::cloud(&settings, clock, term.clone(), inbox.clone());
-    let agents = duties::agents(clock, inbox.clone());
+    let store = threads::state_service::start(&settings, &inbox);
+    let cloud = threads::cloud::start(&settings, clock, term.clone(), inbox.clone());
+    let agents = threads::direct_calls::start(clock, &inbox);
     let lists = lists::start(&settings, clock, notice.clone(), inbox.clone());
-    let (election, elections) = duties::election(&settings, clock, me);
+    let election = threads::election::start(&settings, clock, me);
     let tx = inbox.clone();
     if let Err(e) = ctrlc::set_handler(move || {
         let _ = tx.send(Msg::Stop);
@@ -231,7 +226,7 @@
         next_req: first_request(instance),
         sizes,
         looks: Budget::new(looks, 2.0 * looks),
-        balance: balance::Balance::default(),
+        worker_balance: WorkerBalance::default(),
         outbox: HashMap::new(),
         flavors: vec![],
         latency: histogram()?,
@@ -240,9 +235,9 @@
         behind: false,
         started: now,
         stopping: None,
-        election,
+        election: election.commands,
     };
-    node.run(rx, elections);
+    node.run(rx, election.outcomes);
     Ok(())
 }
 
@@ -274,7 +269,7 @@
             let first = select_biased! {
                 recv(elections) -> e => {
                     if let Ok(e) = e {
-                        self.elect(self.clock.now(), e);
+                        self.election_outcome(self.clock.now(), e);
                     }
                     Err(RecvTimeoutError::Timeout)
                 }
@@ -292,7 +287,7 @@
                         // were answered in time waited in line for a second, and
                         // submissions were refused as not proven.
                         for e in elections.try_iter() {
-                            self.elect(self.clock.now(), e);
+                            self.election_outcome(self.clock.now(), e);
                         }
                         self.take(m);
                     }
@@ -305,7 +300,7 @@
                 && t.sched.wake_at().is_some_and(|at| now >= at)
             {
                 let epoch = t.epoch;
-                self.pass(now, epoch, Event::Wake);
+                self.event_with_pass(now, epoch, Event::Wake);
             }
             if now - tick >= TICK {
                 tick = now;
@@ -332,7 +327,7 @@
     /// Gives up the leadership, so that the next leader takes over at once.
     fn resign(&mut self) {
         let (done, resigned) = crossbeam_channel::bounded(1);
-        if self.election.send(duties::ToElection::Stop(done)).is_ok() {
+        if self.election.send(ElectionCommand::Stop(done)).is_ok() {
             let _ = resigned.recv_timeout(Duration::from_secs(3));
         }
         tracing::info!("stopped");
@@ -351,7 +346,7 @@
                 let body = self.overview(now).to_string();
                 reply.answer(Answer::new(200, body));
             }
-            Msg::Peer(FromPeers::Gone(label)) => self.gone(now, &label),
+            Msg::Peer(FromPeers::Gone(label)) => self.peer_gone(now, &label),
             Msg::Peer(FromPeers::Msg(since, PeerMsg::Ask { id, from, ask, .. })) => {
                 let from = Label::from(from.as_str());
                 let origin = Origin::Peer { from, id };
@@ -414,10 +409,10 @@
             match e {
                 Effect::Answer(req, a) => self.answer(now, req, a),
                 Effect::ReadFinal(id) => {
-                    let _ = self.store.send(StoreJob::Final(epoch, id));
+                    let _ = self.store.send(StateRequest::ReadFinal(epoch, id));
                 }
                 Effect::ReadRecord(req, id) => {
-                    let _ = self.store.send(StoreJob::Record(epoch, req, id));
+                    let _ = self.store.send(StateRequest::ReadRecord(epoch, req, id));
                 }
                 Effect::Orders {
                     call,
@@ -425,7 +420,7 @@
                     addr,
                     orders,
                 } => {
-                    let job = duties::AgentJob {
+                    let direct_call = DirectCall {
                         since: now,
                         epoch,
                         call,
@@ -433,13 +428,13 @@
                         addr,
                         orders,
                     };
-                    let _ = self.agents.send(job);
+                    let _ = self.agents.send(direct_call);
                 }
                 Effect::Hire(h) => {
-                    let _ = self.cloud.send(duties::CloudJob::Hire(epoch, h));
+                    let _ = self.cloud.send(CloudRequest::Rent(epoch, h));
                 }
                 Effect::Release(hosts) => {
-                    let _ = self.cloud.send(duties::CloudJob::Release(epoch, hosts));
+                    let _ = self.cloud.send(CloudRequest::Return(epoch, hosts));
                 }
             }
         }
@@ -454,7 +449,7 @@
         for s in steps {
             match s {
                 Step::Read(key) => {
-                    let _ = self.store.send(StoreJob::ReadBack(epoch, key));
+                    let _ = self.store.send(StateRequest::ReadBack(epoch, key));
                 }
                 Step::Deposed => {
                     tracing::warn!(%epoch, "the leader's key is no longer ours");
@@ -471,7 +466,7 @@
             return;
         };
         while let Some((id, txn)) = t.commit.next(now, &mut t.sched) {
-            let _ = self.store.send(StoreJob::Txn(t.epoch, id, txn));
+            let _ = self.store.send(StateRequest::Commit(t.epoch, id, txn));
         }
     }
 
@@ -521,7 +516,7 @@
             if std::mem::take(&mut self.behind) {
                 self.event(now, epoch, Event::Behind);
             }
-            self.pass(now, epoch, Event::Tick(wall()));
+            self.event_with_pass(now, epoch, Event::Tick(wall()));
         }
         let late: Vec<ReqId> = self
             .pending
@@ -548,7 +543,7 @@
         for req in lost {
             self.look_elsewhere(now, req);
         }
-        self.balance(now);
+        self.balance_workers(now);
         self.publish(now);
         let ok = self.stopping.is_none() && self.can_serve(now);
         if ok != self.notice.healthy.swap(ok, Ordering::Relaxed) {
--- /dev/null
+++ b/src/worker_client.rs
@@ -0,0 +1,56 @@
+//! Client of workers, for direct calls.
+
+use crate::sched::DirectResult;
+use crate::store::client::{agent, finish};
+use crate::wire::worker::Orders;
+use std::io::ErrorKind;
+use std::time::Duration;
+
+const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The same worker is hardly ever called twice in a while: no connection is kept.
+const MAX_IDLE_CONNECTIONS: usize = 0;
+
+/// Makes one call at a time; keeps no state.
+pub struct WorkerClient(ureq::Agent);
+
+impl WorkerClient {
+    /// Nothing is sent yet.
+    pub fn new() -> WorkerClient {
+        WorkerClient(agent(CALL_TIMEOUT, MAX_IDLE_CONNECTIONS))
+    }
+
+    /// Sends commands to the worker at `addr` and tells what is proven by its answer.
+    pub fn send_orders(&self, addr: &str, orders: &Orders) -> DirectResult {
+        let Ok(body) = serde_json::to_vec(orders) else {
+            return DirectResult::Refused;
+        };
+        let request = self.0.post(format!("http://{addr}/orders"));
+        let request = request
+            .header("Content-Type", "application/json")
+            .header("Connection", "close");
+        let answer = request.send(&body[..]);
+        if let Err(ureq::Error::Io(e)) = &answer
+            && e.kind() == ErrorKind::ConnectionRefused
+        {
+            return DirectResult::Refused;
+        }
+        match finish(answer) {
+            Some((200, body)) => match serde_json::from_slice(&body) {
+                Ok(report) => DirectResult::Done(Box::new(report)),
+                Err(_) => DirectResult::Unclear,
+            },
+            Some((409, body)) => match serde_json::from_slice(&body) {
+                Ok(report) => DirectResult::Conflict(Box::new(report)),
+                Err(_) => DirectResult::Refused,
+            },
+            Some((400, _)) => DirectResult::Refused,
+            _ => DirectResult::Unclear,
+        }
+    }
+}
+
+impl Default for WorkerClient {
+    fn default() -> Self {
+        WorkerClient::new()
+    }
+}
