--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod settings;
 pub mod store;
 pub mod time;
+pub mod versions;
 pub mod wire;
 pub mod worker_client;
 
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -9,6 +9,7 @@
 use crate::sched::{Config, Event, Sched};
 use crate::store::commit::Committer;
 use crate::time::{Span, Time, wall};
+use crate::versions::Switch;
 use crate::wire::peer::Answer;
 use hookworks_listing::Board;
 use std::sync::atomic::Ordering;
@@ -88,40 +89,53 @@
     }
 
     /// What is stored was read: the leadership begins, unless it has ended meanwhile.
-    pub(super) fn loaded(&mut self, now: Time, l: Loaded) {
-        if !matches!(self.role, Role::Loading(e) if e == l.epoch) {
+    pub(super) fn loaded(&mut self, now: Time, loaded: Loaded) {
+        let (epoch, format) = (loaded.epoch, loaded.format);
+        if !matches!(self.role, Role::Loading(loading) if loading == epoch) {
             return;
         }
-        let limits = &self.settings.platform.params.state;
-        let mut commit = Committer::new(l.stamp, limits);
-        for (k, s) in l.stamps {
-            commit.know(k, s);
-        }
-        for (k, s) in l.litter {
-            commit.add_litter(k, s);
-        }
-        let cfg = Config::from(&self.settings);
-        let mut sched = Sched::new(cfg, l.epoch, self.proven, now, wall());
-        tracing::info!(epoch = %l.epoch, jobs = l.jobs.len(), "leading");
-        // The time of day first: no freeze between the two makes it too late.
-        let (day, at) = (wall(), self.clock.now());
-        if let Some(f) = l.fences {
-            sched.take_fences(at, day, f);
-        }
-        sched.load(now, l.jobs, l.unreadable);
-        self.role = Role::Leader(Box::new(Term {
-            epoch: l.epoch,
-            sched,
-            commit,
-            board: Board::new(l.epoch.0),
-        }));
-        let me = self.settings.platform.label.clone();
-        self.peers.set_leader(Some((me, l.epoch)));
-        self.term.store(l.epoch.0, Ordering::SeqCst);
+        let term = self.new_term(now, loaded);
+        self.role = Role::Leader(Box::new(term));
+        if let Some(format) = format {
+            self.learn_format(now, format);
+        }
+        let own_label = self.settings.platform.label.clone();
+        self.peers.set_leader(Some((own_label, epoch)));
+        self.term.store(epoch.0, Ordering::SeqCst);
         let _ = self.cloud.send(CloudRequest::Refresh);
         if !self.flavors.is_empty() {
             let known = self.flavors.clone();
-            self.event(now, l.epoch, Event::Flavors(known));
+            self.event(now, epoch, Event::Flavors(known));
+        }
+    }
+
+    /// Scheduler and group commit of a new leadership, with what was loaded.
+    fn new_term(&self, now: Time, loaded: Loaded) -> Term {
+        let epoch = loaded.epoch;
+        let switch = Switch::new(loaded.stamp, loaded.record_format());
+        let limits = &self.settings.platform.params.state;
+        let mut commit = Committer::new(loaded.stamp, limits);
+        for (key, stamp) in loaded.stamps {
+            commit.know(key, stamp);
+        }
+        for (key, stamp) in loaded.litter {
+            commit.add_litter(key, stamp);
+        }
+        let config = Config::from(&self.settings);
+        let mut sched = Sched::new(config, epoch, self.proven, now, wall());
+        tracing::info!(%epoch, jobs = loaded.jobs.len(), "leading");
+        // The time of day first: no suspension between the two makes it too late.
+        let (time_of_day, at) = (wall(), self.clock.now());
+        if let Some(fences) = loaded.fences {
+            sched.take_fences(at, time_of_day, fences);
+        }
+        sched.load(now, loaded.jobs, loaded.unreadable);
+        Term {
+            epoch,
+            sched,
+            commit,
+            board: Board::new(epoch.0),
+            switch,
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -8,6 +8,7 @@
 pub mod lists;
 pub mod load;
 mod threads;
+mod upgrade;
 
 use crate::api::{self, Incoming, Notice, Published};
 use crate::election::{BoundAddress, Candidate, ElectionOutcome, LeaderRecord};
@@ -20,6 +21,7 @@
 use crate::store::commit::{Committer, Step};
 use crate::store::{Outcome, final_key};
 use crate::time::{Clock, Span, Time, wall};
+use crate::versions::Switch;
 use crate::wire::cloud::Flavor;
 use crate::wire::peer::{Answer, PeerMsg};
 use crate::wire::state::Item;
@@ -37,6 +39,7 @@
 use threads::direct_calls::DirectCall;
 use threads::election::ElectionCommand;
 use threads::state_service::StateRequest;
+use upgrade::Upgrade;
 
 /// Small stacks: the machine is small, and nothing here recurses deeply.
 const STACK: usize = 256 * 1024;
@@ -85,6 +88,8 @@
     Listed(ReqId, Answer),
     /// A look-up of a final state without a leader.
     Look(ReqId, JobId, Result<Option<Final>, ()>),
+    /// Versions of controllers, and the switch to compact records.
+    Upgrade(upgrade::UpgradeNews),
 }
 
 enum Origin {
@@ -119,6 +124,7 @@
     commit: Committer,
     /// What readers are shown of the unfinished jobs.
     board: Board,
+    switch: Switch,
 }
 
 struct Node {
@@ -157,11 +163,12 @@
     started: Time,
     stopping: Option<Time>,
     election: Sender<ElectionCommand>,
+    upgrade: Upgrade,
 }
 
 /// Sockets that this controller may need for its own calls.
 pub fn sockets_for_calls() -> usize {
-    threads::SOCKETS + load::SOCKETS
+    threads::SOCKETS + load::SOCKETS + upgrade::SOCKETS
 }
 
 /// Runs a controller until the process ends.
@@ -196,6 +203,7 @@
     let agents = threads::direct_calls::start(clock, &inbox);
     let lists = lists::start(&settings, clock, notice.clone(), inbox.clone());
     let election = threads::election::start(&settings, clock, me);
+    let upgrade = Upgrade::start(&settings, clock, instance, inbox.clone());
     let tx = inbox.clone();
     if let Err(e) = ctrlc::set_handler(move || {
         let _ = tx.send(Msg::Stop);
@@ -236,6 +244,7 @@
         started: now,
         stopping: None,
         election: election.commands,
+        upgrade,
     };
     node.run(rx, election.outcomes);
     Ok(())
@@ -388,6 +397,7 @@
             Msg::Look(req, id, r) => {
                 self.answer(now, req, follow::answer_read(&id, r));
             }
+            Msg::Upgrade(news) => self.upgrade_news(now, news),
         }
     }
 
@@ -543,6 +553,7 @@
         for req in lost {
             self.look_elsewhere(now, req);
         }
+        self.switch_format(now);
         self.balance_workers(now);
         self.publish(now);
         let ok = self.stopping.is_none() && self.can_serve(now);
