--- a/src/sched/catchup.rs
+++ b/src/sched/catchup.rs
@@ -103,8 +103,7 @@
             session: if m.reported { m.session } else { Session(0) },
             orders: vec![],
         };
-        let call = CallId(self.next_call);
-        self.next_call += 1;
+        let call = self.next_call_id();
         if let Some(m) = self.machines.get_mut(&host) {
             m.direct = Some(call);
         }
--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -258,11 +258,11 @@
         m.reported = false;
         let (zone, up) = (m.zone.clone(), m.life == Life::Up);
         // One that reports all the same is looked after in `give_back`.
-        let deaf = m.deaf_since.is_some();
+        let unreachable = m.unreachable_since.is_some();
         let tasks: Vec<TaskId> = m.slots.keys().cloned().collect();
         // A lost zone's machines are good for its next session, when it is back.
         if up
-            && !deaf
+            && !unreachable
             && !self.keeps_zone(now, &zone)
             && let Some(m) = self.machines.get_mut(host)
         {
@@ -359,7 +359,7 @@
                 continue;
             };
             let mut done_with = m.quarantined || m.notice_until.is_some();
-            if let Some(since) = m.deaf_since {
+            if let Some(since) = m.unreachable_since {
                 // Many at a time are likely to be a matter of the network: they are
                 // neither given up nor replaced in one moment.
                 if now - since < self.lease_bound() + self.lease_bound() || now < self.fleet.deaf_at
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -70,12 +70,12 @@
     /// told before has ended once it reports a later one.
     pub in_term: bool,
     /// What its latest report was answered with.
-    pub told: Option<Told>,
-    /// Reports in a row that showed no effect of the answer before.
-    pub in_vain: u32,
-    /// It reports, but does not hear: nothing more is placed there until it has
-    /// confirmed the token of that moment.
-    pub deaf_since: Option<Time>,
+    pub last_answer: Option<SentAnswer>,
+    /// Answers in a row whose effect the next heartbeat did not show.
+    pub unheard_answers: u32,
+    /// It reports, but answers and commands do not reach it: nothing more is placed
+    /// there until it has confirmed the token of that moment.
+    pub unreachable_since: Option<Time>,
     /// Its zone is in trouble, or not back in full: it takes nothing new.
     pub shut: bool,
     pub notice_until: Option<Time>,
@@ -95,11 +95,14 @@
     pub rest_until: Time,
 }
 
-/// An answer to a report: which one, and the token that it carried.
+/// An answer to a heartbeat.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct SentAnswer {
+    /// When it left.
     pub at: Time,
+    /// The heartbeat that it answers.
     pub seq: Seq,
+    /// The token that it carried.
     pub token: Token,
 }
 
@@ -134,9 +137,9 @@
             reported_at: None,
             certain: false,
             in_term: false,
-            told: None,
-            in_vain: 0,
-            deaf_since: None,
+            last_answer: None,
+            unheard_answers: 0,
+            unreachable_since: None,
             shut: false,
             notice_until: None,
             idle_since: now,
@@ -162,7 +165,7 @@
         self.life == Life::Up
             && self.reported
             && self.certain
-            && self.deaf_since.is_none()
+            && self.unreachable_since.is_none()
             && !self.shut
             && !self.quarantined
             && self.notice_until.is_none()
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -49,7 +49,7 @@
         d.wait(3.0);
         d.beat(&runs(seq, a));
     }
-    assert!(d.s.machines[&host(1)].deaf_since.is_some());
+    assert!(d.s.machines[&host(1)].unreachable_since.is_some());
     8
 }
 
@@ -81,7 +81,7 @@
         !there(&d),
         "a later session proves that all there has ended"
     );
-    assert!(d.s.machines[&host(1)].deaf_since.is_some());
+    assert!(d.s.machines[&host(1)].unreachable_since.is_some());
 }
 
 /// A cancellation holds by the lease, even though no command gets through: nothing
@@ -127,7 +127,7 @@
         d.wait(3.0);
         assert!(d.beat(&runs(seq, a)).is_some());
     }
-    assert!(d.s.machines[&host(1)].deaf_since.is_none());
+    assert!(d.s.machines[&host(1)].unreachable_since.is_none());
     // One that was found so before is answered on meanwhile.
     let (mut d, a) = at_work();
     let seq = goes_deaf(&mut d, a);
@@ -167,7 +167,7 @@
         d.beat(&r);
         break;
     }
-    assert!(d.s.machines[&host(1)].deaf_since.is_none());
+    assert!(d.s.machines[&host(1)].unreachable_since.is_none());
 }
 
 /// A whole zone that hears nothing is a matter of the network, as a rule.
@@ -183,7 +183,7 @@
         seq += 1;
         d.wait(3.0);
     }
-    let deaf = |m: &&hookworks::sched::machine::Machine| m.deaf_since.is_some();
+    let deaf = |m: &&hookworks::sched::machine::Machine| m.unreachable_since.is_some();
     assert!(d.s.machines.values().filter(deaf).count() > 30);
     let gone: BTreeSet<Host> = d.released().into_iter().collect();
     let gone = gone.len();
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -165,7 +165,7 @@
         d.beat(&r);
         d.now += 40_000;
     }
-    assert!(d.s.machines[&host(1)].deaf_since.is_none());
+    assert!(d.s.machines[&host(1)].unreachable_since.is_none());
     // One lost answer on top of that, and it has heard.
     d.wait(2.0);
     r.seq = Seq(30);
@@ -173,7 +173,7 @@
     d.wait(3.0);
     (r.seq, r.token) = (Seq(31), Token(Epoch(6).base()));
     assert!(d.beat(&r).is_some());
-    assert!(d.s.machines[&host(1)].deaf_since.is_none());
+    assert!(d.s.machines[&host(1)].unreachable_since.is_none());
     assert_eq!(d.attempt(JOB, 0), Some(a));
 }
 
@@ -192,7 +192,7 @@
     for seq in [7, 8] {
         r.seq = Seq(seq);
         assert!(d.beat(&r).is_some());
-        assert!(d.s.machines[&host(1)].deaf_since.is_none());
+        assert!(d.s.machines[&host(1)].unreachable_since.is_none());
         d.wait(3.0);
     }
     assert_eq!(d.attempt(JOB, 0), Some(a));
@@ -257,7 +257,7 @@
             leader_changes(&mut w, 0.0);
             w.run(7.0 + 3.0 * n as f64);
             let i = w.leader().expect("a leader");
-            let deaf = |m: &hookworks::sched::machine::Machine| m.deaf_since.is_some();
+            let deaf = |m: &hookworks::sched::machine::Machine| m.unreachable_since.is_some();
             assert!(!w.sched(i).machines.values().any(deaf), "seed {seed}");
         }
         w.assert_rules();
