--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -13,20 +13,57 @@
 use hookworks_job_lifecycle::Failure;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-type Flavoured = (Build, Zone, bool);
-
-/// A refused kind of machine is not asked for again so soon.
-const REFUSED_REST: Span = Span(15_000_000);
 /// A machine costs at least this long.
-const MIN_PAID: Span = Span(60_000_000);
-/// Machines asked for in one request.
-const MAX_HIRE: u32 = 50;
-/// Machines that don't hear are given back one in so long.
-const DEAF_EVERY: Span = Span(2_000_000);
-/// A worker whose controller has lost the leader is elsewhere after so long.
-const FINDS_WAY: Span = Span(8_000_000);
-/// Errors in a row that put a machine aside.
-const FAILS: u32 = 2;
+const MIN_PAID_TIME: Span = Span(60_000_000);
+/// Unreachable machines are returned one in so long: many at a time are likely to be a
+/// matter of the network.
+const UNREACHABLE_RETURN_INTERVAL: Span = Span(2_000_000);
+/// A worker whose controller has lost the leader reports elsewhere after so long.
+const REROUTE_TIME: Span = Span(8_000_000);
+/// Errors in a row that quarantine a machine.
+const MAX_ERRORS_IN_A_ROW: u32 = 2;
+/// A machine whose task failed gets no new one for so long.
+const FAILED_TASK_BACKOFF: Span = Span(5_000_000);
+/// A job that fails everywhere starts nothing for so long, and twice that after every
+/// few more errors, up to eight times: short enough that it is not left waiting once
+/// the cause is mended.
+const FAILING_JOB_BACKOFF_S: f64 = 5.0;
+const ERRORS_PER_DOUBLING: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
+/// A machine that was to be taken and has been silent for so long has been taken.
+const TAKEN_AFTER_SILENCE: Span = Span(4_500_000);
+/// A machine of an unknown type boots for so long.
+const DEFAULT_BOOT_S: f64 = 60.0;
+/// Machines returned in one request.
+const MAX_RETURNS_PER_REQUEST: usize = 100;
+/// A return is asked for again if no answer says that the machine is gone.
+const RETURN_RETRY_INTERVAL: Span = Span(6_000_000);
+
+/// What can be asked of the cloud.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct MachineKind {
+    build: Build,
+    zone: Zone,
+    spot: bool,
+}
+
+impl MachineKind {
+    fn of_machine(machine: &Machine) -> MachineKind {
+        MachineKind {
+            build: machine.build.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+        }
+    }
+
+    fn of_request(hire: &Hire) -> MachineKind {
+        MachineKind {
+            build: hire.build.clone(),
+            zone: hire.zone.clone(),
+            spot: hire.spot,
+        }
+    }
+}
 
 /// Tasks of a job that found no room.
 #[derive(Clone, Debug)]
@@ -47,28 +84,33 @@
     }
 }
 
-struct Pending {
+/// A rental request that has no final answer yet.
+struct RentalRequest {
     hire: Hire,
-    /// When to send it (again); none while it is under way.
-    next: Option<Time>,
-    tries: u32,
+    /// When to send it again; none while it is under way.
+    repeat_at: Option<Time>,
+    repeats: u32,
 }
 
+/// What is known of the fleet besides its machines.
 pub struct Fleet {
     epoch: Epoch,
     counter: u64,
     /// Jobs with tasks that found no room though their team may run them.
     pub short: Vec<Short>,
-    pending: BTreeMap<String, Pending>,
-    refused: HashMap<Flavoured, Time>,
+    /// Rental requests by name.
+    requests: BTreeMap<String, RentalRequest>,
+    /// When each kind of machine was last refused.
+    refused: HashMap<MachineKind, Time>,
+    /// Machines that were returned for certain.
     gone: HashSet<Host>,
     /// When other controllers were last found out of reach.
     pub out_of_reach: HashMap<Label, Time>,
     /// The sequence number of the first job that came in this term; those before it
     /// were loaded.
     pub first_own: u64,
-    /// The next machine that does not hear may be given back then.
-    deaf_at: Time,
+    /// The next unreachable machine may be returned then.
+    return_unreachable_at: Time,
 }
 
 impl Fleet {
@@ -77,34 +119,64 @@
             epoch,
             counter: 0,
             short: vec![],
-            pending: BTreeMap::new(),
+            requests: BTreeMap::new(),
             refused: HashMap::new(),
             gone: HashSet::new(),
             out_of_reach: HashMap::new(),
             first_own: 0,
-            deaf_at: Time::default(),
+            return_unreachable_at: Time::default(),
         }
     }
 
-    /// Released for certain: whatever still arrives from there is a ghost.
-    /// Reports by way of that controller may not have come through.
+    /// Heartbeats by way of that controller may not have come through.
     fn cut_off(&self, now: Time, via: &Option<Label>) -> bool {
-        let at = via.as_ref().and_then(|l| self.out_of_reach.get(l));
-        at.is_some_and(|t| now - *t < FINDS_WAY)
+        let since = via.as_ref().and_then(|label| self.out_of_reach.get(label));
+        since.is_some_and(|since| now - *since < REROUTE_TIME)
     }
 
-    pub fn is_gone(&self, h: &Host) -> bool {
-        self.gone.contains(h)
+    /// Returned for certain: whatever still arrives from there is late.
+    pub fn is_gone(&self, host: &Host) -> bool {
+        self.gone.contains(host)
     }
 
     /// Rental requests without an answer yet.
     pub fn under_way(&self) -> usize {
-        self.pending.len()
+        self.requests.len()
     }
 
     /// Some kind of machine was not refused lately, or is on its way.
     pub fn can_rent(&self, now: Time) -> bool {
-        !self.pending.is_empty() || self.refused.values().all(|t| now - *t > REFUSED_REST)
+        let mut refused = self.refused.keys();
+        !self.requests.is_empty() || refused.all(|kind| !self.refused_lately(now, kind))
+    }
+
+    fn refused_lately(&self, now: Time, kind: &MachineKind) -> bool {
+        let refused = self.refused.get(kind);
+        refused.is_some_and(|at| now - *at <= rent::REFUSED_KIND_BACKOFF)
+    }
+}
+
+/// What the silence of machines means at the moment.
+struct Silence {
+    /// Machines that are silent for longer have failed, as far as can be told.
+    limit: Span,
+    /// The same for those whose controller may not reach this one.
+    limit_cut_off: Span,
+    /// What was not heard while this process was suspended is no silence of theirs.
+    awake: Time,
+    /// This leader has been there for long enough to have heard all machines.
+    settled: bool,
+    /// It is long and of few enough machines to be no fault on our side.
+    is_theirs: bool,
+}
+
+impl Silence {
+    fn limit_for(&self, cut_off: bool) -> Span {
+        if cut_off {
+            self.limit_cut_off
+        } else {
+            self.limit
+        }
     }
 }
 
@@ -114,63 +186,75 @@
 }
 
 impl Sched {
-    /// Rents for what found no room, and gives back what idles.
+    /// Rents for what found no room, and returns what idles.
     pub(super) fn plan_fleet(&mut self, now: Time) {
         if !self.may_start(now) {
             return;
         }
-        self.send_pending(now);
+        self.repeat_rental_requests(now);
         self.rent(now);
-        self.give_back(now);
-        self.release_leaving(now);
+        self.return_idle(now);
+        self.request_returns(now);
     }
 
+    /// A page of the cloud's list of machines.
     pub(super) fn listed(&mut self, now: Time, list: Vec<Listed>) {
-        let token = self.base_token();
-        let renewed = self.maybe_renewed(now);
         let mut unexpected = 0;
-        let mut unheard = vec![];
-        for l in list {
-            if self.fleet.is_gone(&l.host) {
+        let mut unreported = vec![];
+        for listed in list {
+            if self.fleet.is_gone(&listed.host) {
                 continue;
             }
-            let m = self.machines.entry(l.host.clone()).or_insert_with(|| {
+            if !self.machines.contains_key(&listed.host) {
                 unexpected += 1;
-                tracing::debug!(host = %l.host, status = %l.status, "a machine that was not expected is listed");
-                let hired = Time(now.0.saturating_sub(Span::secs(l.age_s).0));
-                let (b, z) = (l.build.clone(), l.zone.clone());
-                let mut m = Machine::new(l.host.clone(), b, z, l.spot, hired, token);
-                m.answered = renewed;
-                m
-            });
-            if !m.reported {
-                // Loaded attempts name a machine, but not its type and zone.
-                m.build = l.build;
-                m.zone = l.zone;
-                m.spot = l.spot;
-                if let Some(f) = self.flavors.get(&m.build) {
-                    m.set_flavor(f);
-                }
-            }
-            m.certain = true;
-            if m.addr.is_none() {
-                m.addr = l.addr;
-            }
-            self.fences.bound(m);
-            if l.status == "failed" && !matches!(m.life, Life::Leaving { .. }) {
-                tracing::info!(host = %m.host, "stopped on its own, released");
-                m.life = Life::Leaving { next: now };
+                self.add_unexpected(now, &listed);
             }
-            if l.status == "running" && !m.reported {
-                unheard.push(l.host);
+            if self.take_listed(now, &listed) {
+                unreported.push(listed.host);
             }
         }
-        self.wish_for_reports(now, unheard);
+        self.request_reports(now, unreported);
         if unexpected > 0 {
             tracing::info!(machines = unexpected, "not expected but listed");
         }
     }
 
+    fn add_unexpected(&mut self, now: Time, listed: &Listed) {
+        tracing::debug!(host = %listed.host, status = %listed.status, "a machine that was not expected is listed");
+        let token = self.base_token();
+        let rented = Time(now.0.saturating_sub(Span::secs(listed.age_s).0));
+        let (host, build, zone) = (&listed.host, listed.build.clone(), listed.zone.clone());
+        let mut machine = Machine::new(host.clone(), build, zone, listed.spot, rented, token);
+        machine.answered = self.maybe_renewed(now);
+        self.machines.insert(host.clone(), machine);
+    }
+
+    /// True if the machine runs and has not reported yet.
+    fn take_listed(&mut self, now: Time, listed: &Listed) -> bool {
+        let Some(machine) = self.machines.get_mut(&listed.host) else {
+            return false;
+        };
+        if !machine.reported {
+            // Loaded attempts name a machine, but not its type and zone.
+            machine.build = listed.build.clone();
+            machine.zone = listed.zone.clone();
+            machine.spot = listed.spot;
+            if let Some(flavor) = self.flavors.get(&machine.build) {
+                machine.set_flavor(flavor);
+            }
+        }
+        machine.certain = true;
+        if machine.addr.is_none() {
+            machine.addr = listed.addr.clone();
+        }
+        self.fences.bound(machine);
+        if listed.status == "failed" && !matches!(machine.life, Life::Leaving { .. }) {
+            tracing::info!(host = %machine.host, "stopped on its own, released");
+            machine.life = Life::Leaving { next: now };
+        }
+        listed.status == "running" && !machine.reported
+    }
+
     /// Until when the lease of a worker that we have just met may have been
     /// renewed: an earlier leader may go on for a while after our beginning.
     pub(super) fn maybe_renewed(&self, now: Time) -> Time {
@@ -180,229 +264,254 @@
     /// Machines that fell silent, never came up or are about to be taken.
     pub(super) fn watch_machines(&mut self, now: Time) {
         self.look_at_zones(now);
-        let w = &self.cfg.workers;
-        let patience = Span::secs(
-            (w.lease_s * self.cfg.tuning.silent_share).max(w.report_s * 1.25 * 2.0 + 2.0),
-        );
         let lease = self.lease_bound();
-        // Zones in trouble are one matter, and machines that fall silent another.
-        let up = |m: &&Machine| m.life == Life::Up && m.certain && !self.watch.silent(&m.zone);
-        // What was not heard while this process stood still is no silence of theirs.
-        let awake = self.awake;
-        let all = self.machines.values().filter(up).count();
-        let silent_one = |m: &&Machine| up(m) && now - m.heard.max(awake) > patience;
-        let silent = self.machines.values().filter(silent_one).count();
-        // When most fall silent at once, the fault is likely on our side.
-        let ours = all > 2 && silent * 2 > all;
-        let settled = now - self.began.max(awake) > patience;
-        let mut lost: Vec<Host> = vec![];
-        let mut drain: Vec<TaskId> = vec![];
+        let silence = self.silence(now);
         let kept: HashSet<Zone> = self.kept_zones(now);
-        for m in self.machines.values_mut() {
-            let zone_kept = kept.contains(&m.zone);
-            // One that comes back has as long as any other to report.
-            let heard = m.heard.max(self.watch.zones.returned(&m.zone)).max(awake);
-            // While controllers refused each other a quarter of the fleet was
-            // released, whose reports did not come through.
-            let patience = match self.fleet.cut_off(now, &m.via) {
-                true => patience.max(Span::secs(w.lease_s)),
-                false => patience,
-            };
-            match m.life {
+        let mut expired: Vec<Host> = vec![];
+        let mut evicted: Vec<TaskId> = vec![];
+        for machine in self.machines.values_mut() {
+            let zone_kept = kept.contains(&machine.zone);
+            let has_worker = machine.life != Life::Booting;
+            match machine.life {
                 Life::Booting => {
-                    let boot = self.flavors.get(&m.build).map_or(60.0, |f| f.boot_s);
-                    // A new leader has not heard them yet: of 4,500 that were up it
-                    // released 1,957 in its first second.
-                    if now - m.hired > late_boot(boot) && !zone_kept && settled {
-                        tracing::info!(host = %m.host, "never came up, released");
-                        m.life = Life::Leaving { next: now };
+                    let boot_s = self.flavors.get(&machine.build).map(|f| f.boot_s);
+                    let limit = late_boot(boot_s.unwrap_or(DEFAULT_BOOT_S));
+                    // A new leader has not heard from those that are up.
+                    if now - machine.hired > limit && !zone_kept && silence.settled {
+                        tracing::info!(host = %machine.host, "never came up, released");
+                        machine.life = Life::Leaving { next: now };
                     }
                 }
                 Life::Up => {
-                    m.end_quarantine(now);
-                    let taken =
-                        m.notice_until.is_some_and(|t| now > t) && now - heard > Span::secs(4.5);
-                    let silent = now - heard > patience && settled && !ours;
+                    machine.end_quarantine(now);
+                    // One that comes back has as long as any other to report.
+                    let returned = self.watch.zones.returned(&machine.zone);
+                    let heard = machine.heard.max(returned).max(silence.awake);
+                    let cut_off = self.fleet.cut_off(now, &machine.via);
+                    let silent = now - heard > silence.limit_for(cut_off) && silence.is_theirs;
+                    let taken = machine.notice_until.is_some_and(|until| now > until)
+                        && now - heard > TAKEN_AFTER_SILENCE;
                     if (silent && !zone_kept) || taken {
-                        tracing::info!(host = %m.host, tasks = m.slots.len(), "silent, released");
-                        m.life = Life::Leaving { next: now };
+                        tracing::info!(host = %machine.host, tasks = machine.slots.len(), "silent, released");
+                        machine.life = Life::Leaving { next: now };
                     }
-                    if now > m.answered + lease {
-                        lost.push(m.host.clone());
-                    }
-                    if m.notice_until.is_some() {
-                        drain.extend(m.slots.keys().cloned());
-                    }
-                }
-                Life::Leaving { .. } => {
-                    if now > m.answered + lease {
-                        lost.push(m.host.clone());
+                    if machine.notice_until.is_some() {
+                        evicted.extend(machine.slots.keys().cloned());
                     }
                 }
+                Life::Leaving { .. } => {}
+            }
+            if has_worker && now > machine.answered + lease {
+                expired.push(machine.host.clone());
             }
         }
-        for h in lost {
-            self.lease_over(now, &h);
+        for host in expired {
+            self.lease_over(now, &host);
+        }
+        for task in evicted {
+            self.evict(now, &task);
         }
-        for t in drain {
-            self.drain(now, &t);
+    }
+
+    /// What the silence of machines means at the moment.
+    fn silence(&self, now: Time) -> Silence {
+        let workers = &self.cfg.workers;
+        let heartbeats_s = workers.report_s * 1.25 * 2.0 + 2.0;
+        let share_of_lease_s = workers.lease_s * self.cfg.tuning.silent_share;
+        let limit = Span::secs(share_of_lease_s.max(heartbeats_s));
+        // Zones in trouble are one matter, and machines that fall silent another.
+        let watched = |machine: &&Machine| {
+            machine.life == Life::Up && machine.certain && !self.watch.silent(&machine.zone)
+        };
+        let awake = self.awake;
+        let is_silent = |machine: &&Machine| now - machine.heard.max(awake) > limit;
+        let all = self.machines.values().filter(watched).count();
+        let silent = self.machines.values().filter(watched).filter(is_silent);
+        // When most fall silent at once, the fault is likely on our side.
+        let is_ours = all > 2 && silent.count() * 2 > all;
+        let settled = now - self.began.max(awake) > limit;
+        Silence {
+            limit,
+            limit_cut_off: limit.max(Span::secs(workers.lease_s)),
+            awake,
+            settled,
+            is_theirs: settled && !is_ours,
         }
     }
 
-    /// The worker's lease has run out by any clock, so its tasks are gone.
+    /// The worker's lease has expired by any clock, so its tasks are gone.
     fn lease_over(&mut self, now: Time, host: &Host) {
-        let Some(m) = self.machines.get_mut(host) else {
+        let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        m.answered = now;
-        m.reported = false;
-        let (zone, up) = (m.zone.clone(), m.life == Life::Up);
-        // One that reports all the same is looked after in `give_back`.
-        let unreachable = m.unreachable_since.is_some();
-        let tasks: Vec<TaskId> = m.slots.keys().cloned().collect();
+        machine.answered = now;
+        machine.reported = false;
+        // An unreachable one, which reports all the same, is looked after in
+        // `return_idle`.
+        let failed = machine.life == Life::Up && machine.unreachable_since.is_none();
+        let zone = machine.zone.clone();
+        let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
         // A lost zone's machines are good for its next session, when it is back.
-        if up
-            && !unreachable
+        if failed
             && !self.keeps_zone(now, &zone)
-            && let Some(m) = self.machines.get_mut(host)
+            && let Some(machine) = self.machines.get_mut(host)
         {
-            m.life = Life::Leaving { next: now };
+            machine.life = Life::Leaving { next: now };
         }
         self.watch.ended(&zone, tasks.len());
         if !tasks.is_empty() {
             tracing::info!(%host, tasks = tasks.len(), "lease has run out, tasks restart");
         }
-        for t in tasks {
-            self.gone_by(now, &t, Some(Failure::Lost), false);
+        for task in tasks {
+            self.gone_by(now, &task, Some(Failure::Lost), false);
         }
     }
 
-    /// A task on a machine that is about to be taken: it saves while it can.
-    fn drain(&mut self, now: Time, t: &TaskId) {
-        let Some(j) = self.jobs.get(&t.job) else {
+    /// Graceful eviction of a task from a machine that is about to be taken: it saves
+    /// while it can.
+    fn evict(&mut self, now: Time, task: &TaskId) {
+        let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let save_s = j.spec.save_s;
-        let saves = j.spec.checkpoint_s > 0.0;
-        let Some(l) = j.live.get(&t.ix) else { return };
-        let until = self.machines.get(&l.host).and_then(|m| m.notice_until);
-        let Some(until) = until else { return };
-        let margin = Span::secs(save_s * 1.5 + 4.0);
-        if l.stop.is_some() {
+        let Some(live) = job.live.get(&task.ix) else {
+            return;
+        };
+        let machine = self.machines.get(&live.host);
+        let Some(until) = machine.and_then(|machine| machine.notice_until) else {
+            return;
+        };
+        if live.stop.is_some() {
             return;
         }
-        match j.spec.kind {
+        let (kind, save_s) = (job.spec.kind, job.spec.save_s);
+        let margin = Span::secs(save_s * 1.5 + 4.0);
+        let saves = job.spec.checkpoint_s > 0.0 && live.phase == Phase::Running;
+        let saves_now = saves && now + margin >= until;
+        match kind {
             // Moved while its machine still stands.
-            Kind::Service => return self.stop(now, &t.job.clone(), t.ix, save_s + 1.0),
-            Kind::Gang if saves && l.phase == Phase::Running && now + margin >= until => {
-                return self.stop_gang(now, &t.job.clone());
-            }
-            Kind::Gang => return,
-            Kind::Array => {}
-        }
-        if saves && l.phase == Phase::Running && now + margin >= until {
-            self.stop(now, &t.job.clone(), t.ix, save_s + 1.0);
+            Kind::Service => self.stop(now, &task.job, task.ix, save_s + 1.0),
+            Kind::Gang if saves_now => self.stop_gang(now, &task.job),
+            Kind::Array if saves_now => self.stop(now, &task.job, task.ix, save_s + 1.0),
+            Kind::Gang | Kind::Array => {}
         }
     }
 
     /// A task ended with an error: the machine's fault, or the job's?
-    pub(super) fn failed(&mut self, now: Time, host: &Host, t: &TaskId) {
-        let Some(j) = self.jobs.get_mut(&t.job) else {
+    pub(super) fn failed(&mut self, now: Time, host: &Host, task: &TaskId) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        j.errors += 1;
-        j.error_hosts.insert(host.clone());
-        let works_elsewhere = j.done_count > 0;
-        if j.fails_everywhere() {
-            // It fails everywhere: its machines are not to blame.
-            // Short enough that it is not left waiting once the cause is mended.
-            let pause = 5.0 * 2f64.powi((j.errors / 3).min(3) as i32);
-            j.backoff_until = now + Span::secs(pause);
-            tracing::info!(job = %t.job, pause, "fails everywhere, backs off");
-            let id = t.job.clone();
-            for m in self.machines.values_mut() {
-                if m.fail_jobs.remove(&id) && m.fail_jobs.is_empty() {
-                    m.fails = 0;
-                    m.quarantined = false;
-                }
-            }
-            return;
+        job.errors += 1;
+        job.error_hosts.insert(host.clone());
+        let works_elsewhere = job.done_count > 0;
+        if job.fails_everywhere() {
+            return self.fails_everywhere(now, &task.job);
         }
-        let Some(m) = self.machines.get_mut(host) else {
+        let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        m.fails += 1;
-        m.fail_jobs.insert(t.job.clone());
-        m.rest_until = now + Span::secs(5.0);
-        let blamed = m.fail_jobs.len() > 1 || works_elsewhere;
-        if m.fails >= FAILS && blamed && !m.quarantined {
-            tracing::info!(%host, fails = m.fails, "quarantined");
-            (m.quarantined, m.quarantined_at) = (true, now);
+        machine.fails += 1;
+        machine.fail_jobs.insert(task.job.clone());
+        machine.rest_until = now + FAILED_TASK_BACKOFF;
+        let blamed = machine.fail_jobs.len() > 1 || works_elsewhere;
+        if machine.fails >= MAX_ERRORS_IN_A_ROW && blamed && !machine.quarantined {
+            tracing::info!(%host, fails = machine.fails, "quarantined");
+            machine.quarantined = true;
+            machine.quarantined_at = now;
             self.forgive(host);
         }
     }
 
-    fn give_back(&mut self, now: Time) {
+    /// The job fails on all machines, so that they are not to blame.
+    fn fails_everywhere(&mut self, now: Time, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let doublings = (job.errors / ERRORS_PER_DOUBLING).min(MAX_DOUBLINGS);
+        let pause = FAILING_JOB_BACKOFF_S * 2f64.powi(doublings as i32);
+        job.backoff_until = now + Span::secs(pause);
+        tracing::info!(job = %id, pause, "fails everywhere, backs off");
+        for machine in self.machines.values_mut() {
+            if machine.fail_jobs.remove(id) && machine.fail_jobs.is_empty() {
+                machine.fails = 0;
+                machine.quarantined = false;
+            }
+        }
+    }
+
+    /// Scale in: returns machines that idle or can't be used.
+    fn return_idle(&mut self, now: Time) {
         let keep = self.headroom(now);
         let mut free = self.free_room(now);
-        let t = &self.cfg.tuning;
-        let mut idle: Vec<(bool, Time, Host)> = self
-            .machines
-            .values()
-            .filter(|m| m.life == Life::Up && m.reported && !m.shut && m.slots.is_empty())
-            .map(|m| (m.spot, m.idle_since, m.host.clone()))
+        let is_idle = |machine: &&Machine| {
+            let up = machine.life == Life::Up && machine.reported;
+            up && !machine.shut && machine.slots.is_empty()
+        };
+        let idle = self.machines.values().filter(is_idle);
+        let mut idle: Vec<(bool, Time, Host)> = idle
+            .map(|machine| (machine.spot, machine.idle_since, machine.host.clone()))
             .collect();
         // Ordinary machines cost more, so they go first.
         idle.sort();
-        for (spot, since, h) in idle {
-            let Some(m) = self.machines.get(&h) else {
+        for (spot, _, host) in idle {
+            let Some(machine) = self.machines.get(&host) else {
                 continue;
             };
-            let mut done_with = m.quarantined || m.notice_until.is_some();
-            if let Some(since) = m.unreachable_since {
-                // Many at a time are likely to be a matter of the network: they are
-                // neither given up nor replaced in one moment.
-                if now - since < self.lease_bound() + self.lease_bound() || now < self.fleet.deaf_at
-                {
+            let mut unusable = machine.quarantined || machine.notice_until.is_some();
+            if let Some(since) = machine.unreachable_since {
+                let long = now - since >= self.lease_bound() + self.lease_bound();
+                if !long || now < self.fleet.return_unreachable_at {
                     continue;
                 }
-                self.fleet.deaf_at = now + DEAF_EVERY;
-                done_with = true;
-            }
-            let limit = Span::secs(if spot { t.idle_spot_s } else { t.idle_s });
-            let idles = now - since > limit && now - m.hired > MIN_PAID;
-            let useful = |s: &Short| {
-                let j = self.jobs.get(&s.job);
-                j.is_some_and(|j| allowed(&j.spec, m))
-                    && s.zone.as_ref().is_none_or(|z| *z == m.zone)
-            };
-            let wanted = self.fleet.short.iter().any(useful);
-            let mut rest = free;
-            rest.take(&m.capacity, spot);
-            let kept = !rest.all.covers(&keep.all) || !spot && !rest.plain.covers(&keep.plain);
-            if !done_with && (!idles || wanted || kept) {
-                continue;
+                self.fleet.return_unreachable_at = now + UNREACHABLE_RETURN_INTERVAL;
+                unusable = true;
             }
-            if !done_with {
+            if !unusable {
+                let mut rest = free;
+                rest.take(&machine.capacity, spot);
+                let kept = !rest.all.covers(&keep.all) || !spot && !rest.plain.covers(&keep.plain);
+                if kept || !self.idles_for_long(now, machine) || self.is_wanted(machine) {
+                    continue;
+                }
                 free = rest;
             }
-            tracing::info!(host = %h, spot, "given back");
-            if let Some(m) = self.machines.get_mut(&h) {
-                m.life = Life::Leaving { next: now };
+            tracing::info!(%host, spot, "given back");
+            if let Some(machine) = self.machines.get_mut(&host) {
+                machine.life = Life::Leaving { next: now };
             }
         }
     }
 
-    fn release_leaving(&mut self, now: Time) {
+    fn idles_for_long(&self, now: Time, machine: &Machine) -> bool {
+        let tuning = &self.cfg.tuning;
+        let limit_s = if machine.spot {
+            tuning.idle_spot_s
+        } else {
+            tuning.idle_s
+        };
+        now - machine.idle_since > Span::secs(limit_s) && now - machine.hired > MIN_PAID_TIME
+    }
+
+    /// Some job without room could use the machine.
+    fn is_wanted(&self, machine: &Machine) -> bool {
+        self.fleet.short.iter().any(|short| {
+            let job = self.jobs.get(&short.job);
+            let zone = short.zone.as_ref();
+            job.is_some_and(|job| allowed(&job.spec, machine))
+                && zone.is_none_or(|zone| *zone == machine.zone)
+        })
+    }
+
+    /// Asks the cloud to take back the machines that leave.
+    fn request_returns(&mut self, now: Time) {
         let mut hosts = vec![];
-        for m in self.machines.values_mut() {
-            if let Life::Leaving { next } = &mut m.life
+        for machine in self.machines.values_mut() {
+            if let Life::Leaving { next } = &mut machine.life
                 && now >= *next
-                && hosts.len() < 100
+                && hosts.len() < MAX_RETURNS_PER_REQUEST
             {
-                // Asked again if no answer says that it is gone.
-                *next = now + Span::secs(6.0);
-                hosts.push(m.host.clone());
+                *next = now + RETURN_RETRY_INTERVAL;
+                hosts.push(machine.host.clone());
             }
         }
         if !hosts.is_empty() {
@@ -410,25 +519,27 @@
         }
     }
 
+    /// The cloud's answer to a return; `ok`: the machines are gone for certain, and with
+    /// them what ran there.
     pub(super) fn released(&mut self, now: Time, hosts: Vec<Host>, ok: bool) {
         if !ok {
             return;
         }
-        for h in hosts {
-            let Some(m) = self.machines.get(&h) else {
+        for host in hosts {
+            let Some(machine) = self.machines.get(&host) else {
                 continue;
             };
-            if !matches!(m.life, Life::Leaving { .. }) {
+            if !matches!(machine.life, Life::Leaving { .. }) {
                 continue;
             }
-            let zone = m.zone.clone();
-            let tasks: Vec<TaskId> = m.slots.keys().cloned().collect();
-            for t in tasks {
-                self.gone_by(now, &t, Some(Failure::Lost), false);
+            let zone = machine.zone.clone();
+            let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+            for task in tasks {
+                self.gone_by(now, &task, Some(Failure::Lost), false);
             }
             self.watch.given_back(&zone);
-            self.machines.remove(&h);
-            self.fleet.gone.insert(h);
+            self.machines.remove(&host);
+            self.fleet.gone.insert(host);
         }
     }
 }
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -1,354 +1,469 @@
-//! What is rented, of which kind and where; and what becomes of requests.
+//! Scale out: what is rented, of which kind and where; and what becomes of requests.
 
-use super::{Flavoured, MAX_HIRE, Pending, REFUSED_REST, Short};
-use crate::ids::{Build, Zone};
+use super::{MachineKind, RentalRequest};
+use crate::ids::{Build, Host, Team, Zone};
 use crate::sched::allowed_zones::AllowedZones;
 use crate::sched::job::Job;
 use crate::sched::machine::{Life, Machine};
 use crate::sched::{Effect, HireResult, Room, Sched};
 use crate::time::{Span, Time};
-use crate::wire::cloud::Hire;
+use crate::wire::cloud::{Flavor, Hire};
 use std::collections::BTreeMap;
 
-/// Machines' worth of room that is on its way.
+/// A kind of machine that was refused is not asked for again so soon.
+pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
+/// The most machines in one request.
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
+/// For less than this part of a machine none is rented.
+const MIN_PART_OF_A_MACHINE: f64 = 0.2;
+/// A request without an answer is repeated after a second, then after one more each
+/// time, up to this.
+const MAX_RETRY_DELAY_S: u32 = 5;
+
+/// Resources that are on their way, in machines of a kind.
 #[derive(Default)]
 struct Coming {
+    /// All of them.
     room: f64,
-    /// Of machines that will be empty.
+    /// Those of machines that will be empty.
     whole: f64,
 }
 
 impl Coming {
-    /// Sets room aside for so many tasks; answers for how many there is some.
-    fn serve(&mut self, tasks: f64, per_machine: f64) -> f64 {
-        if per_machine <= 0.0 {
+    /// Sets resources aside for so many tasks; answers for how many there are some.
+    fn serve(&mut self, tasks: f64, tasks_per_machine: f64) -> f64 {
+        if tasks_per_machine <= 0.0 {
             return 0.0;
         }
         // What takes a machine to itself has no use for a corner of one.
-        let have = match per_machine <= 1.0 {
-            true => self.whole.min(self.room),
-            false => self.room,
+        let available = if tasks_per_machine <= 1.0 {
+            self.whole.min(self.room)
+        } else {
+            self.room
         };
-        let machines = have.min(tasks / per_machine).max(0.0);
+        let machines = available.min(tasks / tasks_per_machine).max(0.0);
         self.room -= machines;
         self.whole = (self.whole - machines).max(0.0);
-        machines * per_machine
+        machines * tasks_per_machine
     }
 }
 
+/// A job whose tasks lack room, and the only zone in which room is of use to them, if
+/// there is one.
+#[derive(Clone, Copy)]
+struct Demand<'a> {
+    job: &'a Job,
+    zone: Option<&'a Zone>,
+}
+
+/// A kind of machine with its price for each task.
+struct PricedKind {
+    price_per_task: f64,
+    kind: MachineKind,
+}
+
 impl Sched {
-    pub(super) fn send_pending(&mut self, now: Time) {
-        for p in self.fleet.pending.values_mut() {
-            if p.next.is_some_and(|t| now >= t) {
-                p.next = None;
-                self.out.push(Effect::Hire(p.hire.clone()));
+    /// Repeats the rental requests that had no answer, when they are due.
+    pub(super) fn repeat_rental_requests(&mut self, now: Time) {
+        for request in self.fleet.requests.values_mut() {
+            if request.repeat_at.is_some_and(|at| now >= at) {
+                request.repeat_at = None;
+                self.out.push(Effect::Hire(request.hire.clone()));
             }
         }
     }
 
-    /// Kinds of machine that could serve the job, the cheapest first.
-    fn kinds_for(
+    /// Rents for what found no room, or else for the headroom.
+    pub(super) fn rent(&mut self, now: Time) {
+        // One request at a time; its answer says what is left.
+        let mut requests = self.fleet.requests.values();
+        if requests.any(|request| request.repeat_at.is_none()) {
+            return;
+        }
+        let mut coming = self.coming(now);
+        let mut wanted = self.wanted_for_jobs(now, &mut coming);
+        if wanted.is_empty() {
+            wanted.extend(self.wanted_for_headroom(now, &mut coming));
+        }
+        for (kind, machines) in wanted {
+            if machines >= MIN_PART_OF_A_MACHINE {
+                self.request_machines(now, kind, machines);
+            }
+        }
+    }
+
+    /// How many machines of each kind the jobs without room need besides what is coming.
+    fn wanted_for_jobs(
         &self,
         now: Time,
-        need: &Room,
-        j: Option<(&Job, Option<&Zone>)>,
-        in_zone: &BTreeMap<Zone, usize>,
-    ) -> Vec<(f64, Flavoured)> {
-        let mut v = vec![];
-        let j = j.map(|(j, zone)| (j, AllowedZones::of(self, j), zone));
-        for f in self.flavors.values() {
-            let per = Room::of_flavor(f).times(need);
-            if per == 0 {
+        coming: &mut BTreeMap<MachineKind, Coming>,
+    ) -> BTreeMap<MachineKind, f64> {
+        let machines = self.machines_by_zone();
+        let plain_wanted = self.jobs.values().any(|job| !job.spec.spot);
+        let mut left: BTreeMap<&Team, Room> = BTreeMap::new();
+        let mut wanted = BTreeMap::new();
+        for (demand, tasks) in self.demands() {
+            let job = demand.job;
+            let team = &job.spec.team;
+            let left = left.entry(team).or_insert_with(|| self.teams.left(team));
+            let tasks = tasks.min(left.times(&job.need));
+            if tasks <= 0 {
                 continue;
             }
-            for z in &f.zones {
-                // What is rented in a zone that is lost boots and is paid for,
-                // and never reports.
-                if self.watch.silent(z) {
-                    continue;
-                }
-                for spot in [true, false] {
-                    let Some(price) = (if spot { f.spot_price } else { Some(f.price) }) else {
-                        continue;
-                    };
-                    let kind = (f.build.clone(), z.clone(), spot);
-                    let fits = j.as_ref();
-                    let fits = fits.is_none_or(|(j, zones, zone)| suits(j, zones, &kind, *zone));
-                    let rests = self.fleet.refused.get(&kind);
-                    if fits && rests.is_none_or(|t| now - *t > REFUSED_REST) {
-                        v.push((price / per as f64, kind));
-                    }
-                }
+            *left -= job.need.scaled(tasks);
+            let lacking = self.take_from_coming(now, demand, tasks, plain_wanted, coming);
+            if lacking <= 0.0 || self.rented_before(now, job) {
+                continue;
             }
+            let kinds = self.kinds_for(now, &job.need, Some(demand), &machines);
+            let Some(PricedKind { kind, .. }) = kinds.into_iter().next() else {
+                continue;
+            };
+            let tasks_per_machine = self.tasks_per_machine(&kind, &job.need).max(1.0);
+            *wanted.entry(kind).or_default() += lacking / tasks_per_machine;
         }
-        // Among equals the zone with the fewest machines, so that the loss of
-        // one zone hurts less.
-        let in_zone = |z: &Zone| in_zone.get(z).copied().unwrap_or(0);
-        v.sort_by(|a, b| {
-            a.0.total_cmp(&b.0)
-                .then_with(|| in_zone(&a.1.1).cmp(&in_zone(&b.1.1)))
-        });
-        v
+        wanted
     }
 
-    fn machines_by_zone(&self) -> BTreeMap<Zone, usize> {
-        let mut n = BTreeMap::new();
-        for m in self.machines.values().filter(|m| !m.shut) {
-            *n.entry(m.zone.clone()).or_default() += 1;
+    /// The jobs without room, with so many tasks each. What only some kinds of machine
+    /// serve comes first: otherwise those that could do with any would count on its
+    /// machines, and they would be rented again and again.
+    fn demands(&self) -> Vec<(Demand<'_>, i64)> {
+        let mut demands = vec![];
+        for short in &self.fleet.short {
+            if let Some(job) = self.jobs.get(&short.job) {
+                let zone = short.zone.as_ref();
+                demands.push((Demand { job, zone }, short.tasks));
+            }
         }
-        n
+        demands.sort_by_key(|(demand, _)| (demand.zone.is_none(), demand.job.spec.spot));
+        demands
     }
 
-    pub(super) fn rent(&mut self, now: Time) {
-        if self.fleet.pending.values().any(|p| p.next.is_none()) {
-            return; // One request at a time; its answer says what is left.
-        }
-        let mut coming = self.coming(now);
-        let zones = self.machines_by_zone();
-        let mut left: BTreeMap<_, Room> = BTreeMap::new();
-        let mut wanted: BTreeMap<Flavoured, f64> = BTreeMap::new();
-        // What only some kind of machine serves has its say before the others:
-        // when those that could do with any took a gang's machines into
-        // account, its zone was rented for again and again.
-        let found = |s: &'_ Short| Some((s.zone.clone(), s.tasks, self.jobs.get(&s.job)?));
-        let mut short: Vec<_> = self.fleet.short.iter().filter_map(found).collect();
-        short.sort_by_key(|(zone, _, j)| (zone.is_none(), j.spec.spot));
-        let plain_wanted = self.jobs.values().any(|j| !j.spec.spot);
-        for (zone, tasks, j) in short {
-            let zone = zone.as_ref();
-            let team = &j.spec.team;
-            let left = left
-                .entry(team.clone())
-                .or_insert_with(|| self.teams.left(team));
-            let n = tasks.min(left.times(&j.need));
-            if n <= 0 {
-                continue;
+    /// Sets resources that are coming aside for so many tasks of a job; answers how many
+    /// lack some.
+    fn take_from_coming(
+        &self,
+        now: Time,
+        demand: Demand,
+        tasks: i64,
+        plain_wanted: bool,
+        coming: &mut BTreeMap<MachineKind, Coming>,
+    ) -> f64 {
+        let job = demand.job;
+        // Work for spot machines does not count on plain ones if it can rent others.
+        let only_spot = job.spec.spot && plain_wanted && self.spot_rentable(now, job);
+        let allowed = AllowedZones::of(self, job);
+        let mut lacking = tasks as f64;
+        for (kind, coming) in coming.iter_mut() {
+            if lacking > 0.0 && (kind.spot || !only_spot) && suits(demand, &allowed, kind) {
+                lacking -= coming.serve(lacking, self.tasks_per_machine(kind, &job.need));
             }
-            *left -= j.need.scaled(n);
-            let mut n = n as f64;
-            // Nor does lendable work count on plain machines if it can rent others.
-            let only_spot = j.spec.spot && plain_wanted && self.spot_rentable(now, j);
-            let allowed = AllowedZones::of(self, j);
-            for (kind, c) in coming.iter_mut() {
-                if n > 0.0 && (kind.2 || !only_spot) && suits(j, &allowed, kind, zone) {
-                    n -= c.serve(n, self.per_machine(kind, &j.need));
-                }
+        }
+        lacking
+    }
+
+    /// How much of a machine to rent when less is free than is to be kept free.
+    fn wanted_for_headroom(
+        &self,
+        now: Time,
+        coming: &mut BTreeMap<MachineKind, Coming>,
+    ) -> Option<(MachineKind, f64)> {
+        let (kind, mut machines) = self.headroom_short(now)?;
+        for (coming_kind, coming) in coming.iter_mut() {
+            if kind.spot || !coming_kind.spot {
+                machines -= coming.serve(machines, 1.0);
             }
-            if n <= 0.0 || self.rented_before(now, j) {
+        }
+        Some((kind, machines))
+    }
+
+    fn request_machines(&mut self, now: Time, kind: MachineKind, machines: f64) {
+        // A zone that comes back is rented in by degrees.
+        let open = self.watch.open(now, &kind.zone);
+        let max = (MAX_MACHINES_PER_REQUEST as f64 * open).ceil() as u32;
+        let count = (machines.ceil() as u32).clamp(1, max.max(1));
+        self.fleet.counter += 1;
+        let name = format!("hw-{}-{}", self.fleet.epoch, self.fleet.counter);
+        let hire = Hire {
+            name: name.clone(),
+            build: kind.build,
+            zone: kind.zone,
+            spot: kind.spot,
+            count,
+        };
+        tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
+            spot = hire.spot, count, "renting");
+        self.out.push(Effect::Hire(hire.clone()));
+        let request = RentalRequest {
+            hire,
+            repeat_at: None,
+            repeats: 0,
+        };
+        self.fleet.requests.insert(name, request);
+    }
+
+    /// An earlier leader may have rented for the job what no list shows yet. Until lists
+    /// show all that was rented before this leadership, only jobs that came in since are
+    /// rented for.
+    fn rented_before(&self, now: Time, job: &Job) -> bool {
+        job.seq < self.fleet.first_own && now < self.began + self.cfg.oldest_list
+    }
+
+    /// What is on its way, by kind: machines that boot or are asked for, and
+    /// resources that running tasks leave before a machine rented now would be up.
+    fn coming(&self, now: Time) -> BTreeMap<MachineKind, Coming> {
+        let mut all: BTreeMap<MachineKind, Coming> = BTreeMap::new();
+        for request in self.fleet.requests.values() {
+            let hire = &request.hire;
+            if self.watch.silent(&hire.zone) {
                 continue;
             }
-            let kinds = self.kinds_for(now, &j.need, Some((j, zone)), &zones);
-            let Some((_, kind)) = kinds.into_iter().next() else {
-                continue;
-            };
-            let per = self.per_machine(&kind, &j.need).max(1.0);
-            *wanted.entry(kind).or_default() += n / per;
+            let coming = all.entry(MachineKind::of_request(hire)).or_default();
+            coming.room += hire.count as f64;
+            coming.whole += hire.count as f64;
         }
-        if wanted.is_empty()
-            && let Some((kind, mut share)) = self.headroom_short(now)
-        {
-            for (k, c) in coming.iter_mut() {
-                if !kind.2 && k.2 {
-                    continue;
-                }
-                share -= c.serve(share, 1.0);
+        for machine in self.machines.values() {
+            // Nothing can be counted on in a zone that is silent.
+            if self.watch.silent(&machine.zone) {
+                continue;
+            }
+            let of_machine = self.coming_of(now, machine);
+            if of_machine.room > 0.0 {
+                let coming = all.entry(MachineKind::of_machine(machine)).or_default();
+                coming.room += of_machine.room;
+                coming.whole += of_machine.whole;
             }
-            wanted.insert(kind, share);
         }
-        for (kind, n) in wanted {
-            if n < 0.2 {
-                continue;
+        all
+    }
+
+    fn coming_of(&self, now: Time, machine: &Machine) -> Coming {
+        match machine.life {
+            Life::Booting => Coming {
+                room: 1.0,
+                whole: 1.0,
+            },
+            Life::Up if machine.shut => Coming {
+                room: machine.free().at_least_zero().share_of(&machine.capacity),
+                whole: machine.slots.is_empty() as u8 as f64,
+            },
+            Life::Up if machine.notice_until.is_none() && machine.capacity.cpu > 0 => {
+                self.freed_soon(now, machine)
             }
-            // A zone that comes back is rented in by degrees.
-            let most = (MAX_HIRE as f64 * self.watch.open(now, &kind.1)).ceil() as u32;
-            let count = (n.ceil() as u32).clamp(1, most.max(1));
-            self.fleet.counter += 1;
-            let name = format!("hw-{}-{}", self.fleet.epoch, self.fleet.counter);
-            let hire = Hire {
-                name: name.clone(),
-                build: kind.0,
-                zone: kind.1,
-                spot: kind.2,
-                count,
-            };
-            tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
-                spot = hire.spot, count, "renting");
-            self.out.push(Effect::Hire(hire.clone()));
-            let p = Pending {
-                hire,
-                next: None,
-                tries: 0,
-            };
-            self.fleet.pending.insert(name, p);
+            Life::Up | Life::Leaving { .. } => Coming::default(),
         }
     }
 
-    /// An earlier leader may have rented for the job what no list shows yet: rented
-    /// for again by each leader, ten changes in twenty seconds took many times the
-    /// machines. Until lists show all that was rented before this term, only jobs
-    /// that came in this term are rented for.
-    fn rented_before(&self, now: Time, j: &Job) -> bool {
-        j.seq < self.fleet.first_own && now < self.began + self.cfg.oldest_list
+    /// What the tasks of a machine leave before one rented now would be up.
+    fn freed_soon(&self, now: Time, machine: &Machine) -> Coming {
+        let soon = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+        let mut freed = Room::default();
+        let mut staying = 0;
+        for slot in machine.slots.values() {
+            if slot.ends_within(now, soon) {
+                freed += slot.need;
+            } else {
+                staying += 1;
+            }
+        }
+        let empties = staying == 0 && !machine.slots.is_empty();
+        Coming {
+            room: freed.share_of(&machine.capacity),
+            whole: empties as u8 as f64,
+        }
     }
 
-    /// What is on its way, by kind: machines that boot or are asked for, and
-    /// room that running tasks leave before one rented now would be up.
-    fn coming(&self, now: Time) -> BTreeMap<Flavoured, Coming> {
-        let mut all: BTreeMap<Flavoured, Coming> = BTreeMap::new();
-        for p in self.fleet.pending.values() {
-            let h = &p.hire;
-            let kind = (h.build.clone(), h.zone.clone(), h.spot);
-            if self.watch.silent(&h.zone) {
+    /// Kinds of machine that hold a task of this need, and suit the demand if there is
+    /// one, the cheapest first; `machines`: how many there are in each zone.
+    fn kinds_for(
+        &self,
+        now: Time,
+        need: &Room,
+        demand: Option<Demand>,
+        machines: &BTreeMap<Zone, usize>,
+    ) -> Vec<PricedKind> {
+        let demand = demand.map(|demand| (demand, AllowedZones::of(self, demand.job)));
+        let suits = |kind: &MachineKind| {
+            let demand = demand.as_ref();
+            demand.is_none_or(|(demand, allowed)| suits(*demand, allowed, kind))
+        };
+        let mut kinds = vec![];
+        for flavor in self.flavors.values() {
+            let tasks = Room::of_flavor(flavor).times(need);
+            if tasks == 0 {
                 continue;
             }
-            let c = all.entry(kind).or_default();
-            c.room += h.count as f64;
-            c.whole += h.count as f64;
-        }
-        for m in self.machines.values() {
-            let soon = Span::secs(self.boot_s(&m.build) * self.cfg.tuning.wait_share);
-            let (room, whole) = match m.life {
-                // Nothing can be counted on in a zone that is silent.
-                _ if self.watch.silent(&m.zone) => continue,
-                Life::Booting => (1.0, 1.0),
-                Life::Up if m.shut => {
-                    let free = m.free().at_least_zero().share_of(&m.capacity);
-                    (free, m.slots.is_empty() as u8 as f64)
+            for (kind, price) in self.offers(now, flavor) {
+                if suits(&kind) {
+                    let price_per_task = price / tasks as f64;
+                    kinds.push(PricedKind {
+                        price_per_task,
+                        kind,
+                    });
                 }
-                Life::Up if m.notice_until.is_none() && m.capacity.cpu > 0 => {
-                    let mut freed = Room::default();
-                    let mut last = 0;
-                    for s in m.slots.values() {
-                        match s.ends_within(now, soon) {
-                            true => freed += s.need,
-                            false => last += 1,
-                        }
-                    }
-                    let empties = last == 0 && !m.slots.is_empty();
-                    (freed.share_of(&m.capacity), empties as u8 as f64)
+            }
+        }
+        // Among equals the zone with the fewest machines, so that the loss of
+        // one zone hurts less.
+        let machines_in = |kind: &MachineKind| machines.get(&kind.zone).copied().unwrap_or(0);
+        kinds.sort_by(|a, b| {
+            a.price_per_task
+                .total_cmp(&b.price_per_task)
+                .then_with(|| machines_in(&a.kind).cmp(&machines_in(&b.kind)))
+        });
+        kinds
+    }
+
+    /// The kinds of a machine type that may be asked for now, with their prices.
+    fn offers(&self, now: Time, flavor: &Flavor) -> Vec<(MachineKind, f64)> {
+        let mut offers = vec![];
+        // What is rented in a zone that is lost boots and is paid for, and never
+        // reports.
+        for zone in flavor.zones.iter().filter(|zone| !self.watch.silent(zone)) {
+            let spot = flavor.spot_price.map(|price| (true, price));
+            for (spot, price) in spot.into_iter().chain([(false, flavor.price)]) {
+                let kind = MachineKind {
+                    build: flavor.build.clone(),
+                    zone: zone.clone(),
+                    spot,
+                };
+                if !self.fleet.refused_lately(now, &kind) {
+                    offers.push((kind, price));
                 }
-                _ => continue,
-            };
-            if room > 0.0 {
-                let kind = (m.build.clone(), m.zone.clone(), m.spot);
-                let c = all.entry(kind).or_default();
-                c.room += room;
-                c.whole += whole;
             }
         }
-        all
+        offers
+    }
+
+    fn machines_by_zone(&self) -> BTreeMap<Zone, usize> {
+        let mut machines = BTreeMap::new();
+        for machine in self.machines.values().filter(|machine| !machine.shut) {
+            *machines.entry(machine.zone.clone()).or_default() += 1;
+        }
+        machines
     }
 
+    /// How long a machine of that type boots, in seconds.
     pub(in crate::sched) fn boot_s(&self, build: &Build) -> f64 {
-        self.flavors.get(build).map_or(0.0, |f| f.boot_s)
+        self.flavors.get(build).map_or(0.0, |flavor| flavor.boot_s)
     }
 
-    fn per_machine(&self, kind: &Flavoured, need: &Room) -> f64 {
-        let f = self.flavors.get(&kind.0);
-        f.map_or(0.0, |f| Room::of_flavor(f).times(need) as f64)
+    fn tasks_per_machine(&self, kind: &MachineKind, need: &Room) -> f64 {
+        let flavor = self.flavors.get(&kind.build);
+        flavor.map_or(0.0, |flavor| Room::of_flavor(flavor).times(need) as f64)
     }
 
     /// Machines for the job were not refused lately in that zone.
-    pub(in crate::sched) fn rentable(&self, now: Time, j: &Job, zone: Option<&Zone>) -> bool {
-        let none = BTreeMap::new();
-        !self
-            .kinds_for(now, &j.need, Some((j, zone)), &none)
-            .is_empty()
+    pub(in crate::sched) fn rentable(&self, now: Time, job: &Job, zone: Option<&Zone>) -> bool {
+        let demand = Demand { job, zone };
+        let kinds = self.kinds_for(now, &job.need, Some(demand), &BTreeMap::new());
+        !kinds.is_empty()
     }
 
     /// Spot machines for the job were not refused lately.
-    pub(in crate::sched) fn spot_rentable(&self, now: Time, j: &Job) -> bool {
-        let none = BTreeMap::new();
-        let kinds = self.kinds_for(now, &j.need, Some((j, None)), &none);
-        kinds.iter().any(|k| k.1.2)
+    pub(in crate::sched) fn spot_rentable(&self, now: Time, job: &Job) -> bool {
+        let demand = Demand { job, zone: None };
+        let kinds = self.kinds_for(now, &job.need, Some(demand), &BTreeMap::new());
+        kinds.iter().any(|priced| priced.kind.spot)
     }
 
-    /// A machine to rent when less is free than is to be kept free.
-    fn headroom_short(&self, now: Time) -> Option<(Flavoured, f64)> {
+    /// A machine to rent when less is free than is to be kept free, and how much of it
+    /// is lacking.
+    fn headroom_short(&self, now: Time) -> Option<(MachineKind, f64)> {
         let keep = self.headroom(now);
         let free = self.free_room(now);
-        let need = Room {
-            cpu: 1000,
-            gpu: 0,
-            mem: 1000,
-        };
-        let zones = self.machines_by_zone();
         let plain = !free.plain.covers(&keep.plain);
         if !plain && free.all.covers(&keep.all) {
             return None;
         }
-        let kinds = self.kinds_for(now, &need, None, &zones);
-        let (_, kind) = kinds.into_iter().find(|k| !plain || !k.1.2)?;
-        let whole = Room::of_flavor(self.flavors.get(&kind.0)?);
-        let lack = match plain {
-            true => keep.plain.minus(&free.plain),
-            false => keep.all.minus(&free.all),
+        let least_task = Room {
+            cpu: 1000,
+            gpu: 0,
+            mem: 1000,
+        };
+        let kinds = self.kinds_for(now, &least_task, None, &self.machines_by_zone());
+        let mut kinds = kinds.into_iter().map(|priced| priced.kind);
+        let kind = kinds.find(|kind| !plain || !kind.spot)?;
+        let whole = Room::of_flavor(self.flavors.get(&kind.build)?);
+        let lacking = if plain {
+            keep.plain.minus(&free.plain)
+        } else {
+            keep.all.minus(&free.all)
         };
-        Some((kind, lack.at_least_zero().share_of(&whole)))
+        Some((kind, lacking.at_least_zero().share_of(&whole)))
     }
 
-    pub(in crate::sched) fn hired(&mut self, now: Time, hire: Hire, r: HireResult) {
-        let token = self.base_token();
-        let kind = (hire.build.clone(), hire.zone.clone(), hire.spot);
-        match r {
+    /// The cloud's answer to a rental request.
+    pub(in crate::sched) fn hired(&mut self, now: Time, hire: Hire, result: HireResult) {
+        let kind = MachineKind::of_request(&hire);
+        match result {
             HireResult::Ok(hosts) => {
-                self.fleet.pending.remove(&hire.name);
-                if (hosts.len() as u32) < hire.count {
+                self.fleet.requests.remove(&hire.name);
+                let rented = hosts.len() as u32;
+                if rented < hire.count {
                     self.fleet.refused.insert(kind, now);
                 }
-                tracing::info!(request = %hire.name, got = hosts.len(), "rented");
-                let whole = hosts.len() as u32 == hire.count;
-                for h in hosts {
-                    if self.fleet.is_gone(&h) {
-                        continue;
+                tracing::info!(request = %hire.name, got = rented, "rented");
+                for host in hosts {
+                    if !self.fleet.is_gone(&host) {
+                        self.add_rented(now, host, &hire);
                     }
-                    let flavor = self.flavors.get(&hire.build);
-                    let m = self.machines.entry(h.clone()).or_insert_with(|| {
-                        let (b, z) = (hire.build.clone(), hire.zone.clone());
-                        let mut m = Machine::new(h, b, z, hire.spot, now, token);
-                        if let Some(f) = flavor {
-                            m.set_flavor(f);
-                        }
-                        m
-                    });
-                    // Nobody else has ever told it anything. It may have reported before
-                    // this answer came; nothing was placed there until now.
-                    self.replan |= m.reported && !m.certain;
-                    (m.certain, m.in_term) = (true, true);
                 }
-                if whole && hire.count == MAX_HIRE {
+                if rented == hire.count && hire.count == MAX_MACHINES_PER_REQUEST {
                     // Likely not all of it: the rest is asked for at once.
                     self.rent(now);
                 }
             }
             HireResult::NoCapacity => {
                 tracing::info!(request = %hire.name, zone = %hire.zone, spot = hire.spot, "none to rent");
-                self.fleet.pending.remove(&hire.name);
+                self.fleet.requests.remove(&hire.name);
                 self.fleet.refused.insert(kind, now);
                 // The next kind is asked for at once.
                 self.rent(now);
             }
             HireResult::Invalid => {
                 tracing::warn!(request = %hire.name, "rental request refused as invalid");
-                self.fleet.pending.remove(&hire.name);
+                self.fleet.requests.remove(&hire.name);
                 self.fleet.refused.insert(kind, now);
             }
             HireResult::Busy | HireResult::Unclear => {
-                if let Some(p) = self.fleet.pending.get_mut(&hire.name) {
-                    p.tries += 1;
-                    p.next = Some(now + Span::secs(p.tries.min(5) as f64));
+                if let Some(request) = self.fleet.requests.get_mut(&hire.name) {
+                    request.repeats += 1;
+                    let delay_s = request.repeats.min(MAX_RETRY_DELAY_S);
+                    request.repeat_at = Some(now + Span::secs(delay_s as f64));
                 }
             }
         }
     }
+
+    fn add_rented(&mut self, now: Time, host: Host, hire: &Hire) {
+        let token = self.base_token();
+        let flavor = self.flavors.get(&hire.build);
+        let machine = self.machines.entry(host.clone()).or_insert_with(|| {
+            let (build, zone) = (hire.build.clone(), hire.zone.clone());
+            let mut machine = Machine::new(host, build, zone, hire.spot, now, token);
+            if let Some(flavor) = flavor {
+                machine.set_flavor(flavor);
+            }
+            machine
+        });
+        // Nobody else has ever told it anything. It may have reported before
+        // this answer came; nothing was placed there until now.
+        self.replan |= machine.reported && !machine.certain;
+        machine.certain = true;
+        machine.in_term = true;
+    }
 }
 
-/// The job may run on machines of that kind, in that zone if any.
-fn suits(j: &Job, zones: &AllowedZones, kind: &Flavoured, zone: Option<&Zone>) -> bool {
-    let s = &j.spec;
-    s.builds.as_ref().is_none_or(|b| b.contains(&kind.0))
-        && s.zone.as_ref().is_none_or(|w| *w == kind.1)
-        && zone.is_none_or(|w| *w == kind.1)
-        && (s.spot || !kind.2)
-        && zones.contains(&kind.1)
+/// The demand can be met by machines of that kind.
+fn suits(demand: Demand, allowed: &AllowedZones, kind: &MachineKind) -> bool {
+    let spec = &demand.job.spec;
+    spec.builds
+        .as_ref()
+        .is_none_or(|builds| builds.contains(&kind.build))
+        && spec.zone.as_ref().is_none_or(|zone| *zone == kind.zone)
+        && demand.zone.is_none_or(|zone| *zone == kind.zone)
+        && (spec.spot || !kind.spot)
+        && allowed.contains(&kind.zone)
 }
--- a/src/sched/hearing.rs
+++ b/src/sched/hearing.rs
@@ -179,7 +179,7 @@
         let running_strays = machine.strays.values().any(|ended| !ended);
         let any = running_strays || machine.slots.keys().any(ends);
         if any {
-            self.wish_for_token(host);
+            self.request_confirmation(host);
         }
         any
     }
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -1,6 +1,6 @@
-//! Where a task starts, in the order of the design: machines that pass the
-//! spread check, by best fit; then a join that costs nothing; then renting;
-//! then, when nothing is ready or rentable, any machine with room.
+//! Placement: where a task starts. Machines that pass the time-balance check come
+//! first, by best fit; then a join that costs nothing; then renting; then, when nothing
+//! is ready or rentable, any machine with room.
 //!
 //! All pending jobs are served in one pass, which gathers the machines with
 //! room once and judges each of them once for each job. `choose` is the same
@@ -23,9 +23,25 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// What a pass found: where tasks start, which jobs lack room for how many, and
-/// how many turns were taken.
-type Planned = (Vec<(JobId, Host)>, Vec<Short>, usize);
+/// Machines judged for jobs in one pass, some tens of milliseconds of work.
+const MAX_JUDGED_PER_PASS: u64 = 40_000;
+/// How often preemption is looked into.
+const PREEMPTION_INTERVAL: Span = Span(200_000);
+/// A machine that has not been heard for so many heartbeat intervals,
+const FRESH_HEARTBEAT_INTERVALS: f64 = 1.25;
+/// and so many seconds more, takes nothing new.
+const FRESH_MARGIN_S: f64 = 2.0;
+
+/// What a pass found.
+#[derive(Default)]
+struct Plan {
+    /// Where tasks start, in this order.
+    starts: Vec<(JobId, Host)>,
+    /// Which jobs lack room, for how many tasks.
+    short: Vec<Short>,
+    /// How many turns were served.
+    served: usize,
+}
 
 /// A machine with room, as it will be once what is planned has started.
 pub(super) struct Candidate<'a> {
@@ -47,18 +63,18 @@
         let mut short = vec![];
         let mut held = BTreeSet::new();
         let mut rest = &served[..];
-        let until = self.judged.get() + MOST_JUDGED;
+        let until = self.judged.get() + MAX_JUDGED_PER_PASS;
         while !rest.is_empty() && self.judged.get() < until {
             // What must be settled before the next is looked at goes by itself.
             let alone = |t: &Turn| self.jobs.get(&t.job).is_some_and(by_itself);
             let n = rest.iter().position(alone).unwrap_or(rest.len());
-            let (starts, lack, done) = self.plan(now, &rest[..n], &held, &order, until);
-            for (id, host) in starts {
+            let plan = self.plan(now, &rest[..n], &held, &order, until);
+            for (id, host) in plan.starts {
                 self.start(now, &id, &host, None);
             }
-            short.extend(lack);
-            if done < n {
-                rest = &rest[done..];
+            short.extend(plan.short);
+            if plan.served < n {
+                rest = &rest[plan.served..];
                 break;
             }
             if let Some(t) = rest.get(n) {
@@ -85,7 +101,7 @@
             m.kept_since = kept.then(|| m.kept_since.unwrap_or(now));
         }
         if now >= self.preempt_at {
-            self.preempt_at = now + PREEMPT_EVERY;
+            self.preempt_at = now + PREEMPTION_INTERVAL;
             self.preempt(now, &order);
         }
     }
@@ -139,121 +155,34 @@
             most: None,
             lifted: false,
         };
-        let (starts, mut lack, done) = self.plan(now, &[turn], held, order, until);
-        for (id, host) in starts {
+        let mut plan = self.plan(now, &[turn], held, order, until);
+        for (id, host) in plan.starts {
             self.start(now, &id, &host, None);
         }
-        (lack.pop(), done > 0)
+        (plan.short.pop(), plan.served > 0)
     }
 
     /// Serves the jobs in this order, as far as room and quota go.
     fn plan(
         &self,
         now: Time,
-        jobs: &[Turn],
+        turns: &[Turn],
         held: &BTreeSet<Host>,
         order: &Order,
         until: u64,
-    ) -> Planned {
-        if jobs.is_empty() {
-            return (vec![], vec![], 0);
+    ) -> Plan {
+        if turns.is_empty() {
+            return Plan::default();
         }
-        let fresh = self.heard_within();
-        let mut room: Vec<Candidate> = vec![];
-        let mut spare = self.spare(now);
-        let mut open = Room::default();
-        for m in self.machines.values().filter(|m| m.open(now, fresh)) {
-            let (free, kept) = (m.free(), held.contains(&m.host));
-            if free.cpu <= 0 || kept && !m.kept_long(now) {
-                continue;
-            }
-            if !kept {
-                open += free;
-            }
-            let span = m.remaining(now);
-            room.push(Candidate {
-                m,
-                free,
-                span,
-                kept,
-            });
-        }
-        let can_rent = self.fleet.can_rent(now);
-        // With more waiting than there is room for, all of it fills up, and
-        // the image decides first; otherwise it would spoil the best fit.
-        let whole = jobs.iter().filter(|t| !t.lifted);
-        let waiting = whole.filter_map(|t| self.jobs.get(&t.job));
-        let mut wanted = Room::default();
-        for j in waiting {
-            wanted += j.need.scaled(j.pending() as i64);
-        }
-        let crowded = !open.covers(&wanted);
-        let mut quota: BTreeMap<&Team, Room> = BTreeMap::new();
-        let (mut starts, mut short) = (vec![], vec![]);
-        let mut given: BTreeMap<&JobId, i64> = BTreeMap::new();
-        for (n, turn) in jobs.iter().enumerate() {
+        let mut planner = Planner::new(self, now, turns, held, order);
+        for turn in turns {
             if self.judged.get() >= until {
-                return (starts, short, n);
-            }
-            let Turn {
-                job: id,
-                most,
-                lifted,
-            } = turn;
-            let Some(j) = self.jobs.get(id) else { continue };
-            let team = &j.spec.team;
-            let left = quota.entry(team).or_insert_with(|| self.teams.left(team));
-            let given = given.entry(id).or_default();
-            let want = (j.pending() as i64 - *given).min(left.times(&j.need));
-            let want = most.map_or(want, |m| want.min(m));
-            let mut view = View::of(self, now, j, order, can_rent);
-            let zones = AllowedZones::of(self, j);
-            view.by_image |= crowded;
-            let mut heap: BinaryHeap<Reverse<(Score, usize)>> = BinaryHeap::new();
-            // Room kept for quick classes is for them, and for who is below the floor.
-            let may_take = |spare: &Spare, spot, got| *lifted || view.may_take(spare, spot, got);
-            if want > 0 && may_take(&spare, true, 0) {
-                let scores = room.iter().enumerate();
-                let scores = scores.filter(|(_, c)| zones.contains(&c.m.zone));
-                let scores = scores.filter_map(|(i, c)| Some(Reverse((view.score(c)?, i))));
-                heap = scores.collect::<Vec<_>>().into();
-            }
-            let mut got = 0;
-            while got < want && may_take(&spare, true, got) {
-                let Some(Reverse((_, i))) = heap.pop() else {
-                    break;
-                };
-                if !may_take(&spare, room[i].m.spot, got) {
-                    continue;
-                }
-                debug_assert!(
-                    !starts.is_empty()
-                        || crowded
-                        || most.is_some()
-                        || self.agrees(now, id, held, order, room[i].m),
-                    "{id}: the pass and the plain choice differ"
-                );
-                let c = &mut room[i];
-                c.free -= j.need;
-                c.span = Some(match c.span {
-                    None => (view.est, view.est),
-                    Some((low, high)) => (low.min(view.est), high.max(view.est)),
-                });
-                spare.take(&j.need, c.m.spot);
-                got += 1;
-                starts.push((id.clone(), c.m.host.clone()));
-                if let Some(s) = view.score(c) {
-                    heap.push(Reverse((s, i)));
-                }
-            }
-            *left -= j.need.scaled(got);
-            *given += got;
-            // What is lifted has another turn, and is short only then.
-            if got < want && most.is_none() {
-                short.push(Short::anywhere(id, want - got));
+                break;
             }
+            planner.serve(turn);
+            planner.plan.served += 1;
         }
-        (starts, short, jobs.len())
+        planner.plan
     }
 
     /// The tests hold the pass against the plain computation.
@@ -315,7 +244,7 @@
 
     /// A machine that has been silent for longer takes nothing new.
     pub(super) fn heard_within(&self) -> Span {
-        Span::secs(self.cfg.workers.report_s * 1.25 + 2.0)
+        Span::secs(self.cfg.workers.report_s * FRESH_HEARTBEAT_INTERVALS + FRESH_MARGIN_S)
     }
 
     pub(super) fn start(&mut self, now: Time, id: &JobId, host: &Host, attempt: Option<Attempt>) {
@@ -374,6 +303,167 @@
     }
 }
 
+/// Serves jobs in their order, and keeps account of what is left for the next.
+struct Planner<'a> {
+    sched: &'a Sched,
+    now: Time,
+    order: &'a Order,
+    held: &'a BTreeSet<Host>,
+    can_rent: bool,
+    /// More waits than there is room for: all of it fills up, and the image decides
+    /// first; otherwise that would spoil the best fit.
+    crowded: bool,
+    candidates: Vec<Candidate<'a>>,
+    spare: Spare,
+    /// What the teams may still take.
+    quota: BTreeMap<&'a Team, Room>,
+    /// Tasks of each job that were placed in earlier turns.
+    placed: BTreeMap<&'a JobId, i64>,
+    plan: Plan,
+}
+
+impl<'a> Planner<'a> {
+    fn new(
+        sched: &'a Sched,
+        now: Time,
+        turns: &'a [Turn],
+        held: &'a BTreeSet<Host>,
+        order: &'a Order,
+    ) -> Planner<'a> {
+        let candidates = candidates(sched, now, held);
+        let mut open = Room::default();
+        for candidate in candidates.iter().filter(|candidate| !candidate.kept) {
+            open += candidate.free;
+        }
+        let mut wanted = Room::default();
+        for turn in turns.iter().filter(|turn| !turn.lifted) {
+            if let Some(job) = sched.jobs.get(&turn.job) {
+                wanted += job.need.scaled(job.pending() as i64);
+            }
+        }
+        Planner {
+            sched,
+            now,
+            order,
+            held,
+            can_rent: sched.fleet.can_rent(now),
+            crowded: !open.covers(&wanted),
+            candidates,
+            spare: sched.spare(now),
+            quota: BTreeMap::new(),
+            placed: BTreeMap::new(),
+            plan: Plan::default(),
+        }
+    }
+
+    fn serve(&mut self, turn: &'a Turn) {
+        let sched = self.sched;
+        let Some(job) = sched.jobs.get(&turn.job) else {
+            return;
+        };
+        let team = &job.spec.team;
+        let quota = self.quota.entry(team);
+        let left = *quota.or_insert_with(|| sched.teams.left(team));
+        let placed_before = self.placed.get(&turn.job).copied().unwrap_or(0);
+        let wanted = (job.pending() as i64 - placed_before).min(left.times(&job.need));
+        let wanted = turn.most.map_or(wanted, |most| wanted.min(most));
+        let placed = self.place_tasks(turn, job, wanted);
+        self.quota
+            .insert(team, left.minus(&job.need.scaled(placed)));
+        self.placed.insert(&turn.job, placed_before + placed);
+        // What is lifted has another turn, and is short only then.
+        if placed < wanted && turn.most.is_none() {
+            let short = Short::anywhere(&turn.job, wanted - placed);
+            self.plan.short.push(short);
+        }
+    }
+
+    /// Places up to so many tasks of a job; answers how many found room.
+    fn place_tasks(&mut self, turn: &Turn, job: &Job, wanted: i64) -> i64 {
+        let mut view = View::of(self.sched, self.now, job, self.order, self.can_rent);
+        view.by_image |= self.crowded;
+        // Room kept for quick classes is for them, and for who is below the floor.
+        let may_take =
+            |spare: &Spare, spot, placed| turn.lifted || view.may_take(spare, spot, placed);
+        if wanted <= 0 || !may_take(&self.spare, true, 0) {
+            return 0;
+        }
+        let mut best_first = self.scores(job, &view);
+        let mut placed = 0;
+        while placed < wanted && may_take(&self.spare, true, placed) {
+            let Some(Reverse((_, i))) = best_first.pop() else {
+                break;
+            };
+            if !may_take(&self.spare, self.candidates[i].m.spot, placed) {
+                continue;
+            }
+            debug_assert!(
+                self.agrees(turn, self.candidates[i].m),
+                "{}: the pass and the plain choice differ",
+                turn.job
+            );
+            self.take(&turn.job, job, view.est, i);
+            placed += 1;
+            if let Some(score) = view.score(&self.candidates[i]) {
+                best_first.push(Reverse((score, i)));
+            }
+        }
+        placed
+    }
+
+    /// The candidates that suit a job, the best on top.
+    fn scores(&self, job: &Job, view: &View) -> BinaryHeap<Reverse<(Score, usize)>> {
+        let zones = AllowedZones::of(self.sched, job);
+        let candidates = self.candidates.iter().enumerate();
+        let allowed = candidates.filter(|(_, candidate)| zones.contains(&candidate.m.zone));
+        let scores = allowed.filter_map(|(i, c)| Some(Reverse((view.score(c)?, i))));
+        scores.collect::<Vec<_>>().into()
+    }
+
+    /// A task of the job will start there.
+    fn take(&mut self, id: &JobId, job: &Job, estimate: Span, i: usize) {
+        let candidate = &mut self.candidates[i];
+        candidate.free -= job.need;
+        candidate.span = Some(match candidate.span {
+            None => (estimate, estimate),
+            Some((low, high)) => (low.min(estimate), high.max(estimate)),
+        });
+        self.spare.take(&job.need, candidate.m.spot);
+        let host = candidate.m.host.clone();
+        self.plan.starts.push((id.clone(), host));
+    }
+
+    /// The first start of a pass is the one that a single task would choose, where
+    /// nothing but the fit decides.
+    fn agrees(&self, turn: &Turn, machine: &Machine) -> bool {
+        !self.plan.starts.is_empty()
+            || self.crowded
+            || turn.most.is_some()
+            || self
+                .sched
+                .agrees(self.now, &turn.job, self.held, self.order, machine)
+    }
+}
+
+/// The machines that have room, but for those kept free for a gang.
+fn candidates<'a>(sched: &'a Sched, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
+    let fresh = sched.heard_within();
+    let mut candidates = vec![];
+    for machine in sched.machines.values().filter(|m| m.open(now, fresh)) {
+        let (free, kept) = (machine.free(), held.contains(&machine.host));
+        if free.cpu <= 0 || kept && !machine.kept_long(now) {
+            continue;
+        }
+        candidates.push(Candidate {
+            m: machine,
+            free,
+            span: machine.remaining(now),
+            kept,
+        });
+    }
+    candidates
+}
+
 pub(super) fn task_id(id: &JobId, ix: TaskIx) -> TaskId {
     TaskId {
         job: id.clone(),
@@ -512,11 +602,6 @@
 }
 
 const LAST_RESORT: u8 = 3;
-/// Machines judged for jobs in one pass, some tens of milliseconds of work.
-const MOST_JUDGED: u64 = 40_000;
-/// Making room for others is looked into so often.
-const PREEMPT_EVERY: Span = Span(200_000);
-
 /// Smaller is better; fields count in this order.
 #[derive(Clone, Debug)]
 pub(super) struct Score {
--- a/src/sched/report.rs
+++ b/src/sched/report.rs
@@ -479,7 +479,7 @@
                 // Never begun under an earlier leader: it is begun now, or, if
                 // its room may be others' by now, placed anew.
                 (Phase::Placed, None) if live.inherited && !clear => {
-                    self.wish_for_token(host);
+                    self.request_confirmation(host);
                     false
                 }
                 (Phase::Placed, None) => live.inherited && !self.resume(now, host, &task),
