--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,14 +6,12 @@
 
 // `allow` stands where public items without a doc comment are left; it goes with the last.
 #[allow(missing_docs)]
-pub mod agent;
-#[allow(missing_docs)]
 pub mod api;
 pub mod client;
 #[allow(missing_docs)]
 pub mod cloud;
 #[allow(missing_docs)]
-pub mod lead;
+pub mod election;
 #[allow(missing_docs)]
 pub mod node;
 #[allow(missing_docs)]
@@ -27,5 +25,7 @@
 #[allow(missing_docs)]
 pub mod versions;
 pub mod wire;
+#[allow(missing_docs)]
+pub mod worker_client;
 
 pub use hookworks_base::ids;
