--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -4,9 +4,13 @@
 mod world;
 
 use hookworks::ids::*;
+use hookworks::sched::job::Final;
+use hookworks::store::{Outcome, final_key};
 use hookworks::wire::peer::{Answer, Ask};
-use hookworks::wire::user::{After, JobSpec, Kind, When};
+use hookworks::wire::state::{Change, Txn};
+use hookworks::wire::user::{After, JobSpec, JobState, Kind, When};
 use hookworks::wire::worker::{Order, Orders};
+use world::store::{Handle, Limits, Why};
 use world::submissions::Verdict;
 use world::{Ev, World, job};
 
@@ -369,3 +373,240 @@
         }
     }
 }
+
+/// The other job, which needs the first, is accepted and known to users alone.
+fn needs_the_first(w: &mut World) -> JobId {
+    hidden(w, |_| {});
+    let id = JobId::from("job-000002");
+    w.add_needs(&id, [JOB.into()].into());
+    id
+}
+
+fn other_task(id: &JobId) -> TaskId {
+    TaskId {
+        job: id.clone(),
+        ix: TaskIx(0),
+    }
+}
+
+/// Starts the only task of the other job on a machine that nobody has rented.
+fn starts_other(w: &mut World, id: &JobId) {
+    let host = Host::from("n-900100");
+    let mut m = world::worker::Worker::new(host.clone(), "a".into(), true, w.now);
+    m.up = true;
+    let orders = Orders {
+        token: Token(u64::MAX / 4),
+        session: Session(1),
+        orders: vec![Order::Run {
+            task: other_task(id),
+            attempt: Attempt(7),
+        }],
+    };
+    assert!(m.direct(w.now, orders, &w.specs, 400.0).is_ok());
+    w.workers.insert(host, m);
+    w.run(2.0);
+}
+
+/// What is stored of a job that ended so.
+fn end(state: JobState) -> serde_json::Value {
+    serde_json::to_value(Final { state, done: 2 }).unwrap()
+}
+
+/// Faults put in: a task starts, or is told to, while a job that its job needs runs;
+/// while its end is not stored although all its tasks have ended; and while its end is
+/// stored although a task of it has not ended.
+#[test]
+fn a_start_before_a_job_that_it_needs_is_done() {
+    let mut w = running(|_| {});
+    let id = needs_the_first(&mut w);
+    assert!(!noticed(&w, "too_early"));
+    starts_other(&mut w, &id);
+    assert!(
+        noticed(&w, "too_early: job-000002/0 starts"),
+        "{:?}",
+        w.broken
+    );
+
+    let done = |ended: bool, stored: bool| {
+        let mut w = running(|_| {});
+        let id = needs_the_first(&mut w);
+        if ended {
+            w.done_tasks.extend([task(0), task(1)]);
+        }
+        if stored {
+            w.store.put(&final_key(&JOB.into()), end(JobState::Done));
+        }
+        let run = Order::Run {
+            task: other_task(&id),
+            attempt: Attempt(7),
+        };
+        w.commands_leave(&"n-900100".into(), &[run]);
+        let told = noticed(&w, "too_early: job-000002/0 is told to run");
+        starts_other(&mut w, &id);
+        let started = noticed(&w, "too_early: job-000002/0 starts");
+        assert_eq!(told, started, "{:?}", w.broken);
+        started
+    };
+    assert!(done(false, false) && done(false, true) && done(true, false));
+    assert!(!done(true, true));
+}
+
+/// A job that was cancelled is never done, though all its tasks have ended.
+#[test]
+fn a_start_after_a_job_that_it_needs_was_cancelled() {
+    let mut w = running(|_| {});
+    let id = needs_the_first(&mut w);
+    w.done_tasks.extend([task(0), task(1)]);
+    w.store
+        .put(&final_key(&JOB.into()), end(JobState::Cancelled));
+    starts_other(&mut w, &id);
+    assert!(noticed(&w, "too_early"), "{:?}", w.broken);
+}
+
+fn view(id: &str, state: &str) -> Answer {
+    let body = format!(r#"{{"Id":"{id}","Status":"{state}","done":0,"running":0}}"#);
+    Answer::new(200, body)
+}
+
+/// Faults put in: what needs a cancelled job, directly or through another, is told as
+/// queued or running 42 s after the cancellation was told, and not a moment before.
+#[test]
+fn a_job_that_outlives_the_cancellation_of_one_that_it_needs() {
+    for state in ["queued", "running", "cancelled"] {
+        for (direct, cancelled_first) in [(true, false), (false, false), (true, true)] {
+            let mut w = running(|_| {});
+            if cancelled_first {
+                told(&mut w, Ask::Cancel(JOB.into()), 200, "cancelled");
+            }
+            let mut id = needs_the_first(&mut w);
+            if !direct {
+                let parent = std::mem::replace(&mut id, "job-000003".into());
+                w.specs.insert(id.clone(), job(3, 1));
+                w.told_by_mistake(Ask::Poll(id.to_string()), view(id.as_str(), "queued"));
+                w.add_needs(&id, [parent].into());
+            }
+            if !cancelled_first {
+                told(&mut w, Ask::Cancel(JOB.into()), 200, "cancelled");
+            }
+            let poll = |w: &mut World| {
+                let ask = Ask::Poll(id.to_string());
+                w.told_by_mistake(ask, view(id.as_str(), state));
+            };
+            w.run(41.9);
+            poll(&mut w);
+            assert!(!noticed(&w, "orphaned"), "{:?}", w.broken);
+            w.run(0.2);
+            poll(&mut w);
+            let orphaned = noticed(&w, "orphaned: job-00000");
+            assert_eq!(orphaned, state != "cancelled", "{:?}", w.broken);
+            assert!(!noticed(&w, "went_back"), "{:?}", w.broken);
+        }
+    }
+}
+
+/// Called done, a job goes on; what needs it is no orphan, and may not be cancelled.
+#[test]
+fn a_cancellation_answered_with_done_takes_nothing_along() {
+    let mut w = running(|_| {});
+    let id = needs_the_first(&mut w);
+    told(&mut w, Ask::Cancel(JOB.into()), 200, "done");
+    w.run(60.0);
+    w.told_by_mistake(Ask::Poll(id.to_string()), view(id.as_str(), "queued"));
+    assert!(!noticed(&w, "orphaned"), "{:?}", w.broken);
+}
+
+/// Called cancelled, though nobody asked for that of it or of a job before it.
+#[test]
+fn a_job_that_is_cancelled_without_cause() {
+    for asked in [false, true] {
+        let mut w = running(|_| {});
+        let id = needs_the_first(&mut w);
+        if asked {
+            w.user(Ask::Cancel(JOB.into()));
+        }
+        w.told_by_mistake(Ask::Poll(id.to_string()), view(id.as_str(), "cancelled"));
+        assert_eq!(noticed(&w, "went_back"), !asked, "{:?}", w.broken);
+    }
+}
+
+/// Faults put in: a submission that names a job which nobody submitted, or itself, is
+/// accepted; one that names accepted jobs alone is refused; so is one with names that
+/// are none, or the other way round.
+#[test]
+fn names_in_a_submission_that_are_answered_wrongly() {
+    let names = |names: serde_json::Value| {
+        let mut body = serde_json::to_value(job(5, 1)).unwrap();
+        body["Awaits"] = names;
+        body.to_string().into_bytes()
+    };
+    let answered = |body: &[u8], status: u16| {
+        let mut w = running(|_| {});
+        w.specs.insert("job-000005".into(), job(5, 1));
+        let a = view("job-000005", "queued");
+        w.told_by_mistake(Ask::Submit(body.to_vec()), Answer::new(status, a.body));
+        w
+    };
+    let cases = [
+        (serde_json::json!([JOB]), 201),
+        (serde_json::json!([]), 201),
+        (serde_json::Value::Null, 201),
+        (serde_json::json!([JOB, "job-000099"]), 422),
+        (serde_json::json!(["job-000005"]), 422),
+        (serde_json::json!("job-000001"), 400),
+        (serde_json::json!([1]), 400),
+        (serde_json::json!(["job-x"]), 400),
+    ];
+    for (named, right) in cases {
+        for status in [201, 400, 422] {
+            let w = answered(&names(named.clone()), status);
+            let wrong = noticed(&w, "accepted_wrongly") || noticed(&w, "refused_wrongly");
+            assert_eq!(wrong, status != right, "{status} {named} {:?}", w.broken);
+        }
+    }
+}
+
+/// The stand-in of the state service keeps to limits that fall: a value or a transaction
+/// beyond them is refused, and changes beyond the rate are, with bursts of a second's
+/// worth; what is stored stays readable.
+#[test]
+fn limits_of_the_state_service_that_fall() {
+    let put = |key: &str, bytes: usize| Change::Put {
+        key: key.into(),
+        value: "x".repeat(bytes - 2).into(),
+        lease: None,
+    };
+    let txn = |changes: Vec<Change>| Txn {
+        conditions: vec![],
+        changes,
+    };
+    let carried_out = |o: Outcome| matches!(o, Outcome::Ok(_));
+    let store = Handle::default();
+    store.at(1_000_000);
+    let large = txn(vec![put("a", 8 * 1024)]);
+    let many = txn((0..8).map(|n| put(&format!("k{n}"), 10)).collect());
+    assert!(carried_out(store.apply(&large)) && carried_out(store.apply(&many)));
+    store.set_limits(Limits {
+        value_bytes: 2048,
+        changes: 4,
+        changes_per_s: 18.0,
+    });
+    assert!(!carried_out(store.apply(&large)) && !carried_out(store.apply(&many)));
+    assert_eq!(
+        store.read("a").unwrap().unwrap().value.to_string().len(),
+        8192
+    );
+    let refused = |store: &Handle, why: Why| {
+        let all = store.refusals();
+        all.iter().filter(|r| r.why == why).count()
+    };
+    assert_eq!(refused(&store, Why::TooLarge), 2);
+    let fits = txn((0..4).map(|n| put(&format!("k{n}"), 2048)).collect());
+    let burst = (0..10).filter(|_| carried_out(store.apply(&fits))).count();
+    assert_eq!((burst, refused(&store, Why::TooMany)), (4, 6));
+    let mut in_ten_s = 0;
+    for step in 1..=100 {
+        store.at(1_000_000 + 100_000 * step);
+        in_ten_s += 4 * usize::from(carried_out(store.apply(&fits)));
+    }
+    assert!((172..=184).contains(&in_ten_s), "{in_ten_s}");
+}
--- a/tests/world/idle_room.rs
+++ b/tests/world/idle_room.rs
@@ -87,6 +87,9 @@
         if !told.accepted || told.over.is_some() || told.cancel_asked {
             return false;
         }
+        if self.unmet_need(id).is_some() || self.needs.cancel_asked_before(id) {
+            return false;
+        }
         let read = |key: String| self.store.read(&key).ok().flatten().map(|i| i.value);
         let held = |v: &serde_json::Value| v.get("holds").is_some();
         let over = read(final_key(id)).is_some();
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -15,6 +15,8 @@
 pub mod links;
 pub mod lost_answers;
 mod machines;
+pub mod needs;
+pub mod pipelines;
 mod rules;
 mod steps;
 pub mod store;
@@ -111,6 +113,10 @@
     Question(usize, ReqId, followers::Leg),
     /// The next election is carried out at once, without an answer.
     LostElection,
+    /// The user of this pipeline looks at what it may send next.
+    Pipeline(usize),
+    /// From now on the state service takes no more than this.
+    StateLimits(store::Limits),
 }
 
 struct Term {
@@ -206,6 +212,8 @@
     pub done_tasks: BTreeSet<TaskId>,
     pub submissions: submissions::Submissions,
     pub handover: handover::HandOver,
+    pub needs: needs::Needs,
+    pub pipelines: pipelines::Pipelines,
 }
 
 const S: u64 = 1_000_000;
@@ -278,6 +286,8 @@
             done_tasks: BTreeSet::new(),
             submissions: submissions::Submissions::default(),
             handover: Default::default(),
+            needs: Default::default(),
+            pipelines: pipelines::Pipelines::new(seed),
         };
         for i in 0..controllers {
             let c = w.new_ctl(i, 1);
@@ -420,6 +430,7 @@
                         let wrong = t.sched.audit();
                         self.broken.extend(wrong);
                     }
+                    self.check_places_wait(i);
                 }
                 self.at(0.25, Ev::Tick(i));
             }
@@ -589,6 +600,8 @@
             Ev::Chances(c) => self.chaos = c,
             Ev::OddRequests(until) => self.odd_requests(until),
             Ev::HandOver(a) => self.act(a),
+            Ev::Pipeline(n) => self.pipeline(n),
+            Ev::StateLimits(limits) => self.store.set_limits(limits),
             Ev::LateElection(i, by_s) => self.store.of(i).delay_next((by_s * 1e6) as u64),
         }
     }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -40,7 +40,9 @@
         self.next_req += 1;
         self.asks.insert(req, ask.clone());
         match ask {
+            Ask::Submit(body) => self.note_submission(body),
             Ask::Cancel(id) => {
+                self.needs.note_cancel_asked(&id.as_str().into());
                 let told = self.told.entry(id.as_str().into()).or_default();
                 told.cancel_asked = true;
             }
