--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -72,13 +72,10 @@
                 "state": self.store.len(), "cloud": self.cloud.len(), "workers": self.agents.len(),
             },
         });
+        v["versions"] = self.upgrade.overview();
         if let Role::Leader(t) = &mut self.role {
             v["scheduler"] = t.sched.overview(now);
-            let (changes, requests) = t.commit.budgets_used(now);
-            v["store"] = serde_json::json!({
-                "changes_used": changes, "requests_used": requests,
-                "transactions": t.commit.under_way(),
-            });
+            v["store"] = t.commit.overview(now);
         }
         v
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,10 +4,12 @@
 pub mod client;
 pub mod commit;
 pub mod format;
+pub mod limits;
+pub mod pieces;
 
 pub use client::{Outcome, StateClient};
 pub use commit::Committer;
-pub use format::{FORMAT, RecordFormat};
+pub use format::{FORMAT, FormatRecord, RecordFormat};
 
 use crate::ids::JobId;
 
@@ -17,10 +19,15 @@
 pub const EPOCH: &str = "hookworks/epoch";
 /// Zones whose workers are not answered.
 pub const FENCES: &str = "hookworks/fences";
+/// Versions of controllers, until all can read compact records; each goes with a lease
+/// of its own.
+pub const VERSIONS: &str = "hookworks/versions/";
 /// Unfinished jobs.
 pub const LIVE: &str = "hookworks/live/";
 /// Further tasks of large unfinished jobs.
 pub const PARTS: &str = "hookworks/part/";
+/// Further pieces of records that are larger than a value may be.
+pub const PIECES: &str = "hookworks/piece/";
 
 /// Finished jobs.
 pub const FINALS: &str = "hookworks/final/";
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -8,6 +8,7 @@
 pub mod close_looks;
 mod cloud;
 pub mod desk;
+pub mod effect_log;
 pub mod followers;
 pub mod given;
 pub mod handover;
@@ -214,6 +215,7 @@
     pub handover: handover::HandOver,
     pub needs: needs::Needs,
     pub pipelines: pipelines::Pipelines,
+    pub effect_log: effect_log::EffectLog,
 }
 
 const S: u64 = 1_000_000;
@@ -288,6 +290,7 @@
             handover: Default::default(),
             needs: Default::default(),
             pipelines: pipelines::Pipelines::new(seed),
+            effect_log: Default::default(),
         };
         for i in 0..controllers {
             let c = w.new_ctl(i, 1);
