--- /dev/null
+++ b/tests/chain_histories.rs
@@ -0,0 +1,297 @@
+//! Many random histories of pipelines: jobs that need others, submitted one after
+//! another, cancelled now and then, while leaders change, the state service lowers its
+//! limits without notice, and controllers are replaced by a new version; the rules
+//! hold in all.
+
+mod world;
+
+use hookworks::ids::*;
+use hookworks::wire::peer::Ask;
+use hookworks::wire::user::{JobSpec, JobState, Priority};
+use rand::RngExt;
+use world::pipelines::Shape;
+use world::store::{Limits, Why};
+use world::{Chaos, Ev, World, job};
+
+/// What the state service takes at first, as the settings say.
+const AT_FIRST: Limits = Limits {
+    value_bytes: 8 * 1024,
+    changes: 8,
+    changes_per_s: 40.0,
+};
+/// What it takes later, without notice.
+const LATER: Limits = Limits {
+    value_bytes: 2 * 1024,
+    changes: 4,
+    changes_per_s: 18.0,
+};
+/// Troubles come for so long.
+const STORM_S: f64 = 200.0;
+/// Enough for all that is left to end.
+const REST_S: f64 = 400.0;
+
+#[derive(Clone, Copy, PartialEq)]
+enum Story {
+    /// All controllers are current, and the switch is on record.
+    Switched,
+    /// Controllers of the production version are replaced one after another.
+    Rolled,
+}
+
+fn pick<T: Copy>(w: &mut World, some: &[T]) -> T {
+    some[w.rng.random_range(0..some.len())]
+}
+
+/// One history with its troubles, until all is quiet and everything should be over.
+fn history(seed: u64, story: Story) -> World {
+    let mut w = World::new(seed, 3);
+    (w.wealth, w.capacity) = (4.0, 5);
+    w.run_s = w.rng.random_range(2.0..12.0);
+    match story {
+        Story::Switched => w.begin_compact(),
+        Story::Rolled => w.begin_in_production(),
+    }
+    w.store.set_limits(AT_FIRST);
+    if w.rng.random_bool(0.7) {
+        w.announced_limits = Some(LATER);
+    }
+    w.pipelines.cancelled = pick(&mut w, &[0.1, 0.5, 0.9]);
+    w.chaos = Chaos {
+        lose_answer: 0.02,
+        late: 0.01,
+        lose_txn_answer: 0.03,
+        refuse_txn: 0.02,
+        copy: 0.03,
+        late_txn: 0.01,
+        lost_answer: 0.01,
+    };
+    w.questions.held = 0.02;
+    w.run(2.0);
+    submit_arrays(&mut w);
+    if story == Story::Rolled {
+        roll(&mut w);
+    }
+    submit_pipelines(&mut w, story);
+    strike(&mut w);
+    let falls = w.rng.random_range(15.0..STORM_S);
+    w.at(falls, Ev::StateLimits(LATER));
+    w.run(STORM_S);
+    end_in_quiet(&mut w);
+    w
+}
+
+/// Arrays with large records, which run before and besides.
+fn submit_arrays(w: &mut World) {
+    for n in 0..4 {
+        let mut j = job(900 + n, w.rng.random_range(1..120));
+        (j.team, j.estimate_s) = (pick(w, &["red", "blue"]).into(), w.run_s);
+        let at = w.rng.random_range(0.0..100.0);
+        let body = serde_json::to_vec(&j).unwrap();
+        w.specs.insert(j.id.clone(), j.clone());
+        for k in 0..8 {
+            w.at(at + 6.0 * k as f64, Ev::User(Ask::Submit(body.clone())));
+        }
+        for k in 1..40 {
+            let at = at + 5.0 * k as f64;
+            w.at(at, Ev::UserVia(k % 3, Ask::Poll(j.id.to_string())));
+        }
+        if w.rng.random_bool(0.2) {
+            let at = at + w.rng.random_range(0.0..60.0);
+            w.insists(at, Ask::Cancel(j.id.to_string()));
+        }
+    }
+}
+
+fn submit_pipelines(w: &mut World, story: Story) {
+    let earliest = if story == Story::Rolled { 0.0 } else { 1.0 };
+    for n in 0..8 {
+        let shape = match n {
+            0 => Shape::Chain(10),
+            1 => Shape::Fan(w.rng.random_range(5..30)),
+            2 => Shape::Layers(w.rng.random_range(2..5), w.rng.random_range(2..4)),
+            _ => Shape::Chain(w.rng.random_range(2..6)),
+        };
+        let at = w.rng.random_range(earliest..0.7 * STORM_S);
+        let (teams, tasks) = (["red", "blue"], w.rng.random_range(1..6));
+        let run_s = w.run_s;
+        let like = move |stage: usize, j: &mut JobSpec| {
+            j.team = teams[(stage + n) % 2].into();
+            (j.tasks, j.estimate_s) = (1 + (tasks + stage as u32) % 5, run_s);
+            j.priority = [Priority::Low, Priority::Normal, Priority::High][stage % 3];
+        };
+        w.pipeline_of(at, 100 * n as u64, shape, like);
+    }
+}
+
+/// Controllers are replaced one after another; a process that ends before its turn comes
+/// back as it was, and some turns follow within a second.
+fn roll(w: &mut World) {
+    let mut at = w.rng.random_range(3.0..30.0);
+    let first = w.rng.random_range(0..3);
+    for turn in 0..3 {
+        let i = (first + turn) % 3;
+        if w.rng.random_bool(0.3) {
+            let early = at * w.rng.random_range(0.2..0.9);
+            w.at(early, Ev::Kill(i));
+            w.at(early + 0.5, Ev::Restart(i));
+        }
+        let back = pick(w, &[0.3, 1.0, 6.0]);
+        w.replace(at, i, back);
+        at += pick(w, &[0.2, 1.5, 8.0, 20.0]);
+    }
+}
+
+/// Leaders change, the state service is down or refuses one, a zone is cut off.
+fn strike(w: &mut World) {
+    for _ in 0..4 {
+        let (at, i) = (w.rng.random_range(5.0..STORM_S), w.rng.random_range(0..3));
+        let back = pick(w, &[0.3, 0.9, 6.0]);
+        let all = w.rng.random_bool(0.25);
+        for i in (0..3).filter(|j| all || i == *j) {
+            w.at(at, Ev::Kill(i));
+            w.at(at + back, Ev::Restart(i));
+        }
+    }
+    w.change_leaders(20.0, 3, STORM_S - 40.0);
+    let (at, long) = (
+        w.rng.random_range(10.0..STORM_S - 30.0),
+        w.rng.random_range(2.0..25.0),
+    );
+    w.at(at, Ev::StoreDown(true));
+    w.at(at + long, Ev::StoreDown(false));
+    let (at, i) = (
+        w.rng.random_range(10.0..STORM_S - 30.0),
+        w.rng.random_range(0..3),
+    );
+    let long = w.rng.random_range(2.0..30.0);
+    w.at(at, Ev::Refuse(i, true));
+    w.at(at + long, Ev::Refuse(i, false));
+    let (at, long) = (
+        w.rng.random_range(10.0..STORM_S - 30.0),
+        w.rng.random_range(2.0..30.0),
+    );
+    w.at(at, Ev::CutZone("b".into(), true));
+    w.at(at + long, Ev::CutZone("b".into(), false));
+}
+
+/// The storm is over; users go on until all they have submitted has ended.
+fn end_in_quiet(w: &mut World) {
+    w.chaos = Chaos::default();
+    w.questions.held = 0.0;
+    w.all_quiet();
+    for i in 0..3 {
+        if !w.ctls[i].up {
+            w.at(0.1, Ev::Restart(i));
+        }
+        if w.ctls[i].version != world::versions::Version::Current {
+            w.replace(2.0 + 3.0 * i as f64, i, 0.5);
+        }
+    }
+    let ids: Vec<JobId> = w.specs.keys().cloned().collect();
+    for id in &ids {
+        for k in 0..(REST_S / 8.0) as usize {
+            let at = 8.0 * k as f64 + w.rng.random_range(0.0..4.0);
+            w.at(at, Ev::UserVia(k % 3, Ask::Poll(id.to_string())));
+        }
+    }
+    w.run(REST_S);
+}
+
+/// What is wrong once everything should be over.
+fn faults(w: &World) -> Vec<String> {
+    let mut faults: Vec<String> = w.broken.iter().take(4).cloned().collect();
+    let Some(i) = w.leader() else {
+        faults.push("no leader".into());
+        return faults;
+    };
+    let left: Vec<&JobId> = w.sched(i).jobs.keys().take(5).collect();
+    if !left.is_empty() {
+        faults.push(format!("never finished: {left:?}"));
+    }
+    if !w.is_switched() {
+        faults.push("the switch was never stored".into());
+    }
+    let unsent = w
+        .pipelines
+        .jobs()
+        .into_iter()
+        .filter(|id| !w.is_told_accepted(id));
+    let unsent: Vec<JobId> = unsent.take(5).collect();
+    if !unsent.is_empty() {
+        faults.push(format!("never accepted: {unsent:?}"));
+    }
+    let orphans = w.not_told_cancelled();
+    if !orphans.is_empty() {
+        faults.push(format!("never told as cancelled: {orphans:?}"));
+    }
+    faults.extend(endless_refusals(w));
+    faults
+}
+
+/// Limits that have fallen are learnt: what they refuse is not sent over and over.
+fn endless_refusals(w: &World) -> Option<String> {
+    let last_minutes = w.now - 300_000_000;
+    let all = w.store.refusals();
+    let late: Vec<_> = all.iter().filter(|r| r.at > last_minutes).collect();
+    let large = late.iter().filter(|r| r.why == Why::TooLarge).count();
+    let many = late.len() - large;
+    (large > 3 || many > 20).then(|| {
+        let last = late.last().map(|r| &r.what);
+        format!("refused in the last five minutes: {large} too large, {many} too many, {last:?}")
+    })
+}
+
+fn seeds(usual: u64) -> std::ops::Range<u64> {
+    let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok());
+    let from = number("CHAIN_HISTORIES_FROM").unwrap_or(0);
+    from..from + number("CHAIN_HISTORIES").unwrap_or(usual)
+}
+
+/// Plays these seeds and returns how many jobs were done and told as cancelled.
+fn rules_hold(usual: u64, story: Story) -> (usize, usize) {
+    let (mut done, mut cancelled, mut wrong) = (0, 0, vec![]);
+    for seed in seeds(usual) {
+        let w = history(seed, story);
+        let faults = faults(&w);
+        if !faults.is_empty() {
+            let text = format!("seed {seed}: {faults:#?}");
+            eprintln!("{text}");
+            wrong.push(text);
+        }
+        let ended = |state| {
+            let all = w.pipelines.jobs().into_iter();
+            all.filter(|id| w.told_over(id) == Some(state)).count()
+        };
+        if std::env::var("CHAIN_FIGURES").is_ok() {
+            let all = w.store.refusals();
+            let large = all.iter().filter(|r| r.why == Why::TooLarge).count();
+            let (jobs, done) = (w.pipelines.jobs().len(), ended(JobState::Done));
+            let late = w.needs.longest_orphan / 1000;
+            let many = all.len() - large;
+            eprintln!(
+                "{seed}: {done} of {jobs} done, {large} large, {many} many, orphan {late} ms, changes {:?}",
+                w.handover.changes.len()
+            );
+        }
+        done += ended(JobState::Done);
+        cancelled += ended(JobState::Cancelled);
+    }
+    assert!(wrong.is_empty(), "{} seeds are wrong", wrong.len());
+    (done, cancelled)
+}
+
+/// `CHAIN_HISTORIES` asks for more than the usual number of them, and
+/// `CHAIN_HISTORIES_FROM` for others.
+#[test]
+fn rules_hold_in_many_histories_of_pipelines() {
+    let (done, cancelled) = rules_hold(12, Story::Switched);
+    assert!(done > 200, "hardly any job of a pipeline was done: {done}");
+    assert!(cancelled > 40, "hardly any was cancelled: {cancelled}");
+}
+
+#[test]
+fn rules_hold_in_many_histories_of_a_roll() {
+    let (done, cancelled) = rules_hold(12, Story::Rolled);
+    assert!(done > 200, "hardly any job of a pipeline was done: {done}");
+    assert!(cancelled > 40, "hardly any was cancelled: {cancelled}");
+}
--- a/tests/world/followers.rs
+++ b/tests/world/followers.rs
@@ -98,12 +98,16 @@
             return;
         };
         match leg {
-            Leg::Arrives if self.ctls[i].term.is_some() => self.event(i, Event::Ask(q, ask)),
+            Leg::Arrives if self.ctls[i].term.is_some() => {
+                let ask = self.as_understood(i, ask);
+                self.event(i, Event::Ask(q, ask));
+            }
             Leg::Arrives => self.follow(i, q, &ask),
             Leg::PassedOn(from) if self.ctls[i].term.is_some() => {
                 let there = ReqId(self.next_req);
                 self.next_req += 1;
                 self.questions.passed_on.insert(there, (q, from));
+                let ask = self.as_understood(i, ask);
                 self.event(i, Event::Ask(there, ask));
             }
             Leg::PassedOn(from) => {
--- a/tests/world/links.rs
+++ b/tests/world/links.rs
@@ -4,6 +4,7 @@
 
 use super::followers::Leg;
 use super::handover::Act;
+use super::versions::SwitchLeg;
 use super::worker::Worker;
 use super::{Ev, World};
 use hookworks::ids::*;
@@ -164,6 +165,9 @@
                 (region, self.zone_of(*i), false)
             }
             Ev::UserVia(i, _) => (region, self.zone_of(*i), false),
+            Ev::Announce(i, _) | Ev::Switch(i, _, SwitchLeg::Step(_)) => {
+                (self.zone_of(*i), region, false)
+            }
             Ev::Question(i, _, leg) => {
                 let here = self.zone_of(*i);
                 match leg {
@@ -220,7 +224,10 @@
             // These are done again and again until they get through.
             Ev::Elect(i) => self.at(0.4, Ev::Elect(i)),
             Ev::List(i) => self.at(5.0, Ev::List(i)),
-            Ev::Read(..) | Ev::ReadDone(..) | Ev::Hire(..) | Ev::CloudDone(..) => self.at(1.0, e),
+            Ev::Announce(i, life) => self.at(1.0, Ev::Announce(i, life)),
+            Ev::Read(..) | Ev::Switch(..) | Ev::ReadDone(..) | Ev::Hire(..) | Ev::CloudDone(..) => {
+                self.at(1.0, e)
+            }
             e if link == Link::Held => self.links.held.push(((from, to), e)),
             _ => {}
         }
@@ -233,6 +240,7 @@
         let i = match e {
             Ev::Txn(i, ..) | Ev::Read(i, ..) | Ev::Final(i, ..) | Ev::Record(i, ..) => i,
             Ev::Hire(i, ..) | Ev::Release(i, ..) | Ev::Elect(i) | Ev::List(i) => i,
+            Ev::Announce(i, _) | Ev::Switch(i, ..) => i,
             Ev::TxnDone(i, _, _, o) if *o != Outcome::Unclear => i,
             Ev::ReadDone(i, ..) | Ev::CloudDone(i, ..) => i,
             Ev::Question(i, _, Leg::Read(_) | Leg::ReadBack(..)) => i,
@@ -251,6 +259,7 @@
             Ev::ToCtl(i, ..) | Ev::Direct(i, ..) | Ev::TxnDone(i, ..) | Ev::Copy(i, ..) => *i,
             Ev::ReadDone(i, ..) | Ev::Final(i, ..) | Ev::Record(i, ..) => *i,
             Ev::CloudDone(i, ..) | Ev::UserVia(i, ..) => *i,
+            Ev::Announce(i, _) | Ev::Switch(i, _, SwitchLeg::Reply(_)) => *i,
             Ev::HandOver(Act::Resign(i, _) | Act::Load(i, ..)) => *i,
             // What is on its way to the user goes on.
             Ev::Question(_, _, Leg::Told(_)) => return Some(e),
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -23,6 +23,7 @@
 pub mod store;
 pub mod submissions;
 mod users;
+pub mod versions;
 pub mod worker;
 
 pub use given::{flavor, job, settings};
@@ -32,6 +33,7 @@
 use hookworks::store::commit::Committer;
 use hookworks::store::{Outcome, final_key};
 use hookworks::time::{Span, Time, Wall};
+use hookworks::versions::Switch;
 use hookworks::wire::cloud::Hire;
 use hookworks::wire::peer::{Answer, Ask};
 use hookworks::wire::state::{Item, Txn};
@@ -43,6 +45,7 @@
 use rand::{RngExt, SeedableRng};
 use rules::Told;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use versions::Version;
 use worker::Worker;
 
 pub enum Ev {
@@ -118,12 +121,19 @@
     Pipeline(usize),
     /// From now on the state service takes no more than this.
     StateLimits(store::Limits),
+    /// A new process, of the current version.
+    Replace(usize),
+    /// The process of that life tells its version to the state service.
+    Announce(usize, u64),
+    /// The leader's switch to compact records.
+    Switch(usize, Epoch, versions::SwitchLeg),
 }
 
 struct Term {
     epoch: Epoch,
     sched: Sched,
     commit: Committer,
+    switch: Switch,
 }
 
 pub struct Ctl {
@@ -137,6 +147,8 @@
     lonely: bool,
     /// Who leads, as it has last seen by itself.
     sees: Option<(usize, Epoch)>,
+    pub version: Version,
+    pub knowledge: versions::Knowledge,
 }
 
 pub struct World {
@@ -215,6 +227,11 @@
     pub handover: handover::HandOver,
     pub needs: needs::Needs,
     pub pipelines: pipelines::Pipelines,
+    pub roll: versions::Roll,
+    /// How many controllers the settings name.
+    controllers: usize,
+    /// Limits that the settings announce for later, if they do.
+    pub announced_limits: Option<store::Limits>,
     pub effect_log: effect_log::EffectLog,
 }
 
@@ -290,6 +307,9 @@
             handover: Default::default(),
             needs: Default::default(),
             pipelines: pipelines::Pipelines::new(seed),
+            roll: Default::default(),
+            controllers,
+            announced_limits: None,
             effect_log: Default::default(),
         };
         for i in 0..controllers {
@@ -319,6 +339,20 @@
             frozen_until: 0,
             lonely: false,
             sees: None,
+            version: Version::Current,
+            knowledge: self.knowledge(i, life),
+        }
+    }
+
+    fn begin_process(&mut self, i: usize, version: Version) {
+        let life = self.ctls[i].life + 1;
+        self.ctls[i] = self.new_ctl(i, life);
+        self.ctls[i].version = version;
+        // A new process looks at once who leads, and hears of machines.
+        self.stand(i);
+        self.at(0.1, Ev::ListOnce(i));
+        if self.roll.active {
+            self.at(versions::ANNOUNCES_AFTER.as_secs(), Ev::Announce(i, life));
         }
     }
 
@@ -434,6 +468,8 @@
                         self.broken.extend(wrong);
                     }
                     self.check_places_wait(i);
+                    self.version_tick(i);
+                    self.check_readable();
                 }
                 self.at(0.25, Ev::Tick(i));
             }
@@ -539,13 +575,10 @@
                 self.ctls[i].up = false;
                 self.ctls[i].term = None;
             }
-            Ev::Restart(i) => {
-                let life = self.ctls[i].life + 1;
-                self.ctls[i] = self.new_ctl(i, life);
-                // A new process looks at once who leads, and hears of machines.
-                self.stand(i);
-                self.at(0.1, Ev::ListOnce(i));
-            }
+            Ev::Restart(i) => self.begin_process(i, self.ctls[i].version),
+            Ev::Replace(i) => self.begin_process(i, Version::Current),
+            Ev::Announce(i, life) => self.announce(i, life),
+            Ev::Switch(i, epoch, leg) => self.switch_leg(i, epoch, leg),
             Ev::Cut(h, cut) => {
                 self.cut(&h, cut);
             }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -6,7 +6,7 @@
 use super::{Ev, S, World};
 use hookworks::ids::*;
 use hookworks::wire::peer::Ask;
-use hookworks::wire::user::JobSpec;
+use hookworks::wire::user::{JobSpec, JobState};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeSet;
@@ -190,7 +190,7 @@
 
     /// The user of this pipeline looks at what it knows, and sends what is next.
     pub(super) fn pipeline(&mut self, n: usize) {
-        let mut pipelines = std::mem::replace(&mut self.pipelines.all, vec![]);
+        let mut pipelines = std::mem::take(&mut self.pipelines.all);
         let pipeline = &mut pipelines[n];
         self.send_next(pipeline);
         self.poll_accepted(pipeline);
@@ -202,15 +202,24 @@
         }
     }
 
-    fn is_told_accepted(&self, id: &JobId) -> bool {
+    pub fn is_told_accepted(&self, id: &JobId) -> bool {
         self.told.get(id).is_some_and(|t| t.accepted)
     }
 
+    /// The end that a user was told of, if any was.
+    pub fn told_over(&self, id: &JobId) -> Option<JobState> {
+        self.told.get(id).and_then(|t| t.over)
+    }
+
     fn is_told_over(&self, id: &JobId) -> bool {
-        self.told.get(id).is_some_and(|t| t.over.is_some())
+        self.told_over(id).is_some()
     }
 
     fn send_next(&mut self, pipeline: &mut Pipeline) {
+        // Nothing new is asked of the service before all controllers are current.
+        if !self.all_current() {
+            return;
+        }
         let mut sent = 0;
         for stage in &mut pipeline.stages {
             let needs_met = stage.needs.iter().all(|n| match stage.after_end {
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -1,15 +1,18 @@
 //! What controllers and workers do by themselves: elections and reports.
 
 use super::followers::label;
+use super::versions::{ProductionView, Version};
 use super::worker::LEASE;
 use super::{Ev, S, Term, World, flavor, settings};
 use hookworks::ids::*;
 use hookworks::lead::Elect;
 use hookworks::node::load::load;
 use hookworks::sched::{Config, Event, Sched};
-use hookworks::settings::Settings;
+use hookworks::settings::{NextLimits, Settings};
+use hookworks::store::RecordFormat;
 use hookworks::store::commit::Committer;
 use hookworks::time::Time;
+use hookworks::versions::Switch;
 use rand::RngExt;
 
 impl World {
@@ -46,14 +49,25 @@
     pub(super) fn begin_term(&mut self, i: usize, epoch: Epoch, stamp: Stamp, proven: Time) {
         let now = self.time();
         let wall = self.wall();
-        let Ok(l) = load(&self.store.of(i), epoch, stamp, now, wall) else {
+        let service = self.store.of(i);
+        let loaded = match self.ctls[i].version {
+            Version::Production => load(&ProductionView(service), epoch, stamp, now, wall),
+            Version::Current => load(&service, epoch, stamp, now, wall),
+        };
+        let Ok(l) = loaded else {
             return self.load_again(i, epoch, stamp, proven);
         };
-        let s = settings("x");
+        let s = self.settings(i);
         let mut commit = Committer::new(stamp, &s.platform.params.state);
         for (k, st) in l.stamps {
             commit.know(k, st);
         }
+        let format = self.format_of_term(i, l.format);
+        if format == RecordFormat::Compact {
+            for (k, st) in l.litter {
+                commit.add_litter(k, st);
+            }
+        }
         let cfg = self.config(i, &s);
         let mut sched = Sched::new(cfg, epoch, proven, now, wall);
         if let Some(f) = l.fences {
@@ -66,13 +80,32 @@
             epoch,
             sched,
             commit,
+            switch: Switch::new(stamp, format),
         });
+        if let Some(record) = l.format.filter(|_| format == RecordFormat::Compact) {
+            self.learn_format(i, record);
+        }
         let mut f = flavor();
         f.zones = self.zones.clone();
         self.event(i, Event::Flavors(vec![f]));
         self.hand_over_copies();
     }
 
+    /// The page of settings of controller `i`.
+    fn settings(&self, i: usize) -> Settings {
+        let mut s = settings("x");
+        // The production version takes no notice of it.
+        if self.ctls[i].version == Version::Current {
+            s.platform.params.state.next = self.announced_limits.map(|l| NextLimits {
+                rps: None,
+                write_rps: Some(l.changes_per_s),
+                value_kb: Some(l.value_bytes as f64 / 1024.0),
+                txn_ops: Some(l.changes),
+            });
+        }
+        s
+    }
+
     /// What controller `i` is told.
     fn config(&self, i: usize, s: &Settings) -> Config {
         let mut cfg = Config::from(s);
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -69,8 +69,8 @@
     /// What its sender learns.
     fn outcome(self) -> Outcome {
         match self {
-            Why::TooLarge => Outcome::NotDone,
-            Why::TooMany => Outcome::NotDone,
+            Why::TooLarge => Outcome::TooLarge,
+            Why::TooMany => Outcome::TooMany,
         }
     }
 }
@@ -255,6 +255,13 @@
         s.keys.get(key).map(|v| v.0.clone())
     }
 
+    /// All that is stored, also during an outage.
+    pub fn all(&self) -> Vec<(String, serde_json::Value)> {
+        let s = self.0.lock().unwrap();
+        let keys = s.keys.iter();
+        keys.map(|(k, v)| (k.clone(), v.0.clone())).collect()
+    }
+
     /// Writes a key by other means.
     pub fn put(&self, key: &str, value: serde_json::Value) {
         let mut s = self.0.lock().unwrap();
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -31,6 +31,7 @@
     /// To a controller that leads, or believes to; answered without delay.
     pub fn ask(&mut self, i: usize, ask: Ask) {
         let req = self.note_asked(&ask);
+        let ask = self.as_understood(i, ask);
         self.event(i, Event::Ask(req, ask));
     }
 
