--- a/src/versions/switch.rs
+++ b/src/versions/switch.rs
@@ -152,8 +152,9 @@
             (Outcome::Conflict(failed), _) if failed.iter().any(|key| key == LEADER) => {
                 Decision::Deposed
             }
-            (Outcome::NotDone | Outcome::NoLease, _)
-            | (Outcome::TooLarge | Outcome::TooMany, _) => self.again(now, State::Waiting),
+            (Outcome::NotDone | Outcome::TooLarge | Outcome::TooMany | Outcome::NoLease, _) => {
+                self.again(now, State::Waiting)
+            }
             (Outcome::Ok(_) | Outcome::Conflict(_) | Outcome::Unclear, _) => {
                 self.state = State::Unclear;
                 Decision::Nothing
--- a/tests/chain_histories.rs
+++ b/tests/chain_histories.rs
@@ -6,11 +6,13 @@
 mod world;
 
 use hookworks::ids::*;
+use hookworks::versions::OWN;
 use hookworks::wire::peer::Ask;
 use hookworks::wire::user::{JobSpec, JobState, Priority};
 use rand::RngExt;
 use world::pipelines::Shape;
 use world::store::{Limits, Why};
+use world::versions::OLD;
 use world::{Chaos, Ev, World, job};
 
 /// What the state service takes at first, as the settings say.
@@ -49,7 +51,7 @@
     w.run_s = w.rng.random_range(2.0..12.0);
     match story {
         Story::Switched => w.begin_compact(),
-        Story::Rolled => w.begin_in_production(),
+        Story::Rolled => w.run_versions(&[OLD; 3]),
     }
     w.store.set_limits(AT_FIRST);
     if w.rng.random_bool(0.7) {
@@ -136,7 +138,7 @@
             w.at(early + 0.5, Ev::Restart(i));
         }
         let back = pick(w, &[0.3, 1.0, 6.0]);
-        w.replace(at, i, back);
+        w.replace(i, at, back, OWN);
         at += pick(w, &[0.2, 1.5, 8.0, 20.0]);
     }
 }
@@ -183,8 +185,8 @@
         if !w.ctls[i].up {
             w.at(0.1, Ev::Restart(i));
         }
-        if w.ctls[i].version != world::versions::Version::Current {
-            w.replace(2.0 + 3.0 * i as f64, i, 0.5);
+        if !w.is_new(i) {
+            w.replace(i, 2.0 + 3.0 * i as f64, 0.5, OWN);
         }
     }
     let ids: Vec<JobId> = w.specs.keys().cloned().collect();
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -216,8 +216,8 @@
     }
 
     fn send_next(&mut self, pipeline: &mut Pipeline) {
-        // Nothing new is asked of the service before all controllers are current.
-        if !self.all_current() {
+        // Nothing new is asked of the service before all controllers are new.
+        if !self.all_new() {
             return;
         }
         let mut sent = 0;
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -1,7 +1,7 @@
 //! What controllers and workers do by themselves: elections and reports.
 
 use super::followers::label;
-use super::versions::{ProductionView, Version};
+use super::old_version::ProductionView;
 use super::worker::LEASE;
 use super::{Ev, S, Term, World, flavor, settings};
 use hookworks::ids::*;
@@ -50,19 +50,21 @@
         let now = self.time();
         let wall = self.wall();
         let service = self.store.of(i);
-        let loaded = match self.ctls[i].version {
-            Version::Production => load(&ProductionView(service), epoch, stamp, now, wall),
-            Version::Current => load(&service, epoch, stamp, now, wall),
+        self.take_up_version(i);
+        let loaded = match self.is_new(i) {
+            true => load(&service, epoch, stamp, now, wall),
+            false => load(&ProductionView(service), epoch, stamp, now, wall),
         };
         let Ok(l) = loaded else {
             return self.load_again(i, epoch, stamp, proven);
         };
         let s = self.settings(i);
+        let format = l.record_format();
+        let takes_format = self.note_term(i, epoch, Switch::new(stamp, format));
         let mut commit = Committer::new(stamp, &s.platform.params.state);
         for (k, st) in l.stamps {
             commit.know(k, st);
         }
-        let format = self.format_of_term(i, l.format);
         if format == RecordFormat::Compact {
             for (k, st) in l.litter {
                 commit.add_litter(k, st);
@@ -70,6 +72,10 @@
         }
         let cfg = self.config(i, &s);
         let mut sched = Sched::new(cfg, epoch, proven, now, wall);
+        if takes_format {
+            commit.set_format(format);
+            sched.set_format(format);
+        }
         if let Some(f) = l.fences {
             sched.take_fences(now, wall, f);
         }
@@ -80,11 +86,7 @@
             epoch,
             sched,
             commit,
-            switch: Switch::new(stamp, format),
         });
-        if let Some(record) = l.format.filter(|_| format == RecordFormat::Compact) {
-            self.learn_format(i, record);
-        }
         let mut f = flavor();
         f.zones = self.zones.clone();
         self.event(i, Event::Flavors(vec![f]));
@@ -95,7 +97,7 @@
     fn settings(&self, i: usize) -> Settings {
         let mut s = settings("x");
         // The production version takes no notice of it.
-        if self.ctls[i].version == Version::Current {
+        if self.is_new(i) {
             s.platform.params.state.next = self.announced_limits.map(|l| NextLimits {
                 rps: None,
                 write_rps: Some(l.changes_per_s),
--- a/tests/world/versions.rs
+++ b/tests/world/versions.rs
@@ -1,307 +1,296 @@
-//! Two versions of the controllers side by side. A controller of the production version
-//! is a stand-in: it writes records as that version does and never in another form,
-//! ignores fields of submissions that came later, can't read compact records and leaves
-//! those jobs alone, and tells its own version. One of the current version does what the
-//! product does: it tells its version, knows those of the others, and as the leader
-//! stores the switch to compact records once all of them read these.
-
-use super::followers::label;
-use super::needs::NEEDS;
-use super::{Ev, World, store};
-use hookworks::ids::*;
-use hookworks::store::client::{Outcome, ReadError, State};
-use hookworks::store::{FORMAT, FormatRecord, PIECES, RecordFormat, VERSIONS};
-use hookworks::time::Span;
-use hookworks::versions::switch::{Decision, Reply, Step};
-use hookworks::versions::{Announcer, JOB_CHAINS, JOB_LIFECYCLE, VersionTable};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::state::{Item, Page, Txn};
+//! Controllers of two versions side by side: which version each process runs, what it
+//! knows of the others, and the switch to compact records, by the product's own
+//! decisions. An old process stands in for the version in production: it tells that
+//! version in its pings, writes nothing of it to the state service, makes no switch,
+//! and writes records as that version does.
+
+use super::{Ev, S, World, followers::label, store::Handle};
+use hookworks::ids::{ControllerVersion, Epoch, Instance, Label};
+use hookworks::store::client::State;
+use hookworks::store::{FORMAT, LEADER, Outcome, VERSIONS};
+use hookworks::versions::switch::{Decision, Reply, Step, Switch};
+use hookworks::versions::{Announcer, JOB_LIFECYCLE, OWN, VersionTable};
+use hookworks::wire::state::Txn;
 use hookworks_membership::ReportedVersion;
-use rand::RngExt;
-use serde_json::Value;
+use std::collections::BTreeSet;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Version {
-    /// What is in production while a day begins.
-    Production,
-    Current,
-}
+/// The version in production.
+pub const OLD: ControllerVersion = JOB_LIFECYCLE;
 
-impl Version {
-    /// What its pings say that it understands.
-    fn reported(self) -> ControllerVersion {
-        match self {
-            Version::Production => JOB_LIFECYCLE,
-            Version::Current => JOB_CHAINS,
-        }
-    }
-}
+/// A controller looks at the versions so often, as `Node::tick` does.
+const LOOK_EVERY: f64 = 0.25;
 
-/// What a controller of the current version knows of the versions.
-pub struct Knowledge {
-    pub versions: VersionTable,
-    announcer: Announcer<store::Handle>,
-    /// The switch to compact records, once it is known to be on record.
-    format: Option<FormatRecord>,
+/// What happens to the transaction with the switch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SwitchFault {
+    /// It is carried out, and its answer is lost.
+    AnswerLost,
+    /// It is not carried out, and there is no answer.
+    Lost,
+    /// It is carried out so many microseconds later, without an answer.
+    Late(u64),
+    /// It is carried out, and the leader ends before the answer.
+    LeaderEnds,
+    /// It is refused: too many requests, or an outage.
+    Refused,
 }
 
-/// A roll of the controllers, in worlds that have one.
-#[derive(Default)]
-pub struct Roll {
-    /// Versions matter in this world; in others all controllers are current, and write
-    /// records in the form that the store says.
-    pub active: bool,
+pub enum VersionAct {
+    Look(usize),
+    /// From its next start on the controller runs this version.
+    Run(usize, ControllerVersion),
+    /// Pings of the two don't reach each other, or do again.
+    CutPings(usize, usize, bool),
+    /// A transaction is carried out late.
+    Apply(Txn),
 }
 
-/// A step of the switch, and what became of it.
-pub enum SwitchLeg {
-    Step(Step),
-    Reply(Reply),
+/// What a process knows.
+struct Process {
+    life: u64,
+    table: VersionTable,
+    announcer: Announcer<Handle>,
+    announces_at: Option<u64>,
+    switch: Option<(Epoch, Switch)>,
 }
 
-/// What a request of the switch takes.
-const SWITCH_GIVES_UP_S: f64 = 1.2;
-
-/// The production version reads such a record.
-fn production_reads(key: &str, value: &Value) -> bool {
-    let part = match key.starts_with(hookworks::store::LIVE) {
-        true => &value["first"],
-        false => value,
-    };
-    let tasks = part.get("a").is_none_or(Value::is_array);
-    part.is_object() && tasks && part.get("pieces").is_none() && value.get("pieces").is_none()
+#[derive(Default)]
+pub struct Versions {
+    /// What each controller's process runs; empty where versions are not played.
+    runs: Vec<ControllerVersion>,
+    next: Vec<ControllerVersion>,
+    processes: Vec<Process>,
+    cut: BTreeSet<(usize, usize)>,
+    /// What happens to the first transactions with the switch, the last one first.
+    pub faults: Vec<SwitchFault>,
+    /// When the third controller of the new version started, and when the switch was
+    /// first on record.
+    pub all_new_at: Option<u64>,
+    pub stored_at: Option<u64>,
+    /// Terms that began under each version.
+    pub terms: Vec<ControllerVersion>,
 }
 
-/// The state service as the production version sees it: it knows of no later keys, and
-/// can't read later forms.
-pub struct ProductionView(pub store::Handle);
-
-impl State for ProductionView {
-    fn get(&self, key: &str) -> Result<Option<Item>, ReadError> {
-        let item = self.0.get(key)?;
-        Ok(item.filter(|_| key != FORMAT && !key.starts_with(VERSIONS)))
-    }
-
-    fn page(&self, prefix: &str, after: Option<&str>, limit: u32) -> Result<Page, ReadError> {
-        let mut page = self.0.page(prefix, after, limit)?;
-        if prefix == PIECES {
-            page.items.clear();
-            page.more = false;
-        }
-        for item in &mut page.items {
-            if !production_reads(&item.key, &item.value) {
-                item.value = serde_json::json!({ "cancelled": item.value["cancelled"] });
-            }
-        }
-        Ok(page)
-    }
-
-    fn txn(&self, t: &Txn) -> Outcome {
-        self.0.txn(t)
-    }
-
-    fn grant(&self, ttl_ms: u64) -> Result<u64, ReadError> {
-        self.0.grant(ttl_ms)
-    }
-
-    fn renew(&self, lease: u64) -> Result<bool, ReadError> {
-        self.0.renew(lease)
-    }
-
-    fn revoke(&self, lease: u64) {
-        self.0.revoke(lease)
+impl Versions {
+    pub(super) fn are_played(&self) -> bool {
+        !self.runs.is_empty()
     }
 }
 
 impl World {
-    /// All controllers begin in the production version; nothing has happened yet.
-    pub fn begin_in_production(&mut self) {
-        self.roll.active = true;
-        for ctl in &mut self.ctls {
-            ctl.version = Version::Production;
+    /// From now on the controllers' processes run these versions.
+    pub fn run_versions(&mut self, runs: &[ControllerVersion]) {
+        self.versions.runs = runs.to_vec();
+        self.versions.next = runs.to_vec();
+        self.versions.processes = (0..runs.len()).map(|i| self.process(i)).collect();
+        for i in 0..runs.len() {
+            self.at(0.0, Ev::Versions(VersionAct::Look(i)));
         }
     }
 
-    /// Records are written in the compact form from the beginning.
-    pub fn begin_compact(&mut self) {
-        let record = FormatRecord {
-            records: RecordFormat::Compact,
-            since: 0,
-        };
-        let value = serde_json::to_value(record).unwrap();
-        self.store.put(FORMAT, value);
-    }
-
-    pub fn all_current(&self) -> bool {
-        self.ctls.iter().all(|c| c.version == Version::Current)
+    /// The controller ends then, and is back with this version.
+    pub fn replace(&mut self, i: usize, at_s: f64, back_s: f64, version: ControllerVersion) {
+        self.at(at_s, Ev::Kill(i));
+        self.at(at_s, Ev::Versions(VersionAct::Run(i, version)));
+        self.at(at_s + back_s, Ev::Restart(i));
     }
 
-    /// The switch to compact records is on record.
-    pub fn is_switched(&self) -> bool {
-        self.store.peek(FORMAT).is_some()
+    fn process(&self, i: usize) -> Process {
+        let life = self.ctls[i].life;
+        let others = (0..self.ctls.len()).filter(|j| *j != i).map(label);
+        Process {
+            life,
+            table: VersionTable::new(label(i), others),
+            announcer: Announcer::new(self.store.of(i), label(i), Instance(life)),
+            announces_at: Some(self.now),
+            switch: None,
+        }
     }
 
-    /// The process ends, and comes back in the current version after so long.
-    pub fn replace(&mut self, in_s: f64, i: usize, back_s: f64) {
-        self.at(in_s, Ev::Kill(i));
-        self.at(in_s + back_s, Ev::Replace(i));
+    /// The process knows the switch; worlds without versions are of this one alone.
+    pub fn is_new(&self, i: usize) -> bool {
+        self.versions.runs.get(i).is_none_or(|v| *v == OWN)
     }
 
-    pub(super) fn knowledge(&self, i: usize, life: u64) -> Knowledge {
-        let others = (0..self.controllers).filter(|j| *j != i).map(label);
-        Knowledge {
-            versions: VersionTable::new(label(i), others),
-            announcer: Announcer::new(self.store.of(i), label(i), Instance(life)),
-            format: None,
+    /// Whether a follower takes that leader for one that understands this.
+    pub(super) fn leader_understands(
+        &self,
+        i: usize,
+        leader: usize,
+        needs: ControllerVersion,
+    ) -> bool {
+        match self.versions.processes.get(i) {
+            Some(p) if self.is_new(i) => p.table.understands(&label(leader), needs),
+            // An old one passes on whatever it knows no better.
+            _ => true,
         }
     }
 
-    /// What this controller takes a question for.
-    pub(super) fn as_understood(&self, i: usize, ask: Ask) -> Ask {
-        let Ask::Submit(body) = &ask else { return ask };
-        if self.ctls[i].version == Version::Current {
-            return ask;
-        }
-        let Ok(Value::Object(mut fields)) = serde_json::from_slice(body) else {
-            return ask;
-        };
-        match fields.remove(NEEDS) {
-            Some(_) => Ask::Submit(Value::Object(fields).to_string().into_bytes()),
-            None => ask,
+    pub(super) fn version_act(&mut self, act: VersionAct) {
+        match act {
+            VersionAct::Look(i) => {
+                self.look_at_versions(i);
+                self.at(LOOK_EVERY, Ev::Versions(VersionAct::Look(i)));
+            }
+            VersionAct::Run(i, version) => self.versions.next[i] = version,
+            VersionAct::CutPings(i, j, cut) => {
+                for pair in [(i, j), (j, i)] {
+                    match cut {
+                        true => self.versions.cut.insert(pair),
+                        false => self.versions.cut.remove(&pair),
+                    };
+                }
+            }
+            VersionAct::Apply(txn) => {
+                self.store.apply(&txn);
+            }
         }
     }
 
-    /// A process of the current version tells its version to the state service.
-    pub(super) fn announce(&mut self, i: usize, life: u64) {
-        let ctl = &mut self.ctls[i];
-        if !ctl.up || ctl.life != life || ctl.version != Version::Current {
+    fn look_at_versions(&mut self, i: usize) {
+        if !self.ctls[i].up {
             return;
         }
-        match ctl.knowledge.announcer.step() {
-            Some(record) => self.learn_format(i, record),
-            None => {
-                let pause = ctl.knowledge.announcer.pause().as_secs();
-                self.at(pause, Ev::Announce(i, life));
+        self.take_up_version(i);
+        let up = |j: usize| self.ctls[j].up && self.versions.processes[j].life == self.ctls[j].life;
+        let all_new = (0..self.ctls.len()).all(|j| up(j) && self.is_new(j));
+        if all_new && self.versions.all_new_at.is_none() {
+            self.versions.all_new_at = Some(self.now);
+        }
+        if self.store.peek(FORMAT).is_some() && self.versions.stored_at.is_none() {
+            self.versions.stored_at = Some(self.now);
+            if self.versions.all_new_at.is_none() {
+                self.broken
+                    .push("compact records before all controllers are new".into());
             }
         }
+        if self.is_new(i) && self.ctls[i].frozen_until <= self.now {
+            self.hear_versions(i);
+            self.announce(i);
+            self.switch_format(i);
+        }
     }
 
-    /// It hears the pings of the others, and as the leader works on the switch.
-    pub(super) fn version_tick(&mut self, i: usize) {
-        if !self.roll.active || self.ctls[i].version != Version::Current {
-            return;
+    /// A process that has just begun runs what it was to run.
+    pub(super) fn take_up_version(&mut self, i: usize) {
+        let life = self.versions.processes.get(i).map(|p| p.life);
+        if life.is_some_and(|life| life != self.ctls[i].life) {
+            self.versions.runs[i] = self.versions.next[i];
+            self.versions.processes[i] = self.process(i);
         }
-        let now = self.time();
-        for j in 0..self.ctls.len() {
-            if j == i || !self.in_touch(i, j) || self.ctls[j].frozen_until > self.now {
+    }
+
+    fn hear_versions(&mut self, i: usize) {
+        for j in (0..self.ctls.len()).filter(|j| *j != i) {
+            if !self.in_touch(i, j) || self.versions.cut.contains(&(i, j)) {
+                continue;
+            }
+            // A process that has just begun has said nothing yet.
+            let life = self.versions.processes[j].life;
+            if life != self.ctls[j].life {
                 continue;
             }
             let reported = ReportedVersion {
-                instance: Some(Instance(self.ctls[j].life)),
-                version: self.ctls[j].version.reported(),
-                at: now,
+                instance: Some(Instance(life)),
+                version: self.versions.runs[j],
+                at: self.time(),
             };
-            let versions = &mut self.ctls[i].knowledge.versions;
-            versions.record_ping(&label(j), reported);
+            let table = &mut self.versions.processes[i].table;
+            table.record_ping(&label(j), reported);
         }
-        self.work_on_switch(i);
     }
 
-    fn work_on_switch(&mut self, i: usize) {
-        let (now, wall) = (self.time(), self.wall());
-        let ctl = &mut self.ctls[i];
-        let Some(term) = ctl.term.as_mut().filter(|t| t.sched.may_start(now)) else {
+    fn announce(&mut self, i: usize) {
+        let now = self.now;
+        let process = &mut self.versions.processes[i];
+        if process.announces_at.is_none_or(|at| now < at) {
             return;
-        };
-        let versions = &ctl.knowledge.versions;
-        if let Some(step) = term.switch.next(now, wall, versions) {
-            let epoch = term.epoch;
-            let d = self.delay();
-            self.at(d, Ev::Switch(i, epoch, SwitchLeg::Step(step)));
-        }
-    }
-
-    pub(super) fn switch_leg(&mut self, i: usize, epoch: Epoch, leg: SwitchLeg) {
-        match leg {
-            SwitchLeg::Step(step) => {
-                let reply = make(&self.store.of(i), &step);
-                let lost = self.chaos.lose_txn_answer.max(self.chaos.lost_answer);
-                let lost = lost > 0.0 && self.rng.random_bool(lost);
-                let (d, reply) = match (reply, lost) {
-                    (Reply::Store(_), true) => (SWITCH_GIVES_UP_S, Reply::Store(Outcome::Unclear)),
-                    (reply, _) => (self.delay(), reply),
-                };
-                self.at(d, Ev::Switch(i, epoch, SwitchLeg::Reply(reply)));
-            }
-            SwitchLeg::Reply(reply) => self.switch_reply(i, epoch, reply),
         }
+        let found = process.announcer.step();
+        let pause = process.announcer.pause().0;
+        process.announces_at = found.is_none().then_some(now + pause);
     }
 
-    fn switch_reply(&mut self, i: usize, epoch: Epoch, reply: Reply) {
-        let now = self.time();
-        if !self.leads(i, epoch) {
+    fn switch_format(&mut self, i: usize) {
+        let (now, day) = (self.time(), self.wall());
+        let Some(term) = &self.ctls[i].term else {
             return;
-        }
-        let ctl = &mut self.ctls[i];
-        let Some(term) = &mut ctl.term else { return };
-        match term.switch.reply(now, reply, &mut ctl.knowledge.versions) {
+        };
+        let (epoch, proven) = (term.epoch, term.sched.may_start(now));
+        let process = &mut self.versions.processes[i];
+        let Some((_, switch)) = process.switch.as_mut().filter(|s| s.0 == epoch && proven) else {
+            return;
+        };
+        let Some(step) = switch.next(now, day, &process.table) else {
+            return;
+        };
+        let Some(reply) = self.make(i, step) else {
+            return;
+        };
+        let process = &mut self.versions.processes[i];
+        let Some((_, switch)) = &mut process.switch else {
+            return;
+        };
+        match switch.reply(now, reply, &mut process.table) {
             Decision::Nothing => {}
-            Decision::Compact(record) => self.learn_format(i, record),
+            Decision::Compact(record) => {
+                let term = self.ctls[i].term.as_mut().unwrap();
+                term.sched.set_format(record.records);
+                term.commit.set_format(record.records);
+            }
             Decision::Deposed => self.steps_down(i),
         }
     }
 
-    /// The switch is on record.
-    pub(super) fn learn_format(&mut self, i: usize, record: FormatRecord) {
-        let now = self.time();
-        let ctl = &mut self.ctls[i];
-        ctl.knowledge.format = Some(record);
-        ctl.knowledge.versions.record_format(now, JOB_CHAINS);
-        if let Some(term) = &mut ctl.term {
-            term.sched.set_format(record.records);
-            term.commit.set_format(record.records);
-        }
-    }
-
-    /// While a process of the production version may lead, it reads all records.
-    pub(super) fn check_readable(&mut self) {
-        if !self.roll.active || self.is_switched() {
-            return;
-        }
-        let unread = |(key, value): &(String, Value)| {
-            let of_jobs =
-                key.starts_with(hookworks::store::LIVE) || key.starts_with(hookworks::store::PARTS);
-            key.starts_with(PIECES) || of_jobs && !production_reads(key, value)
+    /// Makes a request; none if the leader is not there for its answer.
+    fn make(&mut self, i: usize, step: Step) -> Option<Reply> {
+        let state = self.store.of(i);
+        let txn = match step {
+            Step::ReadVersions => {
+                let page = state.page(VERSIONS, None, 200);
+                return Some(Reply::Versions(page.map(|p| p.items).map_err(|_| ())));
+            }
+            Step::ReadFormat => return Some(Reply::Format(state.get(FORMAT).map_err(|_| ()))),
+            Step::Store(txn) => txn,
+        };
+        assert!(txn.conditions.iter().any(|c| c.key == LEADER));
+        let outcome = match self.versions.faults.pop() {
+            None => state.apply(&txn),
+            Some(SwitchFault::AnswerLost) => {
+                state.apply(&txn);
+                Outcome::Unclear
+            }
+            Some(SwitchFault::Lost) => Outcome::Unclear,
+            Some(SwitchFault::Late(by)) => {
+                self.at(by as f64 / S as f64, Ev::Versions(VersionAct::Apply(txn)));
+                Outcome::Unclear
+            }
+            Some(SwitchFault::LeaderEnds) => {
+                state.apply(&txn);
+                self.at(0.0, Ev::Kill(i));
+                self.at(3.0, Ev::Restart(i));
+                return None;
+            }
+            Some(SwitchFault::Refused) => Outcome::NotDone,
         };
-        let unread: Vec<String> = self
-            .store
-            .all()
-            .into_iter()
-            .filter(|item| unread(item))
-            .map(|(key, _)| format!("unreadable: {key} while the production version may lead"))
-            .collect();
-        self.broken.extend(unread);
+        Some(Reply::Store(outcome))
     }
 
-    /// The form in which the leader writes, as far as it knows.
-    pub(super) fn format_of_term(&self, i: usize, found: Option<FormatRecord>) -> RecordFormat {
-        match self.ctls[i].version {
-            Version::Production => RecordFormat::Legacy,
-            Version::Current => found.map_or(RecordFormat::Legacy, |f| f.records),
+    /// A term begins; true if its leader takes what is on record of the form.
+    pub(super) fn note_term(&mut self, i: usize, epoch: Epoch, switch: Switch) -> bool {
+        self.take_up_version(i);
+        let new = self.is_new(i);
+        if let Some(process) = self.versions.processes.get_mut(i) {
+            process.switch = Some((epoch, switch));
+            self.versions.terms.push(self.versions.runs[i]);
         }
+        new
     }
-}
 
-fn make(state: &store::Handle, step: &Step) -> Reply {
-    match step {
-        Step::ReadVersions => {
-            let page = state.page(VERSIONS, None, 200);
-            Reply::Versions(page.map(|p| p.items).map_err(|_| ()))
-        }
-        Step::Store(txn) => Reply::Store(state.txn(txn)),
-        Step::ReadFormat => Reply::Format(state.get(FORMAT).map_err(|_| ())),
+    /// What controller `i` knows of the version of another.
+    pub fn known_version(&self, i: usize, of: usize) -> Option<ControllerVersion> {
+        let of: Label = label(of);
+        let known = self.versions.processes[i].table.version(&of);
+        known.map(|(version, _)| version)
     }
 }
-
-/// A process of the current version has just begun: it tells its version so much later.
-pub const ANNOUNCES_AFTER: Span = Span(20_000);
