--- a/tests/chain_histories.rs
+++ b/tests/chain_histories.rs
@@ -297,3 +297,94 @@
     assert!(done > 200, "hardly any job of a pipeline was done: {done}");
     assert!(cancelled > 40, "hardly any was cancelled: {cancelled}");
 }
+
+/// Fault put in: the leader is of the version in production, which ignores what a job
+/// needs, while users already submit pipelines.
+#[test]
+fn a_leader_that_ignores_needs_is_noticed() {
+    let noticed = |seed| {
+        let mut w = World::new(seed, 3);
+        (w.wealth, w.run_s) = (4.0, 6.0);
+        w.run_versions(&[OLD; 3]);
+        w.pipelines.before_all_new = true;
+        w.run(2.0);
+        w.pipeline_of(1.0, 0, Shape::Chain(4), |_, _| {});
+        w.run(60.0);
+        w.broken.iter().any(|b| b.starts_with("too_early"))
+    };
+    assert!((0..3).all(noticed));
+}
+
+/// A fan of two hundred jobs, or a chain of ten, is cancelled at its first job, with the
+/// limits of later in force; the leader ends, or the state service goes down for twenty
+/// seconds, right after the confirmation.
+#[test]
+fn all_that_needs_a_cancelled_job_is_cancelled_in_time() {
+    let mut cases = vec![];
+    for shape in [Shape::Fan(200), Shape::Chain(10)] {
+        for after in [Spell::None, Spell::LeaderEnds, Spell::Outage] {
+            cases.push((shape, after));
+        }
+    }
+    for (seed, (shape, after)) in cases.into_iter().enumerate() {
+        let w = cancelled_at_its_first(seed as u64, shape, after);
+        let faults = faults(&w);
+        assert!(faults.is_empty(), "{shape:?} {after:?} {faults:#?}");
+        let jobs = w.pipelines.jobs();
+        let cancelled = |id: &&JobId| w.told_over(id) == Some(JobState::Cancelled);
+        assert_eq!(jobs.iter().filter(cancelled).count(), jobs.len());
+        assert!(w.needs.longest_orphan < 25_000_000, "{shape:?} {after:?}");
+    }
+}
+
+/// What follows a confirmation.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Spell {
+    None,
+    LeaderEnds,
+    Outage,
+}
+
+fn cancelled_at_its_first(seed: u64, shape: Shape, after: Spell) -> World {
+    let mut w = World::new(seed, 3);
+    (w.wealth, w.run_s) = (4.0, 300.0);
+    w.begin_compact();
+    w.announced_limits = Some(LATER);
+    w.store.set_limits(LATER);
+    (w.pipelines.cancelled, w.pipelines.last_after_end) = (0.0, 0.0);
+    w.run(2.0);
+    let ids = w.pipeline_of(1.0, 0, shape, |_, _| {});
+    w.run(120.0);
+    let accepted = ids.iter().filter(|id| w.is_told_accepted(id)).count();
+    assert_eq!(
+        accepted,
+        ids.len(),
+        "not all are accepted after two minutes"
+    );
+    w.insists(0.0, Ask::Cancel(ids[0].to_string()));
+    while w.told_over(&ids[0]).is_none() {
+        w.run(0.005);
+    }
+    let leader = w.leader().expect("a leader");
+    match after {
+        Spell::None => {}
+        Spell::LeaderEnds => {
+            w.at(0.0, Ev::Kill(leader));
+            w.at(0.5, Ev::Restart(leader));
+        }
+        Spell::Outage => {
+            w.at(0.0, Ev::StoreDown(true));
+            w.at(20.0, Ev::StoreDown(false));
+        }
+    }
+    for k in 0..1200 {
+        let id = &ids[k % ids.len()];
+        w.at(
+            0.05 * k as f64,
+            Ev::UserVia(k % 3, Ask::Poll(id.to_string())),
+        );
+    }
+    w.run(60.0);
+    end_in_quiet(&mut w);
+    w
+}
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -87,6 +87,8 @@
     pub last_after_end: f64,
     /// Chance that the first job of a pipeline needs a job of another user as well.
     pub linked: f64,
+    /// A fault put in: users don't wait until all controllers are new.
+    pub before_all_new: bool,
 }
 
 impl Pipelines {
@@ -97,6 +99,7 @@
             cancelled: 0.1,
             last_after_end: 0.2,
             linked: 0.3,
+            before_all_new: false,
         }
     }
 
@@ -217,7 +220,7 @@
 
     fn send_next(&mut self, pipeline: &mut Pipeline) {
         // Nothing new is asked of the service before all controllers are new.
-        if !self.all_new() {
+        if !self.all_new() && !self.pipelines.before_all_new {
             return;
         }
         let mut sent = 0;
--- a/tests/world/versions.rs
+++ b/tests/world/versions.rs
@@ -159,7 +159,8 @@
         }
         if self.store.peek(FORMAT).is_some() && self.versions.stored_at.is_none() {
             self.versions.stored_at = Some(self.now);
-            if self.versions.all_new_at.is_none() {
+            // A process of this version that has ended comes back in it.
+            if !self.all_new() {
                 self.broken
                     .push("compact records before all controllers are new".into());
             }
