--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -5,19 +5,26 @@
 //! that of each record it changes, so what arrives late or from a leader that
 //! is none any more fails.
 
+mod counts;
+mod draft;
+mod outcomes;
+mod records;
+mod set_aside;
+
+pub use counts::ChangeCounts;
+
 use super::budget::Budget;
-use super::client::Outcome;
 use super::format::RecordFormat;
 use super::limits::{LimitsInForce, TxnSize};
-use super::pieces::{self, RecordRoom, piece_key};
-use super::{FENCES, LEADER, final_key, part_key};
+use super::{FENCES, LEADER};
 use crate::ids::{JobId, Stamp, TxnId};
-use crate::sched::job::{Final, Job};
-use crate::sched::{Dirty, Event, Key, Purpose, Sched};
+use crate::sched::{Dirty, Purpose, Sched};
 use crate::settings::{LimitValues, StateLimits};
-use crate::time::{Span, Time};
-use crate::wire::state::{Change, Condition, Item, Txn};
+use crate::time::Time;
+use crate::wire::state::Txn;
+use draft::{Draft, KeyWrite, SizedChange, What, Work};
 use serde_json::Value;
+use set_aside::SetAside;
 use std::collections::{HashMap, HashSet};
 
 /// Transactions under way at a time, and with those that somebody waits for:
@@ -26,18 +33,6 @@
 const LANES_NOW: usize = 6;
 /// Share of the write budget that must be left for litter to be swept.
 const LITTER_RESERVE: f64 = 0.4;
-/// Room left in a transaction of 64 KiB.
-const MAX_BYTES: usize = 56 * 1024;
-
-/// A record that the limits don't hold is tried again after so long at first, and at
-/// the most.
-const SET_ASIDE: Span = Span(5_000_000);
-const SET_ASIDE_MOST: Span = Span(60_000_000);
-/// After a refusal, and after one of the rate.
-const REST: Span = Span(250_000);
-const REST_OF_RATE: Span = Span(100_000);
-/// Who waits for a write is told to come again once changes were refused for so long.
-const REFUSED_FOR: Span = Span(1_000_000);
 /// Shares of the service's limits: what is left is for elections, reads and the
 /// other controllers.
 const WRITES_SHARE: f64 = 0.9;
@@ -47,110 +42,6 @@
 const LEAST_BURST: f64 = 4.0;
 const REQUESTS_SHARE: f64 = 0.6;
 const REQUESTS_BURST: f64 = 0.3;
-/// How often the changes by purpose go to the log.
-const SUM_UP_EVERY: Span = Span(10_000_000);
-
-struct Work {
-    job: JobId,
-    purpose: Purpose,
-    /// The part and its version, or the end of the job.
-    what: What,
-    keys: Vec<KeyWrite>,
-}
-
-/// A key that a transaction changes, or only looks at.
-struct KeyWrite {
-    key: String,
-    put: bool,
-}
-
-enum What {
-    Part(usize, u64),
-    End,
-    /// The record of fenced zones, which belongs to no job.
-    Fences(u64),
-}
-
-/// A change, and the bytes that its value takes.
-struct SizedChange {
-    change: Change,
-    value_bytes: usize,
-}
-
-impl SizedChange {
-    fn put(key: String, value: Value) -> SizedChange {
-        SizedChange {
-            value_bytes: value.to_string().len(),
-            change: Change::Put {
-                key,
-                value,
-                lease: None,
-            },
-        }
-    }
-
-    fn delete(key: String) -> SizedChange {
-        SizedChange {
-            value_bytes: 0,
-            change: Change::Delete { key },
-        }
-    }
-
-    /// What it takes of a transaction, with its condition.
-    fn bytes(&self) -> usize {
-        self.change.key().len() * 2 + 80 + self.value_bytes
-    }
-}
-
-/// A transaction that is being put together.
-struct Draft {
-    txn: Txn,
-    works: Vec<Work>,
-    bytes: usize,
-    most: usize,
-    size: TxnSize,
-}
-
-impl Draft {
-    fn new(most: usize) -> Draft {
-        Draft {
-            txn: Txn::default(),
-            works: vec![],
-            bytes: 0,
-            most,
-            size: TxnSize::default(),
-        }
-    }
-
-    fn changes(&self) -> usize {
-        self.txn.changes.len()
-    }
-
-    fn has_room(&self, changes: &[SizedChange]) -> bool {
-        let bytes: usize = changes.iter().map(SizedChange::bytes).sum();
-        self.changes() + changes.len() <= self.most && self.bytes + bytes <= MAX_BYTES
-    }
-
-    fn require(&mut self, key: String, stamp: Stamp) {
-        self.txn.conditions.push(Condition { key, stamp });
-    }
-
-    fn add(&mut self, change: SizedChange) {
-        self.bytes += change.bytes();
-        self.size.changes += 1;
-        self.size.largest_value = self.size.largest_value.max(change.value_bytes);
-        self.txn.changes.push(change.change);
-    }
-
-    fn has_end_of(&self, job: &JobId) -> bool {
-        let ends = |w: &Work| w.job == *job && matches!(w.what, What::End);
-        self.works.iter().any(ends)
-    }
-
-    fn has_job(&self, job: &JobId) -> bool {
-        self.works.iter().any(|w| w.job == *job)
-    }
-}
 
 /// What became of an entry of the queue.
 enum Taken {
@@ -164,43 +55,11 @@
     TooLarge,
 }
 
-/// A record that the limits don't hold, and when it is tried again.
-struct SetAside {
-    due: Time,
-    backoff: Span,
-    purpose: Purpose,
-    /// It is being tried.
-    queued: bool,
-}
-
 struct Sent {
     works: Vec<Work>,
     size: TxnSize,
 }
 
-/// Changes that were sent, by what they were for.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct ChangeCounts {
-    pub now: u64,
-    pub start: u64,
-    pub end: u64,
-    pub progress: u64,
-    pub garbage: u64,
-    pub fences: u64,
-}
-
-impl ChangeCounts {
-    fn note(&mut self, purpose: Purpose, changes: usize) {
-        let count = match purpose {
-            Purpose::Now => &mut self.now,
-            Purpose::Start => &mut self.start,
-            Purpose::End => &mut self.end,
-            Purpose::Progress => &mut self.progress,
-        };
-        *count += changes as u64;
-    }
-}
-
 pub struct Committer {
     leader: Stamp,
     limits: LimitsInForce,
@@ -270,13 +129,6 @@
         }
     }
 
-    /// What was too large may fit now.
-    fn retry_set_aside(&mut self) {
-        for aside in self.set_aside.values_mut() {
-            aside.due = Time::default();
-        }
-    }
-
     /// Records found when the leader loaded its state.
     pub fn know(&mut self, key: String, stamp: Stamp) {
         self.stamps.insert(key, stamp);
@@ -337,58 +189,6 @@
         self.stamps.get(key).copied().unwrap_or_default()
     }
 
-    /// The values of a part's record.
-    fn values(&self, job: &Job, part: usize) -> Vec<Value> {
-        if self.format == RecordFormat::Legacy {
-            return vec![job.encode(part)];
-        }
-        let room = self.record_room();
-        pieces::split(job.encode_compact(part, room), room.value_bytes)
-    }
-
-    fn record_room(&self) -> RecordRoom {
-        RecordRoom {
-            value_bytes: self.limits.value_bytes(),
-            values: self
-                .limits
-                .values()
-                .txn_ops
-                .min(self.writes.burst() as usize),
-        }
-    }
-
-    fn part_write(&self, job: &Job, part: usize) -> (What, Vec<KeyWrite>, Vec<SizedChange>) {
-        let values = self.values(job, part);
-        let keys: Vec<String> = pieces::keys(job.id(), part, values.len()).collect();
-        let puts = keys.iter().cloned().zip(values);
-        let puts = puts.map(|(key, value)| SizedChange::put(key, value));
-        let puts = puts.collect();
-        let keys = keys.into_iter().map(|key| KeyWrite { key, put: true });
-        (What::Part(part, job.parts[part].ver), keys.collect(), puts)
-    }
-
-    fn end_write(&self, job: &Job, end: Final) -> (What, Vec<KeyWrite>, Vec<SizedChange>) {
-        let key = final_key(job.id());
-        let mut change = SizedChange::put(key.clone(), job.final_record(end));
-        if change.value_bytes > self.limits.value_bytes() {
-            // Its state must be kept, whatever its names are.
-            let state = serde_json::to_value(end).unwrap_or_default();
-            change = SizedChange::put(key.clone(), state);
-        }
-        let mut changes = vec![change];
-        let first = part_key(job.id(), 0);
-        // The first record names the job; the others are litter without it.
-        if self.stamps.contains_key(&first) {
-            changes.push(SizedChange::delete(first.clone()));
-        }
-        // As far as we know it was never stored, otherwise. Its first write may
-        // have been carried out all the same, without an answer: left there, the
-        // next leader would find the job as it was at first.
-        let keys = [(key, true), (first, false)];
-        let keys = keys.map(|(key, put)| KeyWrite { key, put });
-        (What::End, keys.into(), changes)
-    }
-
     /// The next transaction to send, if any may be sent now.
     pub fn next(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
         self.sum_up(now);
@@ -504,18 +304,6 @@
         Taken::Yes
     }
 
-    fn require(&self, draft: &mut Draft, job: &JobId, what: &What, keys: &[KeyWrite]) {
-        for k in keys {
-            draft.require(k.key.clone(), self.stamp(&k.key));
-        }
-        if let What::Part(0, _) = what
-            && self.stamp(&keys[0].key) == Stamp(0)
-        {
-            // A new job: unless it is over already.
-            draft.require(final_key(job), Stamp(0));
-        }
-    }
-
     /// A little at a time along with the rest, and never what others wait for:
     /// the 300 records of one job once took all changes there were for 15 s.
     fn sweep_some(&mut self, now: Time, draft: &mut Draft) {
@@ -537,40 +325,6 @@
         }
     }
 
-    /// The limits don't hold this record: the others go on without it.
-    fn put_aside(&mut self, now: Time, sched: &mut Sched, of: (JobId, usize), purpose: Purpose) {
-        sched.not_stored(&of.0);
-        if !self.set_aside.contains_key(&of) {
-            let (job, part) = &of;
-            let format = self.format;
-            tracing::error!(%job, part, ?format, "a record is too large for the limits in force");
-        }
-        let aside = self.set_aside.entry(of).or_insert(SetAside {
-            due: now,
-            backoff: SET_ASIDE,
-            purpose,
-            queued: false,
-        });
-        aside.due = now + aside.backoff;
-        aside.backoff = SET_ASIDE_MOST.min(Span(aside.backoff.0 * 2));
-        aside.purpose = aside.purpose.min(purpose);
-        aside.queued = false;
-    }
-
-    /// What was set aside is tried again.
-    fn queue_set_aside(&mut self, now: Time, sched: &mut Sched) {
-        self.set_aside.retain(|(job, part), aside| {
-            let Some(j) = sched.jobs.get_mut(job) else {
-                return false;
-            };
-            if !aside.queued && aside.due <= now {
-                aside.queued = true;
-                j.queue(*part, &mut sched.dirty, aside.purpose);
-            }
-            true
-        });
-    }
-
     fn send(&mut self, now: Time, mut draft: Draft) -> (TxnId, Txn) {
         draft.require(LEADER.into(), self.leader);
         self.writes.take(now, draft.changes() as f64);
@@ -598,28 +352,6 @@
         self.requests.change_to(now, requests);
     }
 
-    fn sum_up(&mut self, now: Time) {
-        let (at, before) = self.summed_up;
-        if now - at < SUM_UP_EVERY {
-            return;
-        }
-        self.summed_up = (now, self.sent);
-        let s = self.sent;
-        if s != before {
-            tracing::info!(
-                now = s.now - before.now,
-                start = s.start - before.start,
-                end = s.end - before.end,
-                progress = s.progress - before.progress,
-                garbage = s.garbage - before.garbage,
-                fences = s.fences - before.fences,
-                write_rps = self.limits.values().write_rps,
-                set_aside = self.set_aside.len(),
-                "changes by purpose"
-            );
-        }
-    }
-
     /// The record of fenced zones goes first: workers wait for it. It takes its
     /// turns like a job's record, under a name that no job has.
     fn fences(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
@@ -645,219 +377,6 @@
         });
         Some(self.send(now, draft))
     }
-
-    fn requeue(&mut self, sched: &mut Sched, works: Vec<Work>) {
-        for w in works.into_iter().rev() {
-            self.busy.remove(&w.job);
-            Self::queue_again(sched, w);
-        }
-    }
-
-    /// A transaction with these has certainly not been carried out.
-    fn not_carried_out(sched: &mut Sched, works: &[Work]) {
-        for w in works.iter().filter(|w| matches!(w.what, What::End)) {
-            sched.final_write_failed(&w.job);
-        }
-    }
-
-    fn queue_again(sched: &mut Sched, w: Work) {
-        let part = match w.what {
-            What::Part(p, _) => p,
-            What::End => 0,
-            What::Fences(_) => return sched.fences_again(),
-        };
-        if let Some(j) = sched.jobs.get_mut(&w.job) {
-            j.queue(part, &mut sched.dirty, w.purpose);
-        }
-    }
-
-    /// What became of a transaction.
-    pub fn finished(
-        &mut self,
-        now: Time,
-        id: TxnId,
-        outcome: Outcome,
-        sched: &mut Sched,
-    ) -> (Vec<Event>, Vec<Step>) {
-        let Some(sent) = self.under_way.remove(&id) else {
-            return (vec![], vec![]);
-        };
-        if outcome != Outcome::TooMany {
-            self.refused_since = None;
-        }
-        let events = match outcome {
-            Outcome::Ok(stamp) => self.carried_out(sent.works, stamp, sched),
-            Outcome::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
-                return (vec![], vec![Step::Deposed]);
-            }
-            Outcome::Conflict(failed) => {
-                return (vec![], self.conflict(sent.works, &failed, sched));
-            }
-            Outcome::NotDone | Outcome::NoLease => self.refused(now, sent.works, sched),
-            Outcome::TooLarge => self.too_large(now, sent, sched),
-            Outcome::TooMany => self.too_many(now, sent.works, sched),
-            Outcome::Unclear => {
-                self.rest_until = now + REST_OF_RATE;
-                self.requeue(sched, sent.works);
-                vec![]
-            }
-        };
-        (events, vec![])
-    }
-
-    fn carried_out(&mut self, works: Vec<Work>, stamp: Stamp, sched: &Sched) -> Vec<Event> {
-        let mut events = vec![];
-        for w in works {
-            self.busy.remove(&w.job);
-            for k in w.keys {
-                if k.put && !matches!(w.what, What::End) {
-                    self.stamps.insert(k.key, stamp);
-                } else {
-                    self.stamps.remove(&k.key);
-                }
-            }
-            events.push(match w.what {
-                What::Part(p, ver) => Event::Stored(Key::Part(w.job, p), ver),
-                What::Fences(ver) => Event::Stored(Key::Fences, ver),
-                What::End => {
-                    self.sweep(sched, &w.job);
-                    Event::Stored(Key::Final(w.job), 0)
-                }
-            });
-        }
-        events
-    }
-
-    /// Ours alone may write here, so these are earlier writes of our own whose
-    /// answers were lost: read back, then go on from there.
-    fn conflict(&mut self, works: Vec<Work>, failed: &[String], sched: &mut Sched) -> Vec<Step> {
-        Self::not_carried_out(sched, &works);
-        let mut steps = vec![];
-        let (hit, fine): (Vec<Work>, Vec<Work>) = works.into_iter().partition(|w| {
-            let end = final_key(&w.job);
-            let of_job = |k: &String| *k == end || w.keys.iter().any(|x| x.key == *k);
-            failed.iter().any(of_job)
-        });
-        self.requeue(sched, fine);
-        for w in hit {
-            let mut keys: Vec<String> = w.keys.iter().map(|k| k.key.clone()).collect();
-            keys.push(final_key(&w.job));
-            keys.dedup();
-            for k in keys.into_iter().filter(|k| failed.contains(k)) {
-                self.reading.insert(k.clone(), w.job.clone());
-                steps.push(Step::Read(k));
-            }
-            Self::queue_again(sched, w);
-        }
-        steps
-    }
-
-    /// Nothing is carried out at the moment.
-    fn refused(&mut self, now: Time, works: Vec<Work>, sched: &mut Sched) -> Vec<Event> {
-        self.rest_until = now + REST;
-        Self::not_carried_out(sched, &works);
-        // Whoever waits for these is told at once to come again.
-        let events = works.iter().map(|w| Event::NotStored(w.job.clone()));
-        let events = events.collect();
-        self.requeue(sched, works);
-        events
-    }
-
-    /// It is sent again in smaller transactions and values, if that may help.
-    fn too_large(&mut self, now: Time, sent: Sent, sched: &mut Sched) -> Vec<Event> {
-        if self.limits.refused_size(sent.size) {
-            self.set_budgets(now);
-            Self::not_carried_out(sched, &sent.works);
-            self.requeue(sched, sent.works);
-            return vec![];
-        }
-        if sent.works.len() > 1 {
-            // One of them is at fault.
-            self.singly = sent.works.len();
-            Self::not_carried_out(sched, &sent.works);
-            self.requeue(sched, sent.works);
-            return vec![];
-        }
-        Self::not_carried_out(sched, &sent.works);
-        for w in sent.works {
-            self.busy.remove(&w.job);
-            match w.what {
-                What::Part(part, _) => self.put_aside(now, sched, (w.job, part), w.purpose),
-                What::End => self.put_aside(now, sched, (w.job, 0), w.purpose),
-                What::Fences(_) => {
-                    self.rest_until = now + REST;
-                    sched.fences_again();
-                }
-            }
-        }
-        vec![]
-    }
-
-    /// Who waits for these need not ask again: they are sent in a moment.
-    fn too_many(&mut self, now: Time, works: Vec<Work>, sched: &mut Sched) -> Vec<Event> {
-        let since = *self.refused_since.get_or_insert(now);
-        if self.limits.refused_rate(now) {
-            self.set_budgets(now);
-        }
-        self.writes.empty(now);
-        if now - since > REFUSED_FOR {
-            return self.refused(now, works, sched);
-        }
-        self.rest_until = now + REST_OF_RATE;
-        Self::not_carried_out(sched, &works);
-        self.requeue(sched, works);
-        vec![]
-    }
-
-    /// Parts of a finished job that did not fit into its last transaction.
-    fn sweep(&mut self, sched: &Sched, job: &JobId) {
-        let parts = sched.jobs.get(job).map_or(0, |j| j.parts.len());
-        for part in 0..parts {
-            let pieces = (1..).map(|n| piece_key(job, part, n));
-            let stored = pieces.take_while(|k| self.stamps.contains_key(k));
-            let keys: Vec<String> = stored.chain([part_key(job, part)]).collect();
-            for key in keys {
-                if let Some(stamp) = self.stamps.remove(&key) {
-                    self.litter.push((key, stamp));
-                }
-            }
-        }
-    }
-
-    /// A key that was read back; `Err` makes it be read again.
-    pub fn read_back(
-        &mut self,
-        key: String,
-        r: Result<Option<Item>, ()>,
-        sched: &mut Sched,
-    ) -> (Vec<Event>, Vec<Step>) {
-        let Ok(item) = r else {
-            return (vec![], vec![Step::Read(key)]);
-        };
-        let Some(job) = self.reading.remove(&key) else {
-            return (vec![], vec![]);
-        };
-        let mut events = vec![];
-        let is_final = key == final_key(&job);
-        match item {
-            Some(i) if is_final => {
-                if let Ok(f) = serde_json::from_value::<Final>(i.value) {
-                    self.sweep(sched, &job);
-                    events.push(Event::AlreadyFinal(job.clone(), f));
-                }
-            }
-            Some(i) => {
-                self.stamps.insert(key, i.stamp);
-            }
-            None => {
-                self.stamps.remove(&key);
-            }
-        }
-        if !self.reading.values().any(|j| *j == job) {
-            self.busy.remove(&job);
-        }
-        (events, vec![])
-    }
 }
 
 /// The budgets of changes and of requests under these limits.
