--- a/tests/chain_histories.rs
+++ b/tests/chain_histories.rs
@@ -3,6 +3,7 @@
 //! limits without notice, and controllers are replaced by a new version; the rules
 //! hold in all.
 
+mod troubles;
 mod world;
 
 use hookworks::ids::*;
@@ -10,7 +11,9 @@
 use hookworks::wire::peer::Ask;
 use hookworks::wire::user::{JobSpec, JobState, Priority};
 use rand::RngExt;
-use world::pipelines::Shape;
+use troubles::{TROUBLES, Trouble, near, strike};
+use world::handover::Conditions;
+use world::pipelines::{Shape, submission};
 use world::store::{Limits, Why};
 use world::versions::OLD;
 use world::{Chaos, Ev, World, job};
@@ -74,7 +77,7 @@
         roll(&mut w);
     }
     submit_pipelines(&mut w, story);
-    strike(&mut w);
+    strike_often(&mut w);
     let falls = w.rng.random_range(15.0..STORM_S);
     w.at(falls, Ev::StateLimits(LATER));
     w.run(STORM_S);
@@ -144,7 +147,7 @@
 }
 
 /// Leaders change, the state service is down or refuses one, a zone is cut off.
-fn strike(w: &mut World) {
+fn strike_often(w: &mut World) {
     for _ in 0..4 {
         let (at, i) = (w.rng.random_range(5.0..STORM_S), w.rng.random_range(0..3));
         let back = pick(w, &[0.3, 0.9, 6.0]);
@@ -179,6 +182,7 @@
 /// The storm is over; users go on until all they have submitted has ended.
 fn end_in_quiet(w: &mut World) {
     w.chaos = Chaos::default();
+    w.set(Conditions::default());
     w.questions.held = 0.0;
     w.all_quiet();
     for i in 0..3 {
@@ -264,17 +268,6 @@
             let all = w.pipelines.jobs().into_iter();
             all.filter(|id| w.told_over(id) == Some(state)).count()
         };
-        if std::env::var("CHAIN_FIGURES").is_ok() {
-            let all = w.store.refusals();
-            let large = all.iter().filter(|r| r.why == Why::TooLarge).count();
-            let (jobs, done) = (w.pipelines.jobs().len(), ended(JobState::Done));
-            let late = w.needs.longest_orphan / 1000;
-            let many = all.len() - large;
-            eprintln!(
-                "{seed}: {done} of {jobs} done, {large} large, {many} many, orphan {late} ms, changes {:?}",
-                w.handover.changes.len()
-            );
-        }
         done += ended(JobState::Done);
         cancelled += ended(JobState::Cancelled);
     }
@@ -388,3 +381,160 @@
     end_in_quiet(&mut w);
     w
 }
+
+/// What happens to jobs that need others, to the state service or to a controller, at
+/// the moment of a trouble.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum News {
+    NeededEnds,
+    NeededCancelled,
+    /// A job is submitted about when one that it needs ends.
+    SubmittedLate,
+    /// The same, and that one is cancelled then.
+    SubmittedAfterCancel,
+    LimitsFall,
+    /// The last controller of the version in production is replaced.
+    LastReplaced,
+}
+
+const NEWS: [News; 6] = [
+    News::NeededEnds,
+    News::NeededCancelled,
+    News::SubmittedLate,
+    News::SubmittedAfterCancel,
+    News::LimitsFall,
+    News::LastReplaced,
+];
+
+/// A small fleet with a chain, a fan and an array, one piece of news and one trouble
+/// that begins near it, and then quiet.
+fn meeting(seed: u64, news: News, trouble: Trouble) -> World {
+    let mut w = World::new(seed, 3);
+    (w.wealth, w.capacity) = (4.0, 2);
+    w.run_s = pick(&mut w, &[2.0, 9.0, 25.0]);
+    match news {
+        News::LastReplaced => w.run_versions(&[OLD; 3]),
+        _ => w.begin_compact(),
+    }
+    w.store.set_limits(AT_FIRST);
+    if w.rng.random_bool(0.5) {
+        w.announced_limits = Some(LATER);
+    }
+    (w.pipelines.cancelled, w.pipelines.linked) = (0.0, 0.0);
+    w.run(2.0);
+    w.submit(job(900, 20));
+    w.run(16.0);
+    let tasks = w.rng.random_range(1..4);
+    let like = move |stage: usize, j: &mut JobSpec| {
+        j.tasks = 1 + (tasks + stage as u32) % 3;
+        j.team = ["red", "blue"][stage % 2].into();
+    };
+    let chain = w.pipeline_of(0.0, 0, Shape::Chain(4), like);
+    w.pipeline_of(0.5, 100, Shape::Fan(3), like);
+    let at = announce(&mut w, news, &chain);
+    let at = match w.rng.random_bool(0.5) {
+        true => at + w.rng.random_range(-0.6..0.6),
+        false => at - near(&mut w),
+    };
+    strike(&mut w, trouble, at.max(0.0));
+    let many = trouble == Trouble::TenLeaders;
+    w.run(at.max(0.0) + if many { 130.0 } else { 95.0 });
+    end_in_quiet(&mut w);
+    w
+}
+
+/// Prepares the news, and returns in how many seconds it comes.
+fn announce(w: &mut World, news: News, chain: &[JobId]) -> f64 {
+    let needed = chain[w.rng.random_range(0..3)].clone();
+    if news == News::LastReplaced {
+        let last = w.leader().filter(|_| w.rng.random_bool(0.6)).unwrap_or(0);
+        for turn in 1..3 {
+            w.replace((last + turn) % 3, 2.0 * turn as f64, 0.5, OWN);
+        }
+        let back_s = pick(w, &[0.3, 1.0, 6.0]);
+        w.replace(last, 12.0, back_s, OWN);
+        return 12.0 + back_s;
+    }
+    for _ in 0..600 {
+        if !w.hosts_of(&needed).is_empty() {
+            break;
+        }
+        w.run(0.1);
+    }
+    // What runs ends then, or about then.
+    let ends = w.run_s + 0.5;
+    let any = w.rng.random_range(0.0..ends);
+    match news {
+        News::NeededEnds => ends,
+        News::NeededCancelled => {
+            w.insists(any, Ask::Cancel(needed.to_string()));
+            any
+        }
+        News::SubmittedLate => {
+            let at = ends + w.rng.random_range(-1.0..4.0);
+            submit_needing(w, at, needed);
+            at
+        }
+        News::SubmittedAfterCancel => {
+            w.insists(any, Ask::Cancel(needed.to_string()));
+            let at = any + w.rng.random_range(-0.1..3.0);
+            submit_needing(w, at.max(0.0), needed);
+            at
+        }
+        News::LimitsFall => {
+            w.at(any, Ev::StateLimits(LATER));
+            any
+        }
+        News::LastReplaced => unreachable!("above"),
+    }
+}
+
+/// A user submits a job that needs this one, by way of any controller.
+fn submit_needing(w: &mut World, in_s: f64, needed: JobId) {
+    let spec = job(500, 2);
+    let body = submission(&spec, &[needed].into());
+    w.specs
+        .insert(spec.id.clone(), JobSpec::parse(&body).unwrap());
+    for k in 0..8 {
+        w.at(
+            in_s + 2.0 * k as f64,
+            Ev::UserVia(k % 3, Ask::Submit(body.clone())),
+        );
+    }
+}
+
+/// Each piece of news meets each trouble; `CHAIN_MEETINGS` asks for more rounds.
+#[test]
+fn rules_hold_where_news_of_chains_meets_a_trouble() {
+    let rounds = std::env::var("CHAIN_MEETINGS").ok();
+    let rounds = rounds.and_then(|n| n.parse().ok()).unwrap_or(1);
+    let from = seeds(0).start;
+    let mut wrong = vec![];
+    let (mut done, mut cancelled) = (0, 0);
+    for round in from..from + rounds {
+        let pairs = NEWS
+            .iter()
+            .flat_map(|n| TROUBLES.iter().map(move |t| (*n, *t)));
+        for (k, (news, trouble)) in pairs.enumerate() {
+            let seed = 1000 * round + k as u64;
+            let w = meeting(seed, news, trouble);
+            let faults = faults(&w);
+            if !faults.is_empty() {
+                let text = format!("seed {seed} {news:?} {trouble:?}: {faults:#?}");
+                eprintln!("{text}");
+                wrong.push(text);
+            }
+            let jobs = w.pipelines.jobs();
+            let ended = |state| {
+                jobs.iter()
+                    .filter(|id| w.told_over(id) == Some(state))
+                    .count()
+            };
+            done += ended(JobState::Done);
+            cancelled += ended(JobState::Cancelled);
+        }
+    }
+    assert!(wrong.is_empty(), "{} meetings are wrong", wrong.len());
+    assert!(done > 700, "hardly any job of a pipeline was done: {done}");
+    assert!(cancelled > 60, "hardly any was cancelled: {cancelled}");
+}
