--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -16,6 +16,9 @@
 pub mod links;
 pub mod lost_answers;
 mod machines;
+pub mod needs;
+mod old_version;
+pub mod pipelines;
 mod rules;
 mod steps;
 pub mod store;
@@ -113,6 +116,10 @@
     Question(usize, ReqId, followers::Leg),
     /// The next election is carried out at once, without an answer.
     LostElection,
+    /// The user of this pipeline looks at what it may send next.
+    Pipeline(usize),
+    /// From now on the state service takes no more than this.
+    StateLimits(store::Limits),
     Versions(versions::VersionAct),
 }
 
@@ -209,6 +216,10 @@
     pub done_tasks: BTreeSet<TaskId>,
     pub submissions: submissions::Submissions,
     pub handover: handover::HandOver,
+    pub needs: needs::Needs,
+    pub pipelines: pipelines::Pipelines,
+    /// Limits that the settings announce for later, if they do.
+    pub announced_limits: Option<store::Limits>,
     pub versions: versions::Versions,
     pub effect_log: effect_log::EffectLog,
 }
@@ -283,6 +294,9 @@
             done_tasks: BTreeSet::new(),
             submissions: submissions::Submissions::default(),
             handover: Default::default(),
+            needs: Default::default(),
+            pipelines: pipelines::Pipelines::new(seed),
+            announced_limits: None,
             versions: Default::default(),
             effect_log: Default::default(),
         };
@@ -427,6 +441,8 @@
                         let wrong = t.sched.audit();
                         self.broken.extend(wrong);
                     }
+                    self.check_places_wait(i);
+                    self.check_readable();
                 }
                 self.at(0.25, Ev::Tick(i));
             }
@@ -596,6 +612,8 @@
             Ev::Chances(c) => self.chaos = c,
             Ev::OddRequests(until) => self.odd_requests(until),
             Ev::HandOver(a) => self.act(a),
+            Ev::Pipeline(n) => self.pipeline(n),
+            Ev::StateLimits(limits) => self.store.set_limits(limits),
             Ev::Versions(a) => self.version_act(a),
             Ev::LateElection(i, by_s) => self.store.of(i).delay_next((by_s * 1e6) as u64),
         }
--- a/tests/world/versions.rs
+++ b/tests/world/versions.rs
@@ -71,6 +71,12 @@
     pub terms: Vec<ControllerVersion>,
 }
 
+impl Versions {
+    pub(super) fn are_played(&self) -> bool {
+        !self.runs.is_empty()
+    }
+}
+
 impl World {
     /// From now on the controllers' processes run these versions.
     pub fn run_versions(&mut self, runs: &[ControllerVersion]) {
@@ -102,7 +108,7 @@
     }
 
     /// The process knows the switch; worlds without versions are of this one alone.
-    pub(super) fn is_new(&self, i: usize) -> bool {
+    pub fn is_new(&self, i: usize) -> bool {
         self.versions.runs.get(i).is_none_or(|v| *v == OWN)
     }
 
@@ -153,7 +159,8 @@
         }
         if self.store.peek(FORMAT).is_some() && self.versions.stored_at.is_none() {
             self.versions.stored_at = Some(self.now);
-            if self.versions.all_new_at.is_none() {
+            // A process of this version that has ended comes back in it.
+            if !self.all_new() {
                 self.broken
                     .push("compact records before all controllers are new".into());
             }
@@ -166,7 +173,7 @@
     }
 
     /// A process that has just begun runs what it was to run.
-    fn take_up_version(&mut self, i: usize) {
+    pub(super) fn take_up_version(&mut self, i: usize) {
         let life = self.versions.processes.get(i).map(|p| p.life);
         if life.is_some_and(|life| life != self.ctls[i].life) {
             self.versions.runs[i] = self.versions.next[i];
