--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -364,10 +364,9 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        job.arrived = moment_of(h.at, now, wall);
-        job.ready = h
-            .ready_at
-            .map_or(job.arrived, |at| moment_of(at, now, wall));
+        job.arrived = steady_time(now, wall, Wall(h.at));
+        let ready = h.ready_at.map(|at| steady_time(now, wall, Wall(at)));
+        job.ready = ready.unwrap_or(job.arrived);
         job.ready_at = h.ready_at.map(Wall);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
@@ -399,11 +398,6 @@
     }
 }
 
-/// A past time of day as a moment of our clock.
-fn moment_of(at: u64, now: Time, wall: Wall) -> Time {
-    Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)))
-}
-
 /// Parts begin and end at whole words of the bit set.
 pub const LEAST_PART: u32 = 64;
 const MOST_PART: u32 = 512;
