--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -365,9 +365,8 @@
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
         job.arrived = steady_time(now, wall, Wall(h.at));
-        job.ready = h
-            .ready_at
-            .map_or(job.arrived, |at| steady_time(now, wall, Wall(at)));
+        let ready = h.ready_at.map(|at| steady_time(now, wall, Wall(at)));
+        job.ready = ready.unwrap_or(job.arrived);
         job.ready_at = h.ready_at.map(Wall);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
