--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,8 +2,6 @@
 //! is written while it may lead is what it reads, and the switch to compact records is
 //! made only once every controller is new.
 
-#[path = "upgrade/production.rs"]
-mod production;
 mod world;
 
 use hookworks::ids::*;
@@ -23,6 +21,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
+use world::old_version::production;
 use world::versions::{OLD, SwitchFault, VersionAct};
 use world::{Ev, World, job};
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -17,7 +17,7 @@
 pub mod lost_answers;
 mod machines;
 pub mod needs;
-mod old_version;
+pub mod old_version;
 pub mod pipelines;
 mod rules;
 mod steps;
--- a/tests/world/old_version.rs
+++ b/tests/world/old_version.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 #[path = "../upgrade/production.rs"]
-mod production;
+pub mod production;
 
 /// The version in production reads what stands under this key.
 fn production_reads(key: &str, value: &Value) -> bool {
