--- a/crates/http-server/src/acceptor.rs
+++ b/crates/http-server/src/acceptor.rs
@@ -18,17 +18,19 @@
 const MAX_ACCEPT_FAILURES: u32 = 20;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Connections that may wait to be accepted. Where these count as sockets of the
+/// process, more of them could take those that are set aside for its own calls.
+const BACKLOG: i32 = 512;
 
-/// Opens a listening socket. A whole wave of connections may wait to be accepted, as
-/// many as can be open; the system may allow fewer.
-pub(crate) fn listen(addr: SocketAddr, connections: usize) -> std::io::Result<TcpListener> {
+/// Opens a listening socket.
+pub(crate) fn listen(addr: SocketAddr) -> std::io::Result<TcpListener> {
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     // Accepted connections inherit this.
     socket.set_tcp_nodelay(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(i32::try_from(connections).unwrap_or(i32::MAX))?;
+    socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
@@ -89,8 +91,7 @@
     /// whatever it is, it may pass.
     fn reopen(&mut self) {
         let addr = self.addr;
-        let connections = self.shared.connections().bounds().connections;
-        match listen(addr, connections) {
+        match listen(addr) {
             Ok(listener) => {
                 self.reserve = listener.try_clone().ok();
                 self.listener = Some(listener);
--- a/crates/http-server/src/server.rs
+++ b/crates/http-server/src/server.rs
@@ -41,7 +41,7 @@
         timeouts: Timeouts,
         service: S,
     ) -> std::io::Result<Server<S>> {
-        let listener = listen(addr, bounds.connections)?;
+        let listener = listen(addr)?;
         let addr = listener.local_addr()?;
         let (queue, lingering) = lingering_close();
         let shared = Arc::new(Shared::new(service, bounds, timeouts, queue)?);
