--- a/crates/scale/src/bounds.rs
+++ b/crates/scale/src/bounds.rs
@@ -183,7 +183,7 @@
 /// What nothing was measured of; the page repeats it.
 pub(crate) const NOT_MEASURED: [&str; 15] = [
     "pipelines at the target's size; they were played with 200 and 400 workers only",
-    "slopes along starts and teams with the version whose slopes along workers these are",
+    "slopes along teams without a thread for each connection",
     "a steady state: in runs this short fewer jobs end than come, so final states at the state service are too few",
     "tasks of a job as an axis: the series have jobs of 20, and changes at the state service go with jobs, see the run with jobs of 10",
     "configuration: there is no way to change it while controllers run (missing)",
