--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -23,7 +23,7 @@
 const HOLD: usize = 320;
 /// Bytes that a started task takes in the compact form, most of the time; a started
 /// task at the most; and what such a record takes besides.
-const COMPACT_TASK: usize = 10;
+const COMPACT_TASK: usize = 5;
 const COMPACT_TASK_MOST: usize = 16;
 const COMPACT_BASE: usize = 320;
 /// The longest runtime that is kept, in seconds, and the most that the counts of a
@@ -108,6 +108,12 @@
     }
 }
 
+/// The moment of the steady clock at which the clock on the wall showed `at`; `now` and
+/// `wall` are what both show at present.
+fn steady_time(now: Time, wall: Wall, at: Wall) -> Time {
+    Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at.0)))
+}
+
 impl Job {
     fn legacy_part(&self, part: usize) -> PartRecord {
         let (from, to) = self.part_range(part);
@@ -345,6 +351,9 @@
         let mut value = self.header(StoredPart::Compact(text), holds.abbreviated(), 0);
         value["runtimes"] = vec![LONGEST_RUNTIME; RUNTIMES_KEPT].into();
         value["h"] = "x".repeat(COUNTS_MOST).into();
+        if !self.needs.is_empty() {
+            value["ready_at"] = u64::MAX.into();
+        }
         pieces::needed(&value.to_string(), value_bytes)
     }
 
@@ -355,9 +364,10 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        let time_of = |at: u64| Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)));
-        job.arrived = time_of(h.at);
-        job.ready = h.ready_at.map_or(job.arrived, time_of);
+        job.arrived = steady_time(now, wall, Wall(h.at));
+        job.ready = h
+            .ready_at
+            .map_or(job.arrived, |at| steady_time(now, wall, Wall(at)));
         job.ready_at = h.ready_at.map(Wall);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
