--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -21,11 +21,11 @@
 /// Where a request goes.
 #[derive(Debug, PartialEq)]
 pub enum Route {
-    /// To that leader, in that term.
+    /// To that leader, in that epoch.
     PassOn(Label, Epoch),
     /// No leader is in reach. A final state may be told by anyone who reads it.
     ReadFinal(JobId),
-    /// No leader is in reach for a worker's report.
+    /// No leader is in reach for a worker's heartbeat.
     NoLeaderForReport,
     Answer(Answer),
 }
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -1,4 +1,5 @@
-//! Who has to make room, in the cases that the protocol allows.
+//! Preemption: which running tasks are stopped for others, in the cases that the
+//! protocol allows.
 
 use super::allowed_zones::AllowedZones;
 use super::fleet::Short;
@@ -6,6 +7,7 @@
 use super::machine::Machine;
 use super::order::{Order, Rank};
 use super::place::{allowed, task_id};
+use super::spare::Spare;
 use super::{Room, Sched, estimate};
 use crate::ids::{Host, JobId, TaskIx, Zone};
 use crate::time::{Span, Time};
@@ -14,24 +16,24 @@
 
 /// Tasks stopped in one go; the next pass sees what came of it.
 const MAX_STOPS: usize = 12;
-/// Tasks looked at in one go, for all that claim room: with a thousand jobs short of
-/// room after a take-over, each of them looked at fifteen thousand.
-const MOST_LOOKED: u32 = 40_000;
+/// Tasks examined in one go, for all claims together.
+const MAX_EXAMINED: u32 = 40_000;
 /// A task that has run for this share of its estimate is let finish.
-const NEARLY_DONE: f64 = 0.85;
-
-/// Work that a task may lose to make room for what is not urgent.
-const CHEAP_S: f64 = 6.0;
-/// The same for borrowed room that its owner wants back.
-const BORROWED_S: f64 = 12.0;
+const NEARLY_DONE_SHARE: f64 = 0.85;
+/// Seconds of work that a task may lose to make room for what is not urgent.
+const MAX_CHEAP_LOSS_S: f64 = 6.0;
+/// The same for borrowed quota that its owner wants back.
+const MAX_BORROWED_LOSS_S: f64 = 12.0;
 /// A job that made room waits so long before it starts anything.
-const YIELD: Span = Span(1_000_000);
-/// A start that is undone sooner was in vain.
-const SETTLED_S: f64 = 31.0;
+const YIELD_BACKOFF: Span = Span(1_000_000);
+/// A start that is undone sooner did not count, in seconds.
+const SETTLED_AFTER_S: f64 = 31.0;
 
 /// A task that might be stopped for some job.
 struct Victim<'a> {
+    /// Work that would be lost, in seconds of a CPU.
     cost: f64,
+    /// The same in seconds.
     lost: f64,
     /// Its start has counted, it saves, and little is lost.
     cheap: bool,
@@ -47,6 +49,7 @@
     now: Time,
     job: &'a Job,
     rank: &'a Rank,
+    /// Its team is within its guarantee.
     within: bool,
     tasks: i64,
     /// Zones in which its tasks may not be, given where the others are.
@@ -54,28 +57,149 @@
 }
 
 impl Victim<'_> {
-    /// Little is lost with it.
-    fn little(&self) -> bool {
-        self.cheap || self.lost < BORROWED_S
+    fn loses_little(&self) -> bool {
+        self.cheap || self.lost < MAX_BORROWED_LOSS_S
     }
 }
 
 impl Claim<'_> {
-    fn urgent(&self) -> bool {
+    fn is_urgent(&self) -> bool {
         self.job.priority() <= Priority::High
     }
 }
 
+/// The tasks that could be stopped, the cheapest first, and those chosen so far.
+struct Selection<'a> {
+    sched: &'a Sched,
+    order: &'a Order,
+    /// All machines' resources.
+    whole: Room,
+    victims: Vec<Victim<'a>>,
+    /// Positions of the victims that lose little.
+    little_loss: Vec<usize>,
+    /// Positions among the victims, by machine.
+    on_machine: BTreeMap<&'a Host, Vec<usize>>,
+    /// Resources of tasks that are being stopped already.
+    stopping: Room,
+    examined: u32,
+    stops: Vec<(JobId, TaskIx)>,
+}
+
+impl<'a> Selection<'a> {
+    fn new(sched: &'a Sched, now: Time, order: &'a Order) -> Selection<'a> {
+        let (stopping, mut victims) = sched.stoppable(now, order);
+        victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        let mut on_machine: BTreeMap<&Host, Vec<usize>> = BTreeMap::new();
+        for (i, victim) in victims.iter().enumerate() {
+            on_machine.entry(&victim.machine.host).or_default().push(i);
+        }
+        let little_loss = |i: &usize| victims[*i].loses_little();
+        let little_loss = (0..victims.len()).filter(little_loss).collect();
+        let mut whole = Room::default();
+        for machine in sched.machines.values() {
+            whole += machine.capacity;
+        }
+        Selection {
+            sched,
+            order,
+            whole,
+            victims,
+            little_loss,
+            on_machine,
+            stopping,
+            examined: 0,
+            stops: vec![],
+        }
+    }
+
+    /// No more are chosen in this go.
+    fn is_over(&self) -> bool {
+        self.stops.len() >= MAX_STOPS || self.examined > MAX_EXAMINED
+    }
+
+    /// Chooses tasks to be stopped for a claim, until it has room.
+    fn serve(&mut self, claim: &Claim) {
+        // What is being stopped already makes room for the first claims.
+        let part = self.whole.scarcest(&claim.job.need);
+        let asked = claim.job.need.scaled(claim.tasks);
+        let mut lacking = (part(&asked) - part(&self.stopping)).max(0);
+        self.stopping = self.stopping.minus(&asked).at_least_zero();
+        let candidates = if claim.is_urgent() {
+            self.victims.len()
+        } else {
+            self.little_loss.len()
+        };
+        for position in 0..candidates {
+            let first = if claim.is_urgent() {
+                position
+            } else {
+                self.little_loss[position]
+            };
+            if lacking <= 0 || self.stops.len() >= MAX_STOPS {
+                return;
+            }
+            self.examined += 1;
+            if self.examined > MAX_EXAMINED {
+                return;
+            }
+            let victim = &self.victims[first];
+            if victim.taken || !self.sched.gives_way(victim, claim, self.order) {
+                continue;
+            }
+            for i in self.makes_room(claim, first) {
+                lacking -= part(&self.victims[i].job.need);
+                self.stop(claim, i);
+            }
+        }
+    }
+
+    /// Tasks on one machine, this one first, whose end lets a task of the claim begin
+    /// there; none if it would not.
+    fn makes_room(&mut self, claim: &Claim, first: usize) -> Vec<usize> {
+        let machine = self.victims[first].machine;
+        let beside = self.on_machine.get(&machine.host);
+        let beside = beside.map_or(&[][..], |positions| positions);
+        self.examined += beside.len() as u32;
+        let mut room = machine.free();
+        let mut stops = vec![];
+        if room.fits(&claim.job.need) {
+            // It is not for want of room that nothing of it begins here.
+            return stops;
+        }
+        let others = beside.iter().copied().filter(|i| *i != first);
+        for i in std::iter::once(first).chain(others) {
+            let victim = &self.victims[i];
+            let may_stop = claim.is_urgent() || victim.loses_little();
+            if victim.taken || !may_stop || !self.sched.gives_way(victim, claim, self.order) {
+                continue;
+            }
+            room += victim.job.need;
+            stops.push(i);
+            if room.fits(&claim.job.need) {
+                return stops;
+            }
+        }
+        vec![]
+    }
+
+    fn stop(&mut self, claim: &Claim, i: usize) {
+        let victim = &mut self.victims[i];
+        tracing::info!(job = %victim.job.id(), task = %victim.task, host = %victim.machine.host,
+            for_job = %claim.job.id(), class = %claim.job.spec.class, "preempted");
+        victim.taken = true;
+        self.stops.push((victim.job.id().clone(), victim.task));
+    }
+}
+
 impl Sched {
     /// Stops tasks for those that found no room and have a right to it.
     pub(super) fn preempt(&mut self, now: Time, order: &Order) {
-        let stops = self.chosen_stops(now, order);
-        for (id, t) in stops {
-            if let Some(j) = self.jobs.get_mut(&id) {
+        for (id, task) in self.chosen_stops(now, order) {
+            if let Some(job) = self.jobs.get_mut(&id) {
                 // Others first, or it takes the same room again.
-                j.backoff_until = j.backoff_until.max(now + YIELD);
+                job.backoff_until = job.backoff_until.max(now + YIELD_BACKOFF);
             }
-            self.stop(now, &id, t, 0.0);
+            self.stop(now, &id, task, 0.0);
         }
     }
 
@@ -84,55 +208,14 @@
         if claims.is_empty() {
             return vec![];
         }
-        let (mut stopping, mut all) = self.stoppable(now, order);
-        let mut whole = Room::default();
-        for m in self.machines.values() {
-            whole += m.capacity;
-        }
-        // The cheapest first: what would lose least.
-        all.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let little: Vec<usize> = (0..all.len()).filter(|i| all[*i].little()).collect();
-        let mut here: BTreeMap<&Host, Vec<usize>> = BTreeMap::new();
-        for (i, v) in all.iter().enumerate() {
-            here.entry(&v.machine.host).or_default().push(i);
-        }
-        let any: Vec<usize> = (0..all.len()).collect();
-        let mut stops = vec![];
-        let mut looked = 0u32;
-        for c in claims {
-            // What is being stopped already makes room for the first of them.
-            let part = whole.scarcest(&c.job.need);
-            let asked = c.job.need.scaled(c.tasks);
-            let mut need = (part(&asked) - part(&stopping)).max(0);
-            stopping = stopping.minus(&asked).at_least_zero();
-            for i in if c.urgent() { &any } else { &little } {
-                if need <= 0 || stops.len() >= MAX_STOPS {
-                    break;
-                }
-                looked += 1;
-                if looked > MOST_LOOKED {
-                    return stops;
-                }
-                let v = &all[*i];
-                if v.taken || !self.gives_way(v, &c, order) {
-                    continue;
-                }
-                let beside = here.get(&v.machine.host).map_or(&[][..], |h| h);
-                looked += beside.len() as u32;
-                for k in self.makes_room(&c, &all, *i, beside, order) {
-                    let v = &mut all[k];
-                    tracing::info!(job = %v.job.id(), task = %v.task, host = %v.machine.host,
-                        for_job = %c.job.id(), class = %c.job.spec.class, "preempted");
-                    v.taken = true;
-                    need -= part(&v.job.need);
-                    stops.push((v.job.id().clone(), v.task));
-                }
-            }
-            if stops.len() >= MAX_STOPS {
+        let mut selection = Selection::new(self, now, order);
+        for claim in &claims {
+            selection.serve(claim);
+            if selection.is_over() {
                 break;
             }
         }
-        stops
+        selection.stops
     }
 
     fn claims<'a>(&'a self, now: Time, order: &'a Order) -> Vec<Claim<'a>> {
@@ -141,147 +224,133 @@
         }
         let spare = self.spare(now);
         let zones: BTreeSet<&Zone> = self.machines.values().map(|m| &m.zone).collect();
-        let claim = |s: &Short| {
-            let id = &s.job;
-            let job = self.jobs.get(id)?;
-            let within = order.within(id);
-            // Room that is kept for quick classes is not for the others;
-            // stopping tasks would only fill it up.
-            let quick = self.is_quick(&job.spec.class);
-            // A gang needs whole machines in one place: stopping a task here
-            // and there made no room for it, and went on as it stayed short.
-            let gang = job.spec.kind == Kind::Gang;
-            let may = (job.priority() != Priority::Low || within) && !gang;
-            let rank = order.rank(id)?;
-            let allowed = AllowedZones::of(self, job);
-            let shut = |z: &&Zone| !allowed.contains(z);
-            let closed = zones.iter().copied().filter(shut).collect();
-            (may && (quick || spare.holds(&job.need, job.spec.spot))).then_some(Claim {
-                now,
-                job,
-                rank,
-                within,
-                tasks: s.tasks,
-                closed,
-            })
-        };
-        self.fleet.short.iter().filter_map(claim).collect()
+        let short = self.fleet.short.iter();
+        let claims = short.filter_map(|short| self.claim(now, short, order, &spare, &zones));
+        claims.collect()
+    }
+
+    /// The claim of a job that found no room, if it may have some made.
+    fn claim<'a>(
+        &'a self,
+        now: Time,
+        short: &Short,
+        order: &'a Order,
+        spare: &Spare,
+        zones: &BTreeSet<&'a Zone>,
+    ) -> Option<Claim<'a>> {
+        let job = self.jobs.get(&short.job)?;
+        let rank = order.rank(&short.job)?;
+        let within = order.within(&short.job);
+        // A gang needs whole machines in one place: stopping a task here and there
+        // makes no room for it.
+        let is_gang = job.spec.kind == Kind::Gang;
+        if is_gang || job.priority() == Priority::Low && !within {
+            return None;
+        }
+        // Room that is kept for quick classes is not for the others;
+        // stopping tasks would only fill it up.
+        let quick = self.is_quick(&job.spec.class);
+        if !quick && !spare.holds(&job.need, job.spec.spot) {
+            return None;
+        }
+        let allowed = AllowedZones::of(self, job);
+        let closed = zones.iter().copied().filter(|zone| !allowed.contains(zone));
+        Some(Claim {
+            now,
+            job,
+            rank,
+            within,
+            tasks: short.tasks,
+            closed: closed.collect(),
+        })
     }
 
-    /// Every task that could be stopped for anyone, and the room of those that
+    /// Every task that could be stopped for anyone, and the resources of those that
     /// are being stopped already.
     fn stoppable<'a>(&'a self, now: Time, order: &'a Order) -> (Room, Vec<Victim<'a>>) {
         let fresh = self.heard_within();
         let mut stopping = Room::default();
         let mut victims = vec![];
-        for job in self.jobs.values().filter(|j| !j.live.is_empty()) {
-            let est = estimate::of(job).as_secs();
+        for job in self.jobs.values().filter(|job| !job.live.is_empty()) {
+            let estimate_s = estimate::of(job).as_secs();
             let rank = order.rank(job.id());
-            for (t, l) in &job.live {
-                if l.stop.is_some() {
+            for (task, live) in &job.live {
+                if live.stop.is_some() {
                     stopping += job.need;
                     continue;
                 }
-                let (Some(machine), Some(rank)) = (self.machines.get(&l.host), rank) else {
+                let (Some(machine), Some(rank)) = (self.machines.get(&live.host), rank) else {
                     continue;
                 };
-                let ran = match (l.phase, l.running_since) {
-                    (Phase::Running, Some(s)) => (now - s).as_secs(),
+                let ran_s = match (live.phase, live.running_since) {
+                    (Phase::Running, Some(since)) => (now - since).as_secs(),
                     _ => 0.0,
                 };
-                let array = job.spec.kind == Kind::Array;
+                let is_array = job.spec.kind == Kind::Array;
                 // What was set aside for it is not taken away again.
-                let guarded = self.books.guards(&task_id(job.id(), *t));
-                if guarded || !array || ran > NEARLY_DONE * est || !machine.open(now, fresh) {
+                let guarded = self.books.guards(&task_id(job.id(), *task));
+                let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
+                if guarded || !is_array || nearly_done || !machine.open(now, fresh) {
                     continue;
                 }
-                let saves = job.spec.checkpoint_s > 0.0;
-                let lost = if saves {
-                    ran % job.spec.checkpoint_s
-                } else {
-                    ran
-                };
-                victims.push(Victim {
-                    cost: lost * job.spec.cpus,
-                    lost,
-                    // For what is not urgent only those stop that lose little,
-                    // and whose start has counted.
-                    cheap: saves && lost < CHEAP_S && ran > SETTLED_S,
-                    rank,
-                    job,
-                    task: *t,
-                    machine,
-                    taken: false,
-                });
+                victims.push(Victim::new(job, *task, ran_s, rank, machine));
             }
         }
         (stopping, victims)
     }
 
-    /// Tasks on one machine, this one first, whose end lets a task of the claim begin
-    /// there; none if it would not. Stopped wherever they were cheapest, tasks made no
-    /// room for a larger one, were placed anew and stopped again, and never began.
-    fn makes_room(
-        &self,
-        c: &Claim,
-        all: &[Victim],
-        first: usize,
-        beside: &[usize],
-        order: &Order,
-    ) -> Vec<usize> {
-        let mut room = all[first].machine.free();
-        let mut stops = vec![];
-        if room.fits(&c.job.need) {
-            // It is not for want of room that nothing of it begins here.
-            return stops;
-        }
-        let others = beside.iter().copied().filter(|k| *k != first);
-        for k in std::iter::once(first).chain(others) {
-            let v = &all[k];
-            let may = c.urgent() || v.little();
-            if v.taken || !may || !self.gives_way(v, c, order) {
-                continue;
-            }
-            room += v.job.need;
-            stops.push(k);
-            if room.fits(&c.job.need) {
-                return stops;
-            }
-        }
-        vec![]
-    }
-
     /// A task may be stopped for work of higher priority, or if its team has
     /// borrowed beyond its guarantee and the other is within its own.
-    fn gives_way(&self, v: &Victim, c: &Claim, order: &Order) -> bool {
-        // Replicas that were to be in other zones had tasks stopped by the
-        // hundred, while a zone was cut off, where they could not go.
-        if c.closed.contains(&v.machine.zone) {
+    fn gives_way(&self, victim: &Victim, claim: &Claim, order: &Order) -> bool {
+        if claim.closed.contains(&victim.machine.zone) {
             return false;
         }
-        // Room left by one that is served earlier would go back to it: tasks
-        // were stopped and placed anew many times a second.
-        if v.rank <= c.rank {
+        // Room left by one that is served earlier would go back to it.
+        if victim.rank <= claim.rank {
             return false;
         }
-        let (theirs, ours) = (&v.job.spec, &c.job.spec);
-        let (their_priority, our_priority) = (v.job.priority(), c.job.priority());
+        let (theirs, ours) = (&victim.job.spec, &claim.job.spec);
+        let (their_priority, our_priority) = (victim.job.priority(), claim.job.priority());
         let lower = their_priority > our_priority;
-        let urgent = our_priority <= Priority::High;
-        if lower && (urgent || v.cheap) {
-            return allowed(ours, v.machine);
+        if lower && (claim.is_urgent() || victim.cheap) {
+            return allowed(ours, victim.machine);
         }
-        // What is fetched for longer than is lost for nothing gains nobody
-        // time: arrays stopped each other all day.
-        let spec = &c.job.spec;
-        let fetch = v.machine.fetch_time(c.now, &spec.image, spec.image_gb);
-        c.within
-            && v.lost < BORROWED_S
-            && fetch.as_secs() < BORROWED_S
+        // What is fetched for longer than is lost for nothing gains nobody time.
+        let machine = victim.machine;
+        let fetch = machine.fetch_time(claim.now, &ours.image, ours.image_gb);
+        claim.within
+            && victim.lost < MAX_BORROWED_LOSS_S
+            && fetch.as_secs() < MAX_BORROWED_LOSS_S
             && theirs.team != ours.team
             && their_priority >= our_priority
-            && !order.within(v.job.id())
+            && !order.within(victim.job.id())
             && self.teams.beyond_guarantee(&theirs.team)
-            && allowed(ours, v.machine)
+            && allowed(ours, machine)
+    }
+}
+
+impl<'a> Victim<'a> {
+    fn new(
+        job: &'a Job,
+        task: TaskIx,
+        ran_s: f64,
+        rank: &'a Rank,
+        machine: &'a Machine,
+    ) -> Victim<'a> {
+        let checkpoint_s = job.spec.checkpoint_s;
+        let saves = checkpoint_s > 0.0;
+        let lost = if saves { ran_s % checkpoint_s } else { ran_s };
+        Victim {
+            cost: lost * job.spec.cpus,
+            lost,
+            // For what is not urgent only those stop that lose little,
+            // and whose start has counted.
+            cheap: saves && lost < MAX_CHEAP_LOSS_S && ran_s > SETTLED_AFTER_S,
+            rank,
+            job,
+            task,
+            machine,
+            taken: false,
+        }
     }
 }
