--- a/crates/http-server/src/acceptor.rs
+++ b/crates/http-server/src/acceptor.rs
@@ -18,6 +18,8 @@
 const MAX_ACCEPT_FAILURES: u32 = 20;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Connections that may wait to be accepted. Where these count as sockets of the
+/// process, more of them could take those that are set aside for its own calls.
 const BACKLOG: i32 = 512;
 
 /// Opens a listening socket.
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -23,7 +23,7 @@
 const HOLD: usize = 320;
 /// Bytes that a started task takes in the compact form, most of the time; a started
 /// task at the most; and what such a record takes besides.
-const COMPACT_TASK: usize = 10;
+const COMPACT_TASK: usize = 5;
 const COMPACT_TASK_MOST: usize = 16;
 const COMPACT_BASE: usize = 320;
 /// The longest runtime that is kept, in seconds, and the most that the counts of a
@@ -108,6 +108,12 @@
     }
 }
 
+/// The moment of the steady clock at which the clock on the wall showed `at`; `now` and
+/// `wall` are what both show at present.
+fn steady_time(now: Time, wall: Wall, at: Wall) -> Time {
+    Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at.0)))
+}
+
 impl Job {
     fn legacy_part(&self, part: usize) -> PartRecord {
         let (from, to) = self.part_range(part);
@@ -358,11 +364,10 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        job.arrived = time_of(Wall(h.at), now, wall);
+        job.arrived = steady_time(now, wall, Wall(h.at));
+        let ready = h.ready_at.map(|at| steady_time(now, wall, Wall(at)));
+        job.ready = ready.unwrap_or(job.arrived);
         job.ready_at = h.ready_at.map(Wall);
-        job.ready = job
-            .ready_at
-            .map_or(job.arrived, |at| time_of(at, now, wall));
         job.needs = h.needs;
         job.cancelled = h.cancelled;
         job.median = estimate::median(&h.runtimes);
@@ -393,12 +398,6 @@
     }
 }
 
-/// A time of day on the steady clock.
-fn time_of(at: Wall, now: Time, wall: Wall) -> Time {
-    let ago = crate::time::Span::millis(wall.0.saturating_sub(at.0));
-    Time(now.0.saturating_sub(ago.0))
-}
-
 /// Parts begin and end at whole words of the bit set.
 pub const LEAST_PART: u32 = 64;
 const MOST_PART: u32 = 512;
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -1,21 +1,24 @@
 //! What controllers and workers do by themselves: elections and reports.
 
 use super::followers::label;
+use super::old_version::ProductionView;
 use super::worker::LEASE;
 use super::{Ev, S, Term, World, flavor, settings};
+use hookworks::election::ElectionOutcome;
 use hookworks::ids::*;
-use hookworks::lead::Elect;
 use hookworks::node::load::load;
 use hookworks::sched::{Config, Event, Sched};
-use hookworks::settings::Settings;
+use hookworks::settings::{NextLimits, Settings};
+use hookworks::store::RecordFormat;
 use hookworks::store::commit::Committer;
 use hookworks::time::Time;
+use hookworks::versions::Switch;
 use rand::RngExt;
 
 impl World {
     pub(super) fn elect(&mut self, i: usize) {
         self.stand(i);
-        let pause = self.ctls[i].elector.pause().as_secs();
+        let pause = self.ctls[i].elector.step_interval().as_secs();
         self.at(pause, Ev::Elect(i));
     }
 
@@ -24,20 +27,20 @@
         let now = self.time();
         if self.ctls[i].up {
             match self.ctls[i].elector.step(|| now) {
-                Elect::Won {
+                ElectionOutcome::Elected {
                     epoch,
                     stamp,
                     proven,
                 } => self.won(i, epoch, stamp, proven),
-                Elect::Proven(t) => self.event(i, Event::Proven(t)),
-                Elect::Seen(l) => {
+                ElectionOutcome::Renewed(t) => self.event(i, Event::Proven(t)),
+                ElectionOutcome::Following(l) => {
                     self.ctls[i].term = None;
                     // Our own earlier process leads no more, whatever the key says yet.
                     let other = l.filter(|l| l.label != label(i));
                     self.sees(i, other.map(|l| (l.label, l.epoch)));
                 }
-                Elect::Lost => self.steps_down(i),
-                Elect::NoAnswer => {}
+                ElectionOutcome::LeaseLost => self.steps_down(i),
+                ElectionOutcome::Unavailable => {}
             }
         }
     }
@@ -46,16 +49,33 @@
     pub(super) fn begin_term(&mut self, i: usize, epoch: Epoch, stamp: Stamp, proven: Time) {
         let now = self.time();
         let wall = self.wall();
-        let Ok(l) = load(&self.store.of(i), epoch, stamp, now, wall) else {
+        let service = self.store.of(i);
+        self.take_up_version(i);
+        let loaded = match self.is_new(i) {
+            true => load(&service, epoch, stamp, now, wall),
+            false => load(&ProductionView(service), epoch, stamp, now, wall),
+        };
+        let Ok(l) = loaded else {
             return self.load_again(i, epoch, stamp, proven);
         };
-        let s = settings("x");
+        let s = self.settings(i);
+        let format = l.record_format();
+        let takes_format = self.note_term(i, epoch, Switch::new(stamp, format));
         let mut commit = Committer::new(stamp, &s.platform.params.state);
         for (k, st) in l.stamps {
             commit.know(k, st);
         }
+        if format == RecordFormat::Compact {
+            for (k, st) in l.litter {
+                commit.add_litter(k, st);
+            }
+        }
         let cfg = self.config(i, &s);
         let mut sched = Sched::new(cfg, epoch, proven, now, wall);
+        if takes_format {
+            commit.set_format(format);
+            sched.set_format(format);
+        }
         if let Some(f) = l.fences {
             sched.take_fences(now, wall, f);
         }
@@ -73,6 +93,21 @@
         self.hand_over_copies();
     }
 
+    /// The page of settings of controller `i`.
+    fn settings(&self, i: usize) -> Settings {
+        let mut s = settings("x");
+        // The production version takes no notice of it.
+        if self.is_new(i) {
+            s.platform.params.state.next = self.announced_limits.map(|l| NextLimits {
+                rps: None,
+                write_rps: Some(l.changes_per_s),
+                value_kb: Some(l.value_bytes as f64 / 1024.0),
+                txn_ops: Some(l.changes),
+            });
+        }
+        s
+    }
+
     /// What controller `i` is told.
     fn config(&self, i: usize, s: &Settings) -> Config {
         let mut cfg = Config::from(s);
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -31,6 +31,7 @@
     /// To a controller that leads, or believes to; answered without delay.
     pub fn ask(&mut self, i: usize, ask: Ask) {
         let req = self.note_asked(&ask);
+        let ask = self.as_understood(i, ask);
         self.event(i, Event::Ask(req, ask));
     }
 
@@ -40,7 +41,9 @@
         self.next_req += 1;
         self.asks.insert(req, ask.clone());
         match ask {
+            Ask::Submit(body) => self.note_submission(body),
             Ask::Cancel(id) => {
+                self.needs.note_cancel_asked(&id.as_str().into());
                 let told = self.told.entry(id.as_str().into()).or_default();
                 told.cancel_asked = true;
             }
