--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -8,6 +8,7 @@
 pub mod close_looks;
 mod cloud;
 pub mod desk;
+mod dispatch;
 pub mod effect_log;
 pub mod followers;
 pub mod given;
@@ -31,14 +32,14 @@
 use hookworks::ids::*;
 use hookworks::lead::{Candidate, Elector};
 use hookworks::sched::{DirectResult, Event, Sched};
+use hookworks::store::Outcome;
 use hookworks::store::commit::Committer;
-use hookworks::store::{Outcome, final_key};
 use hookworks::time::{Span, Time, Wall};
 use hookworks::wire::cloud::Hire;
 use hookworks::wire::peer::{Answer, Ask};
 use hookworks::wire::state::{Item, Txn};
 use hookworks::wire::user::JobSpec;
-use hookworks::wire::worker::{Orders, ReportAnswer};
+use hookworks::wire::worker::Orders;
 use hookworks_job_lifecycle::HoldKind;
 pub use links::Chaos;
 use rand::rngs::StdRng;
@@ -418,204 +419,4 @@
             self.at(in_s, Ev::Wake(i));
         }
     }
-
-    fn take(&mut self, e: Ev) {
-        let arrives = self.awake(e).and_then(|e| self.passes(e));
-        let Some(e) = arrives.and_then(|e| self.machine_takes(e)) else {
-            return;
-        };
-        match e {
-            Ev::Elect(i) => self.elect(i),
-            Ev::Tick(i) => {
-                let wall = self.wall();
-                if self.ctls[i].up {
-                    let away = self.out_of_reach(i);
-                    self.event(i, Event::OutOfReach(away));
-                    self.event(i, Event::Tick(wall));
-                    if let Some(t) = &self.ctls[i].term {
-                        let held = |j: &&hookworks::sched::job::Job| {
-                            j.holds.get(HoldKind::System).is_some()
-                        };
-                        let held = t.sched.jobs.values().filter(held);
-                        self.limited.extend(held.map(|j| j.id().clone()));
-                        let wrong = t.sched.audit();
-                        self.broken.extend(wrong);
-                    }
-                    self.check_places_wait(i);
-                    self.check_readable();
-                }
-                self.at(0.25, Ev::Tick(i));
-            }
-            Ev::Wake(i) => {
-                self.ctls[i].wakes = false;
-                if self.ctls[i].up {
-                    self.event(i, Event::Wake);
-                }
-            }
-            Ev::List(i) => {
-                self.list_to(i);
-                self.at(5.0, Ev::List(i));
-            }
-            Ev::ListOnce(i) => self.list_to(i),
-            Ev::Beat(h) => self.beat(h),
-            Ev::ToCtl(i, host, sent, body) => {
-                if self.ctls[i].up && self.ctls[i].term.is_some() {
-                    let req = ReqId(self.next_req);
-                    self.next_req += 1;
-                    self.beats.insert(req, (host, sent));
-                    self.event(i, Event::Ask(req, Ask::Report(body)));
-                }
-            }
-            Ev::ToWorker(h, sent, a, _) => {
-                let now = self.now;
-                let Some(w) = self.workers.get_mut(&h) else {
-                    return;
-                };
-                // Dropped once the worker has given up on that report.
-                if a.status == 200 && w.sent_at == sent && now - sent < 4 * S && !(w.cut || w.deaf)
-                {
-                    let a: ReportAnswer = serde_json::from_str(&a.body).unwrap();
-                    if w.answered(now, sent, a, &self.specs, self.run_s) {
-                        self.at(0.5, Ev::Beat(h));
-                    }
-                }
-            }
-            Ev::Orders(i, epoch, call, h, orders) => {
-                let now = self.now;
-                let Some(w) = self.workers.get_mut(&h) else {
-                    return;
-                };
-                if !w.up {
-                    let r = DirectResult::Refused;
-                    return self.at(0.002, Ev::Direct(i, epoch, call, h, r));
-                }
-                if w.deaf || w.no_calls {
-                    let r = DirectResult::Unclear;
-                    return self.at(1.0, Ev::Direct(i, epoch, call, h, r));
-                }
-                let r = match w.direct(now, orders, &self.specs, self.run_s) {
-                    Ok(r) => DirectResult::Done(r),
-                    Err(r) => DirectResult::Conflict(r),
-                };
-                let d = self.delay();
-                self.at(d, Ev::Direct(i, epoch, call, h.clone(), r));
-                self.at(0.5, Ev::Beat(h));
-            }
-            Ev::Direct(i, epoch, call, h, r) => self.in_term(i, epoch, Event::Direct(call, h, r)),
-            Ev::Txn(i, epoch, id, txn) => {
-                let outcome = if self.rng.random_bool(self.chaos.refuse_txn) {
-                    Outcome::NotDone
-                } else {
-                    self.store.of(i).apply(&txn)
-                };
-                self.answer_transaction(i, epoch, id, outcome);
-            }
-            Ev::TxnDone(i, epoch, id, o) => {
-                let now = self.time();
-                if !self.leads(i, epoch) {
-                    return;
-                }
-                let t = self.ctls[i].term.as_mut().unwrap();
-                let (events, steps) = t.commit.finished(now, id, o, &mut t.sched);
-                self.after(i, epoch, events, steps);
-            }
-            Ev::Read(i, epoch, key) => match self.store.of(i).read(&key) {
-                Ok(item) => self.at(0.003, Ev::ReadDone(i, epoch, key, item)),
-                Err(_) => self.at(0.3, Ev::Read(i, epoch, key)),
-            },
-            Ev::ReadDone(i, epoch, key, item) => {
-                if self.leads(i, epoch) {
-                    let t = self.ctls[i].term.as_mut().unwrap();
-                    let (events, steps) = t.commit.read_back(key, Ok(item), &mut t.sched);
-                    self.after(i, epoch, events, steps);
-                }
-            }
-            Ev::Final(i, epoch, id) => {
-                let r = self.store.of(i).read(&final_key(&id)).map_err(|_| ());
-                let f = r.map(|o| o.map(|x| serde_json::from_value(x.value).unwrap()));
-                self.in_term(i, epoch, Event::FinalRead(id, f));
-            }
-            Ev::Record(i, epoch, req, id) => {
-                let r = self.store.of(i).read(&final_key(&id)).map_err(|_| ());
-                let r = r.map(|o| o.map(|x| x.value));
-                self.in_term(i, epoch, Event::RecordRead(req, id, r));
-            }
-            Ev::Hire(i, epoch, h) => self.hire(i, epoch, h),
-            Ev::Release(i, epoch, hosts) => self.release(i, epoch, hosts),
-            Ev::CloudDone(i, epoch, e) => self.in_term(i, epoch, *e),
-            Ev::User(ask) => self.user(ask),
-            Ev::Kill(i) => {
-                self.ctls[i].up = false;
-                self.ctls[i].term = None;
-            }
-            Ev::Restart(i) => {
-                let life = self.ctls[i].life + 1;
-                self.ctls[i] = self.new_ctl(i, life);
-                // A new process looks at once who leads, and hears of machines.
-                self.stand(i);
-                self.at(0.1, Ev::ListOnce(i));
-            }
-            Ev::Cut(h, cut) => {
-                self.cut(&h, cut);
-            }
-            Ev::CutZone(z, cut) => {
-                for h in self.machines_in(z.as_str()) {
-                    self.cut(&h, cut);
-                }
-            }
-            Ev::Hang(h, hangs) => self.hang(h, hangs),
-            Ev::Mute(h, on) => {
-                if let Some(w) = self.workers.get_mut(&h) {
-                    w.mute = on;
-                }
-            }
-            Ev::KeepReports(share) => self.keep_reports(share),
-            Ev::CancelNow(jobs, hang_s) => self.cancel_now(jobs, hang_s),
-            Ev::Sick(h, sick) => {
-                if let Some(w) = self.workers.get_mut(&h) {
-                    w.sick = sick;
-                }
-            }
-            Ev::UserVia(i, ask) => self.ask_via(i, ask),
-            Ev::Question(i, q, leg) => self.question(i, q, leg),
-            Ev::LostElection => self.store.lose_next_answer(),
-            Ev::StoreDown(d) => self.store.down(d),
-            Ev::Preempt(h) => {
-                self.workers.remove(&h);
-            }
-            Ev::Deaf(h, deaf) => {
-                if let Some(w) = self.workers.get_mut(&h) {
-                    w.deaf = deaf;
-                }
-            }
-            Ev::Reborn(h) => {
-                if let Some(w) = self.workers.get_mut(&h) {
-                    w.begin_anew(self.now);
-                    self.at(0.05, Ev::Beat(h));
-                }
-            }
-            Ev::Copy(i, body) => self.copy_arrives(i, body),
-            Ev::Freeze(i, s) => self.ctls[i].frozen_until = self.now + (s * 1e6) as u64,
-            Ev::Lonely(i, lonely) => self.ctls[i].lonely = lonely,
-            Ev::Refuse(i, refused) => self.store.refuse(i, refused),
-            Ev::Home(h, i) => {
-                if let Some(w) = self.workers.get_mut(&h) {
-                    w.home = i;
-                }
-            }
-            Ev::NoCalls(h, on) => {
-                if let Some(w) = self.workers.get_mut(&h) {
-                    w.no_calls = on;
-                }
-            }
-            Ev::StepDown(i) => self.steps_down(i),
-            Ev::Chances(c) => self.chaos = c,
-            Ev::OddRequests(until) => self.odd_requests(until),
-            Ev::HandOver(a) => self.act(a),
-            Ev::Pipeline(n) => self.pipeline(n),
-            Ev::StateLimits(limits) => self.store.set_limits(limits),
-            Ev::Versions(a) => self.version_act(a),
-            Ev::LateElection(i, by_s) => self.store.of(i).delay_next((by_s * 1e6) as u64),
-        }
-    }
 }
