--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -108,6 +108,12 @@
     }
 }
 
+/// The moment of the steady clock at which the clock on the wall showed `at`; `now` and
+/// `wall` are what both show at present.
+fn steady_time(now: Time, wall: Wall, at: Wall) -> Time {
+    Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at.0)))
+}
+
 impl Job {
     fn legacy_part(&self, part: usize) -> PartRecord {
         let (from, to) = self.part_range(part);
@@ -345,6 +351,9 @@
         let mut value = self.header(StoredPart::Compact(text), holds.abbreviated(), 0);
         value["runtimes"] = vec![LONGEST_RUNTIME; RUNTIMES_KEPT].into();
         value["h"] = "x".repeat(COUNTS_MOST).into();
+        if !self.needs.is_empty() {
+            value["ready_at"] = u64::MAX.into();
+        }
         pieces::needed(&value.to_string(), value_bytes)
     }
 
@@ -355,10 +364,9 @@
             return None;
         }
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        job.arrived = moment_of(h.at, now, wall);
-        job.ready = h
-            .ready_at
-            .map_or(job.arrived, |at| moment_of(at, now, wall));
+        job.arrived = steady_time(now, wall, Wall(h.at));
+        let ready = h.ready_at.map(|at| steady_time(now, wall, Wall(at)));
+        job.ready = ready.unwrap_or(job.arrived);
         job.ready_at = h.ready_at.map(Wall);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
@@ -390,11 +398,6 @@
     }
 }
 
-/// A past time of day as a moment of our clock.
-fn moment_of(at: u64, now: Time, wall: Wall) -> Time {
-    Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at)))
-}
-
 /// Parts begin and end at whole words of the bit set.
 pub const LEAST_PART: u32 = 64;
 const MOST_PART: u32 = 512;
