--- a/src/store/limits.rs
+++ b/src/store/limits.rs
@@ -12,8 +12,8 @@
 const LEAST_CHANGES: usize = 4;
 /// Left for what the service may count differently.
 pub const VALUE_MARGIN: usize = 32;
-/// Limits on the rate that nobody announced fall by this at a time, and refusals
-/// within a spell count once.
+/// Limits on the rate that nobody announced fall by this at a time, once a spell
+/// however many refusals come.
 const LOWERED_TO: f64 = 0.9;
 const SPELL: Span = Span(1_000_000);
 /// They don't fall below this share of those in the settings.
@@ -126,11 +126,12 @@
         if let Some(next) = announced {
             self.now.write_rps = next.write_rps;
             self.now.rps = self.now.rps.min(next.rps);
+            self.lowered_at = Some(now);
         } else if self.lowered_at.is_none_or(|t| now - t > SPELL) {
             let least = self.settings.write_rps * LEAST_RATE;
             self.now.write_rps = (self.now.write_rps * LOWERED_TO).max(least);
+            self.lowered_at = Some(now);
         }
-        self.lowered_at = Some(now);
         self.raised_at = now;
         let changed = self.now != before;
         if changed {
--- a/tests/record_limits.rs
+++ b/tests/record_limits.rs
@@ -10,6 +10,7 @@
 use hookworks::settings::{Platform, StateLimits};
 use hookworks::store::client::{ReadError, State};
 use hookworks::store::commit::Committer;
+use hookworks::store::limits::LimitsInForce;
 use hookworks::store::pieces::{self, RecordRoom};
 use hookworks::store::{FINALS, LEADER, LIVE, Outcome, PARTS, PIECES, RecordFormat, part_key};
 use hookworks::time::{Time, Wall};
@@ -709,6 +710,20 @@
     }
 }
 
+/// Refusals that come several times a second lower a rate that nobody announced once a
+/// second, until what is sent is allowed.
+#[test]
+fn refusals_without_a_pause_lower_the_rate_for_as_long_as_they_come() {
+    let mut limits = LimitsInForce::new(&limits(None));
+    let mut rates = vec![];
+    for quarter in 0..40 {
+        limits.refused_rate(Time(quarter * 250_000));
+        rates.push(limits.values().write_rps);
+    }
+    assert!(rates[3] > 35.0, "once within the first second: {rates:?}");
+    assert!(rates[39] < 18.0, "after ten seconds: {rates:?}");
+}
+
 /// One record that the service refuses for whatever reason holds up no other.
 #[test]
 fn a_record_that_is_always_refused_is_set_aside() {
