--- a/tests/chain_histories.rs
+++ b/tests/chain_histories.rs
@@ -9,6 +9,7 @@
 use hookworks::ids::*;
 use hookworks::versions::OWN;
 use hookworks::wire::peer::Ask;
+use hookworks::wire::state::{Change, Txn};
 use hookworks::wire::user::{JobSpec, JobState, Priority};
 use rand::RngExt;
 use troubles::{TROUBLES, Trouble, near, strike};
@@ -247,6 +248,28 @@
     })
 }
 
+/// The check of that can fail: what is too large is sent again and again, past the
+/// controllers, at the end of a history that is well.
+#[test]
+fn a_transaction_that_is_refused_over_and_over_is_noticed() {
+    let w = history(0, Story::Switched);
+    assert_eq!(endless_refusals(&w), None);
+    w.store.set_limits(LATER);
+    let too_large = Txn {
+        conditions: vec![],
+        changes: vec![Change::Put {
+            key: "some/record".into(),
+            value: "x".repeat(LATER.value_bytes).into(),
+            lease: None,
+        }],
+    };
+    for _ in 0..4 {
+        w.store.apply(&too_large);
+    }
+    let told = endless_refusals(&w).expect("noticed");
+    assert!(told.contains("4 too large"), "{told}");
+}
+
 fn seeds(usual: u64) -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok());
     let from = number("CHAIN_HISTORIES_FROM").unwrap_or(0);
