--- a/crates/scale/src/standin/users.rs
+++ b/crates/scale/src/standin/users.rs
@@ -271,18 +271,7 @@
 
     fn poll(&self, caller: &mut Caller, request: &UserRequest) {
         let job = &request.plan.spec.id;
-        let asked = Instant::now();
-        let exchange = caller.call(
-            &self.shared,
-            "GET",
-            &format!("/v2/runs/{job}"),
-            b"",
-            POLL_TIMEOUT,
-        );
-        let answer = answer_of(exchange.as_ref(), &[]);
-        self.shared
-            .judge()
-            .answered(asked, Instant::now(), job, answer);
+        let answer = self.ask_status(caller, job);
         let polls = {
             let mut observations = self.observations();
             observations.polls += 1;
@@ -300,21 +289,21 @@
         }
     }
 
-    /// Asks about a job that nobody submitted.
-    fn stray(&self, caller: &mut Caller, number: u64) {
-        let job = stray_job(number);
+    /// Asks about a job; the judge hears of the answer.
+    fn ask_status(&self, caller: &mut Caller, job: &JobId) -> Answer {
         let asked = Instant::now();
-        let exchange = caller.call(
-            &self.shared,
-            "GET",
-            &format!("/v2/runs/{job}"),
-            b"",
-            POLL_TIMEOUT,
-        );
+        let path = format!("/v2/runs/{job}");
+        let exchange = caller.call(&self.shared, "GET", &path, b"", POLL_TIMEOUT);
         let answer = answer_of(exchange.as_ref(), &[]);
         self.shared
             .judge()
-            .answered(asked, Instant::now(), &job, answer);
+            .answered(asked, Instant::now(), job, answer);
+        answer
+    }
+
+    /// Asks about a job that nobody submitted.
+    fn stray(&self, caller: &mut Caller, number: u64) {
+        self.ask_status(caller, &stray_job(number));
     }
 
     fn cancel(&self, caller: &mut Caller, request: &UserRequest) {
