--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -18,5 +18,7 @@
 mod state;
 
 pub use limits::Limits;
-pub use plan::{Budget, Case, Plan, Stake, Standing, plan, worth};
+pub use plan::{
+    AttemptAtRisk, AttemptKind, Budget, LostMachine, ReleasePlan, plan_releases, release_benefit,
+};
 pub use state::{Change, Evidence, State, View, Zones};
--- a/crates/zones/src/state.rs
+++ b/crates/zones/src/state.rs
@@ -43,23 +43,23 @@
     /// Machines that were up when last heard of.
     pub machines: u32,
     /// Of these, those that were heard in this term.
-    pub heard: u32,
+    pub reported: u32,
     /// And those that have missed a report for certain.
     pub overdue: u32,
     /// The first and the last that the overdue ones were heard.
-    pub fell_silent: Option<(Time, Time)>,
+    pub overdue_last_heard: Option<(Time, Time)>,
     /// Those heard since the zone's present trouble began ([`Zones::gone_since`]).
-    pub back: u32,
+    pub returned: u32,
     /// When anything there was heard last, in this term.
-    pub newest: Option<Time>,
+    pub last_heard: Option<Time>,
     /// Controllers there, besides the leader.
     pub controllers: u32,
     /// Of these, those that the leader can't reach.
-    pub away: u32,
+    pub unreachable_controllers: u32,
     /// Direct calls to machines there that failed since the last look.
-    pub unanswered: u32,
+    pub failed_calls: u32,
     /// Rentals there that should have come up long ago.
-    pub late_boots: u32,
+    pub overdue_boots: u32,
 }
 
 /// A zone has another state.
@@ -72,7 +72,7 @@
     /// Its state now.
     pub to: State,
     /// How long the state before had lasted.
-    pub lasted: Span,
+    pub previous_duration: Span,
     /// The evidence that led to it.
     pub evidence: Evidence,
 }
@@ -106,35 +106,35 @@
     pub rentals_overdue: u32,
 }
 
-struct One {
+struct ZoneRecord {
     state: State,
     since: Time,
     /// The last that was heard before the trouble.
-    gone_since: Time,
-    returned: Time,
+    last_heard_before_outage: Time,
+    returned_at: Time,
     /// Not one of it has been heard in this term, and most of another zone has.
-    unmet: bool,
+    unheard_since_start: bool,
     /// It takes so long to come back in full.
-    ramp: Span,
-    troubles: VecDeque<Time>,
-    seen: Evidence,
+    recovery_ramp: Span,
+    recent_outages: VecDeque<Time>,
+    evidence: Evidence,
 }
 
 /// All zones that there is evidence of.
 pub struct Zones {
     limits: Limits,
     began: Time,
-    all: BTreeMap<Zone, One>,
+    all: BTreeMap<Zone, ZoneRecord>,
     /// Steps of all looks so far, for tests.
     steps: u64,
 }
 
 /// With none left to be heard, a lost zone is tried again after so long.
-const TRY_AGAIN: Span = Span(30_000_000);
+const EMPTY_ZONE_RETRY: Span = Span(30_000_000);
 /// What must be heard of a zone beyond the share that may be silent.
-const REST: f64 = 0.05;
+const HEARD_MARGIN_SHARE: f64 = 0.05;
 /// The share of a returning zone that is used at once.
-const AT_ONCE: f64 = 0.02;
+const MIN_OPEN_SHARE: f64 = 0.02;
 
 impl Zones {
     /// Nothing is known before this moment: the state is never taken over from
@@ -156,48 +156,56 @@
     /// Takes new evidence of all zones; answers what has changed by it. To be
     /// called only while the leadership is proven: a leader that is cut off
     /// itself hears nothing either.
-    pub fn look(&mut self, now: Time, seen: BTreeMap<Zone, Evidence>) -> Vec<Change> {
+    pub fn update(&mut self, now: Time, seen: BTreeMap<Zone, Evidence>) -> Vec<Change> {
         let l = self.limits;
         for (z, e) in seen {
             self.steps += 1;
-            let one = self.all.entry(z).or_insert_with(|| One {
+            let one = self.all.entry(z).or_insert_with(|| ZoneRecord {
                 state: State::Well,
                 since: self.began,
-                gone_since: self.began,
-                returned: self.began,
-                unmet: false,
-                ramp: Span::ZERO,
-                troubles: VecDeque::new(),
-                seen: Evidence::default(),
+                last_heard_before_outage: self.began,
+                returned_at: self.began,
+                unheard_since_start: false,
+                recovery_ramp: Span::ZERO,
+                recent_outages: VecDeque::new(),
+                evidence: Evidence::default(),
             });
-            one.seen = e;
+            one.evidence = e;
         }
         // A leader that hears nobody has itself to blame, not all zones.
         let began = self.began;
-        let heard = |o: &One| o.seen.newest.is_some_and(|t| now - t < l.quiet);
+        let heard = |o: &ZoneRecord| {
+            o.evidence
+                .last_heard
+                .is_some_and(|t| now - t < l.quiet_after)
+        };
         let heard_zones = self.all.values().filter(|o| heard(o)).count();
         // A new leader has heard most machines of the others, and none of one.
-        let met = |o: &One| 2 * o.seen.heard >= o.seen.machines.max(1);
+        let met = |o: &ZoneRecord| 2 * o.evidence.reported >= o.evidence.machines.max(1);
         let met_zones = self.all.values().filter(|o| met(o)).count();
         let mut changes = vec![];
         for (z, o) in &mut self.all {
             self.steps += 1;
             let others = heard_zones > heard(o) as usize;
-            while o.troubles.front().is_some_and(|t| now - *t > l.memory) {
-                o.troubles.pop_front();
+            while o
+                .recent_outages
+                .front()
+                .is_some_and(|t| now - *t > l.outage_memory)
+            {
+                o.recent_outages.pop_front();
             }
-            o.unmet = o.seen.newest.is_none() && met_zones > 0;
-            let Some(to) = o.next(now, began, others, &l) else {
+            o.unheard_since_start = o.evidence.last_heard.is_none() && met_zones > 0;
+            let Some(to) = o.next_state(now, began, others, &l) else {
                 continue;
             };
             changes.push(Change {
                 zone: z.clone(),
                 from: o.state,
                 to,
-                lasted: now - o.since,
-                evidence: o.seen.clone(),
+                previous_duration: now - o.since,
+                evidence: o.evidence.clone(),
             });
-            o.turn(to, now, began, &l);
+            o.change_state(to, now, began, &l);
         }
         changes
     }
@@ -208,48 +216,48 @@
     }
 
     /// What of the zone may take new work: machines up to this share of it.
-    pub fn open(&self, now: Time, z: &Zone) -> f64 {
+    pub fn usable_share(&self, now: Time, z: &Zone) -> f64 {
         self.all.get(z).map_or(1.0, |o| o.open(now))
     }
 
     /// When the zone was last heard before its present trouble; none if it has
     /// none. Whatever has been heard since is back.
-    pub fn gone_since(&self, z: &Zone) -> Option<Time> {
+    pub fn last_heard_before_outage(&self, z: &Zone) -> Option<Time> {
         let o = self.all.get(z)?;
-        (o.state != State::Well).then_some(o.gone_since)
+        (o.state != State::Well).then_some(o.last_heard_before_outage)
     }
 
     /// For how long nothing has been heard from there; zero if it is heard.
     pub fn silent_for(&self, now: Time, z: &Zone) -> Span {
         let o = self.all.get(z).filter(|o| o.state.silent());
-        o.map_or(Span::ZERO, |o| now - o.gone_since)
+        o.map_or(Span::ZERO, |o| now - o.last_heard_before_outage)
     }
 
     /// When the zone last came back: its machines are given time from then on.
-    pub fn returned(&self, z: &Zone) -> Time {
-        self.all.get(z).map_or(self.began, |o| o.returned)
+    pub fn returned_at(&self, z: &Zone) -> Time {
+        self.all.get(z).map_or(self.began, |o| o.returned_at)
     }
 
     /// Some zone is not well.
-    pub fn troubled(&self) -> bool {
+    pub fn any_unhealthy(&self) -> bool {
         self.all.values().any(|o| o.state != State::Well)
     }
 
     /// All zones as operators see them.
     pub fn views(&self, now: Time) -> Vec<View> {
-        let one = |(z, o): (&Zone, &One)| View {
+        let one = |(z, o): (&Zone, &ZoneRecord)| View {
             zone: z.clone(),
             state: o.state,
             since_s: (now - o.since).as_secs(),
-            silent_s: (o.state.silent()).then(|| (now - o.gone_since).as_secs()),
+            silent_s: (o.state.silent()).then(|| (now - o.last_heard_before_outage).as_secs()),
             open: o.open(now),
-            troubles: o.troubles.len(),
-            machines: o.seen.machines,
-            overdue: o.seen.overdue,
-            controllers: o.seen.controllers,
-            controllers_away: o.seen.away,
-            calls_unanswered: o.seen.unanswered,
-            rentals_overdue: o.seen.late_boots,
+            troubles: o.recent_outages.len(),
+            machines: o.evidence.machines,
+            overdue: o.evidence.overdue,
+            controllers: o.evidence.controllers,
+            controllers_away: o.evidence.unreachable_controllers,
+            calls_unanswered: o.evidence.failed_calls,
+            rentals_overdue: o.evidence.overdue_boots,
         };
         self.all.iter().map(one).collect()
     }
@@ -260,63 +268,70 @@
     }
 }
 
-impl One {
-    fn last_heard(&self, began: Time) -> Time {
-        self.seen.newest.unwrap_or(began)
+impl ZoneRecord {
+    fn last_heard_or(&self, began: Time) -> Time {
+        self.evidence.last_heard.unwrap_or(began)
     }
 
-    fn share(&self, of: f64) -> bool {
-        self.seen.overdue as f64 >= of * self.seen.machines as f64
+    fn overdue_at_least(&self, of: f64) -> bool {
+        self.evidence.overdue as f64 >= of * self.evidence.machines as f64
     }
 
     /// As silent as a zone that is cut off.
     fn all_silent(&self, now: Time, began: Time, l: &Limits) -> bool {
-        let e = &self.seen;
+        let e = &self.evidence;
         // What its own controllers and direct calls say makes it sure sooner.
-        let told = e.controllers > 0 && e.away == e.controllers || e.unanswered >= l.least;
+        let told = e.controllers > 0 && e.unreachable_controllers == e.controllers
+            || e.failed_calls >= l.min_machines;
         let asked = l.overdue_share / if told { 4.0 } else { 1.0 };
-        let quiet = now - self.last_heard(began) >= l.quiet;
-        let several = e.machines >= l.least && e.overdue >= l.least;
-        if several && quiet && self.share(asked) {
+        let quiet = now - self.last_heard_or(began) >= l.quiet_after;
+        let several = e.machines >= l.min_machines && e.overdue >= l.min_machines;
+        if several && quiet && self.overdue_at_least(asked) {
             return true;
         }
-        if self.unmet && quiet && told && e.machines >= l.least {
+        if self.unheard_since_start && quiet && told && e.machines >= l.min_machines {
             return true;
         }
         // Nothing that was rented there comes up, and nothing else is there.
-        let nothing_else = e.machines < l.least && now - self.last_heard(began) > l.keep;
-        nothing_else && e.late_boots >= l.least
+        let nothing_else =
+            e.machines < l.min_machines && now - self.last_heard_or(began) > l.retain_for;
+        nothing_else && e.overdue_boots >= l.min_machines
     }
 
     /// Nearly all of it, and at about the same time: not machines that hang
     /// here and there. Those that have just come back get time to report.
-    fn most_silent(&self, now: Time, l: &Limits) -> bool {
-        let window = l.overdue_after() + l.quiet;
+    fn mostly_silent(&self, now: Time, l: &Limits) -> bool {
+        let window = l.overdue_after() + l.quiet_after;
         let together = |(a, b): (Time, Time)| b - a <= window;
-        let e = &self.seen;
-        let settled = now - self.returned > window + self.ramp;
-        let several = e.machines >= l.least && e.overdue >= l.least;
-        settled && several && self.share(l.most_share) && e.fell_silent.is_some_and(together)
+        let e = &self.evidence;
+        let settled = now - self.returned_at > window + self.recovery_ramp;
+        let several = e.machines >= l.min_machines && e.overdue >= l.min_machines;
+        settled
+            && several
+            && self.overdue_at_least(l.partial_outage_share)
+            && e.overdue_last_heard.is_some_and(together)
     }
 
-    fn next(&self, now: Time, began: Time, others: bool, l: &Limits) -> Option<State> {
-        let e = &self.seen;
+    fn next_state(&self, now: Time, began: Time, others: bool, l: &Limits) -> Option<State> {
+        let e = &self.evidence;
         // More than what goes on being heard of a zone that is doubted for the
         // silence of most of it.
-        let rest = (1.0 - l.most_share + REST) * e.machines as f64;
-        let heard_again = e.machines > 0 && e.back as f64 >= rest;
-        let falls = || self.all_silent(now, began, l) || self.most_silent(now, l);
+        let rest = (1.0 - l.partial_outage_share + HEARD_MARGIN_SHARE) * e.machines as f64;
+        let heard_again = e.machines > 0 && e.returned as f64 >= rest;
+        let falls = || self.all_silent(now, began, l) || self.mostly_silent(now, l);
         match self.state {
             State::Well => (others && falls()).then_some(State::Doubt),
             // The first doubt that proves wrong costs nothing.
-            State::Doubt if heard_again && self.troubles.is_empty() => Some(State::Well),
+            State::Doubt if heard_again && self.recent_outages.is_empty() => Some(State::Well),
             State::Doubt | State::Lost if heard_again => Some(State::Returning),
             State::Doubt => (others && now - self.since >= l.lost_after).then_some(State::Lost),
             State::Lost => {
                 // Its machines were given back: only its controllers, or a new
                 // machine, can tell that it is there again.
-                let reached = e.controllers > 0 && e.away == 0 && now - self.since >= l.settle;
-                let try_it = now - self.since >= TRY_AGAIN;
+                let reached = e.controllers > 0
+                    && e.unreachable_controllers == 0
+                    && now - self.since >= l.recovery_ramp;
+                let try_it = now - self.since >= EMPTY_ZONE_RETRY;
                 (e.machines == 0 && (reached || try_it)).then_some(State::Returning)
             }
             // Those that have not come back yet are no new trouble; silence of
@@ -324,31 +339,31 @@
             State::Returning if others && e.machines > 0 && self.all_silent(now, began, l) => {
                 Some(State::Doubt)
             }
-            State::Returning => (now - self.since >= self.ramp).then_some(State::Well),
+            State::Returning => (now - self.since >= self.recovery_ramp).then_some(State::Well),
         }
     }
 
-    fn turn(&mut self, to: State, now: Time, began: Time, l: &Limits) {
+    fn change_state(&mut self, to: State, now: Time, began: Time, l: &Limits) {
         // A doubt that ends counts once, and a loss when it begins.
         let counts = to == State::Lost || self.state == State::Doubt;
-        let before = self.troubles.len() as u32;
+        let before = self.recent_outages.len() as u32;
         match to {
             State::Doubt => {
-                self.gone_since = self.last_heard(began);
+                self.last_heard_before_outage = self.last_heard_or(began);
             }
             State::Lost => {}
             State::Well | State::Returning if self.state == State::Returning => {}
             State::Well | State::Returning => {
-                self.returned = now;
+                self.returned_at = now;
                 let doublings = before.saturating_sub(1).min(16);
-                self.ramp = Span(l.settle.0 << doublings).min(l.settle_most);
+                self.recovery_ramp = Span(l.recovery_ramp.0 << doublings).min(l.max_recovery_ramp);
                 if to == State::Well {
-                    self.ramp = Span::ZERO;
+                    self.recovery_ramp = Span::ZERO;
                 }
             }
         }
         if counts {
-            self.troubles.push_back(now);
+            self.recent_outages.push_back(now);
         }
         (self.state, self.since) = (to, now);
     }
@@ -358,8 +373,8 @@
             State::Well => 1.0,
             State::Doubt | State::Lost => 0.0,
             State::Returning => {
-                let ramp = self.ramp.as_secs().max(1e-3);
-                ((now - self.since).as_secs() / ramp).clamp(AT_ONCE, 1.0)
+                let ramp = self.recovery_ramp.as_secs().max(1e-3);
+                ((now - self.since).as_secs() / ramp).clamp(MIN_OPEN_SHARE, 1.0)
             }
         }
     }
--- a/crates/zones/tests/plans.rs
+++ b/crates/zones/tests/plans.rs
@@ -1,57 +1,59 @@
 //! What is worth moving out of a lost zone, and how much at a time.
 
 use hookworks_base::time::Span;
-use hookworks_zones::{Budget, Case, Stake, Standing, plan, worth};
+use hookworks_zones::{
+    AttemptAtRisk, AttemptKind, Budget, LostMachine, plan_releases, release_benefit,
+};
 
 fn s(seconds: f64) -> Span {
     Span::secs(seconds)
 }
 
 /// A task that has run for so long of a minute.
-fn stake(standing: Standing, ran: f64) -> Stake {
-    Stake {
-        standing,
-        unsaved: s(ran),
-        again: s(60.0),
-        left: s(60.0 - ran),
-        due: None,
-        size: 0.25,
+fn stake(standing: AttemptKind, ran: f64) -> AttemptAtRisk {
+    AttemptAtRisk {
+        kind: standing,
+        unsaved_work: s(ran),
+        rerun_time: s(60.0),
+        remaining: s(60.0 - ran),
+        due_in: None,
+        machine_share: 0.25,
     }
 }
 
-fn case(machine: u32, lease_left: f64, stakes: Vec<Stake>) -> Case<u32> {
+fn case(machine: u32, lease_left: f64, stakes: Vec<AttemptAtRisk>) -> LostMachine<u32> {
     let (lease_left, boot) = (s(lease_left), s(30.0));
-    Case {
+    LostMachine {
         machine,
-        stakes,
-        lease_left,
-        boot,
+        attempts: stakes,
+        lease_remaining: lease_left,
+        boot_time: boot,
     }
 }
 
 const PLENTY: Budget = Budget {
     free: 1e6,
-    made: 1e6,
+    preemptible: 1e6,
 };
 
 #[test]
 fn what_ends_before_its_lease_is_left_alone() {
-    let nearly = case(1, 15.0, vec![stake(Standing::Other, 50.0); 4]);
-    assert!(worth(s(12.0), &nearly) < 0.0);
+    let nearly = case(1, 15.0, vec![stake(AttemptKind::Other, 50.0); 4]);
+    assert!(release_benefit(s(12.0), &nearly) < 0.0);
     // And so is work that would have to begin again.
-    let half = case(1, 15.0, vec![stake(Standing::Urgent, 30.0); 4]);
-    assert!(worth(s(12.0), &half) < 0.0);
+    let half = case(1, 15.0, vec![stake(AttemptKind::Urgent, 30.0); 4]);
+    assert!(release_benefit(s(12.0), &half) < 0.0);
 }
 
 #[test]
 fn replicas_go_first_and_the_longer_the_wait_the_rather() {
-    let replicas = case(1, 20.0, vec![stake(Standing::Replica, 0.0); 4]);
-    let urgent = case(2, 20.0, vec![stake(Standing::Urgent, 2.0); 4]);
-    assert!(worth(s(10.0), &replicas) > 0.0);
-    assert!(worth(s(10.0), &replicas) > worth(s(10.0), &urgent));
-    let longer = case(1, 45.0, vec![stake(Standing::Replica, 0.0); 4]);
-    assert!(worth(s(10.0), &longer) > worth(s(10.0), &replicas));
-    let p = plan(s(10.0), vec![urgent, replicas.clone()], PLENTY);
+    let replicas = case(1, 20.0, vec![stake(AttemptKind::Replica, 0.0); 4]);
+    let urgent = case(2, 20.0, vec![stake(AttemptKind::Urgent, 2.0); 4]);
+    assert!(release_benefit(s(10.0), &replicas) > 0.0);
+    assert!(release_benefit(s(10.0), &replicas) > release_benefit(s(10.0), &urgent));
+    let longer = case(1, 45.0, vec![stake(AttemptKind::Replica, 0.0); 4]);
+    assert!(release_benefit(s(10.0), &longer) > release_benefit(s(10.0), &replicas));
+    let p = plan_releases(s(10.0), vec![urgent, replicas.clone()], PLENTY);
     assert_eq!(p.machines.first(), Some(&1));
 }
 
@@ -60,35 +62,44 @@
 fn the_room_there_is_goes_to_whom_it_serves_most() {
     let all = [(1, 20.0), (2, 45.0), (3, 30.0)];
     let cases = |order: &[usize]| {
-        let one = |i: &usize| case(all[*i].0, all[*i].1, vec![stake(Standing::Broken, 0.0); 4]);
+        let one = |i: &usize| {
+            case(
+                all[*i].0,
+                all[*i].1,
+                vec![stake(AttemptKind::BrokenGang, 0.0); 4],
+            )
+        };
         order.iter().map(one).collect::<Vec<_>>()
     };
     let room = Budget {
         free: 1.0,
-        made: 0.0,
+        preemptible: 0.0,
     };
     for order in [[0, 1, 2], [2, 1, 0], [1, 0, 2]] {
-        assert_eq!(plan(s(20.0), cases(&order), room).machines, [2]);
+        assert_eq!(plan_releases(s(20.0), cases(&order), room).machines, [2]);
     }
-    assert_eq!(plan(s(20.0), cases(&[0, 1, 2]), PLENTY).machines, [2, 3, 1]);
+    assert_eq!(
+        plan_releases(s(20.0), cases(&[0, 1, 2]), PLENTY).machines,
+        [2, 3, 1]
+    );
 }
 
 /// A result that is there but can't be seen: with a long wait ahead it is worth
 /// asking for elsewhere, with a short one it is not.
 #[test]
 fn results_that_wait_to_be_seen_are_fetched_when_the_wait_is_long() {
-    let done = |lease| case(1, lease, vec![stake(Standing::Other, 60.0); 4]);
-    assert!(worth(s(20.0), &done(50.0)) > 0.0);
-    assert!(worth(s(20.0), &done(4.0)) < 0.0);
+    let done = |lease| case(1, lease, vec![stake(AttemptKind::Other, 60.0); 4]);
+    assert!(release_benefit(s(20.0), &done(50.0)) > 0.0);
+    assert!(release_benefit(s(20.0), &done(4.0)) < 0.0);
 }
 
 #[test]
 fn an_aim_that_only_moving_meets_weighs_in() {
-    let mut pressed = stake(Standing::Other, 0.0);
-    (pressed.again, pressed.left, pressed.due) = (s(10.0), s(40.0), Some(s(20.0)));
+    let mut pressed = stake(AttemptKind::Other, 0.0);
+    (pressed.rerun_time, pressed.remaining, pressed.due_in) = (s(10.0), s(40.0), Some(s(20.0)));
     let mut easy = pressed;
-    easy.due = Some(s(300.0));
-    let at = |x| worth(s(15.0), &case(1, 25.0, vec![x; 4]));
+    easy.due_in = Some(s(300.0));
+    let at = |x| release_benefit(s(15.0), &case(1, 25.0, vec![x; 4]));
     assert!(at(pressed) > at(easy) + 20.0);
 }
 
@@ -96,25 +107,25 @@
 /// for the urgent is taken twice.
 #[test]
 fn no_more_goes_than_can_start_elsewhere() {
-    let all: Vec<Case<u32>> = (0..50)
-        .map(|n| case(n, 30.0, vec![stake(Standing::Broken, 0.0); 4]))
+    let all: Vec<LostMachine<u32>> = (0..50)
+        .map(|n| case(n, 30.0, vec![stake(AttemptKind::BrokenGang, 0.0); 4]))
         .collect();
     let few = Budget {
         free: 3.2,
-        made: 100.0,
+        preemptible: 100.0,
     };
-    let p = plan(s(20.0), all, few);
-    assert_eq!((p.machines.len(), p.worthy), (3, 50));
-    let replicas: Vec<Case<u32>> = (0..50)
-        .map(|n| case(n, 30.0, vec![stake(Standing::Replica, 0.0); 4]))
+    let p = plan_releases(s(20.0), all, few);
+    assert_eq!((p.machines.len(), p.worthwhile), (3, 50));
+    let replicas: Vec<LostMachine<u32>> = (0..50)
+        .map(|n| case(n, 30.0, vec![stake(AttemptKind::Replica, 0.0); 4]))
         .collect();
     let made = Budget {
         free: 2.0,
-        made: 5.0,
+        preemptible: 5.0,
     };
-    assert_eq!(plan(s(20.0), replicas, made).machines.len(), 7);
+    assert_eq!(plan_releases(s(20.0), replicas, made).machines.len(), 7);
     assert!(
-        plan(s(20.0), vec![case(1, 30.0, vec![])], PLENTY)
+        plan_releases(s(20.0), vec![case(1, 30.0, vec![])], PLENTY)
             .machines
             .is_empty()
     );
@@ -126,10 +137,10 @@
 fn plans_stay_within_their_budgets() {
     arbtest::arbtest(|u| {
         let standings = [
-            Standing::Replica,
-            Standing::Broken,
-            Standing::Urgent,
-            Standing::Other,
+            AttemptKind::Replica,
+            AttemptKind::BrokenGang,
+            AttemptKind::Urgent,
+            AttemptKind::Other,
         ];
         let n: u32 = u.int_in_range(0..=12)?;
         let mut cases = vec![];
@@ -137,21 +148,25 @@
             let mut stakes = vec![];
             for _ in 0..u.int_in_range(0..=4u32)? {
                 let mut x = stake(*u.choose(&standings)?, u.int_in_range(0..=59u32)? as f64);
-                x.size = u.int_in_range(1..=25u32)? as f64 / 100.0;
+                x.machine_share = u.int_in_range(1..=25u32)? as f64 / 100.0;
                 stakes.push(x);
             }
             cases.push(case(machine, u.int_in_range(0..=60u32)? as f64, stakes));
         }
         let budget = Budget {
             free: u.int_in_range(0..=4u32)? as f64,
-            made: u.int_in_range(0..=4u32)? as f64,
+            preemptible: u.int_in_range(0..=4u32)? as f64,
         };
-        let p = plan(s(u.int_in_range(0..=90u32)? as f64), cases, budget);
+        let p = plan_releases(s(u.int_in_range(0..=90u32)? as f64), cases, budget);
         let mut once = p.machines.clone();
         once.dedup();
         assert_eq!(once.len(), p.machines.len());
-        assert!(p.left.free >= -1e-6 && p.left.made >= -1e-6, "{:?}", p.left);
-        assert!(p.machines.len() <= p.worthy);
+        assert!(
+            p.remaining.free >= -1e-6 && p.remaining.preemptible >= -1e-6,
+            "{:?}",
+            p.remaining
+        );
+        assert!(p.machines.len() <= p.worthwhile);
         Ok(())
     });
 }
--- a/crates/zones/tests/verdicts.rs
+++ b/crates/zones/tests/verdicts.rs
@@ -49,20 +49,20 @@
             .collect();
         Evidence {
             machines: all.len() as u32,
-            heard: all.len() as u32,
+            reported: all.len() as u32,
             overdue: overdue.len() as u32,
-            fell_silent: overdue
+            overdue_last_heard: overdue
                 .iter()
                 .min()
                 .copied()
                 .zip(overdue.iter().max().copied()),
-            back: match self.zones.gone_since(z) {
+            returned: match self.zones.last_heard_before_outage(z) {
                 Some(gone) => all.iter().filter(|t| **t > gone).count() as u32,
                 None => 0,
             },
-            newest: all.iter().max().copied(),
+            last_heard: all.iter().max().copied(),
             controllers: 1,
-            away: self.away.contains(z) as u32,
+            unreachable_controllers: self.away.contains(z) as u32,
             ..Evidence::default()
         }
     }
@@ -85,7 +85,7 @@
                 .iter()
                 .map(|(z, all)| (z.clone(), self.evidence(z, all)));
             let seen = seen.collect();
-            for Change { zone, to, .. } in self.zones.look(self.now, seen) {
+            for Change { zone, to, .. } in self.zones.update(self.now, seen) {
                 let at = (self.now - Time(1_000_000_000)).as_secs();
                 self.changes.push((at, zone.to_string(), to));
             }
@@ -105,14 +105,14 @@
     f.silent = vec!["b".into()];
     f.run(5.0);
     assert_eq!(f.state("b"), State::Doubt);
-    assert_eq!(f.zones.open(f.now, &"b".into()), 0.0);
+    assert_eq!(f.zones.usable_share(f.now, &"b".into()), 0.0);
     f.run(5.0);
     assert_eq!(f.state("b"), State::Lost);
     f.run(30.0);
     f.silent.clear();
     f.run(1.5);
     assert_eq!(f.state("b"), State::Returning);
-    let open = f.zones.open(f.now, &"b".into());
+    let open = f.zones.usable_share(f.now, &"b".into());
     assert!(open > 0.0 && open < 0.5, "{open}");
     f.run(8.0);
     assert_eq!((f.state("b"), f.state("a")), (State::Well, State::Well));
@@ -188,7 +188,7 @@
     f.run(12.0);
     f.silent.clear();
     f.run(0.25);
-    let open = f.zones.open(f.now, &"b".into());
+    let open = f.zones.usable_share(f.now, &"b".into());
     f.run(4.0);
     assert_eq!(f.state("b"), State::Well, "{open}");
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -189,19 +189,19 @@
             );
             println!(
                 "  in doubt when nothing is heard for {} s and {}% of its machines are overdue ({} s)",
-                z.quiet.as_secs(),
+                z.quiet_after.as_secs(),
                 z.overdue_share * 100.0,
                 z.overdue_after().as_secs()
             );
             println!(
                 "  lost {} s later; its machines are kept for {} s",
                 z.lost_after.as_secs(),
-                z.keep.as_secs()
+                z.retain_for.as_secs()
             );
             println!(
                 "  back in full after {} to {} s",
-                z.settle.as_secs(),
-                z.settle_most.as_secs()
+                z.recovery_ramp.as_secs(),
+                z.max_recovery_ramp.as_secs()
             );
             if let Err(e) = s.check_machines(&config) {
                 eprintln!("hookworks: {e}");
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -153,7 +153,7 @@
         // The time of day first: no suspension between the two makes it too late.
         let (time_of_day, at) = (wall(), self.clock.now());
         if let Some(fences) = loaded.fences {
-            sched.take_fences(at, time_of_day, fences);
+            sched.load_fences(at, time_of_day, fences);
         }
         sched.load(now, loaded.jobs, loaded.unreadable);
         Term {
--- a/src/sched/audit.rs
+++ b/src/sched/consistency.rs
@@ -6,7 +6,7 @@
 
 impl Sched {
     /// What does not add up; nothing, unless there is a mistake in the code.
-    pub fn audit(&self) -> Vec<String> {
+    pub fn check_totals(&self) -> Vec<String> {
         let mut wrong = vec![];
         let mut by_team: BTreeMap<&Team, Room> = BTreeMap::new();
         let mut lives = 0;
@@ -19,7 +19,7 @@
                     ix: *t,
                 };
                 let m = self.machines.get(&l.host);
-                if !m.is_some_and(|m| m.slots.contains_key(&task)) {
+                if !m.is_some_and(|m| m.allocations.contains_key(&task)) {
                     wrong.push(format!("{task} has no place on {}", l.host));
                 }
             }
@@ -31,10 +31,10 @@
         let mut slots = 0;
         for m in self.machines.values() {
             let mut used = Room::default();
-            for s in m.slots.values() {
+            for s in m.allocations.values() {
                 used += s.need;
             }
-            slots += m.slots.len();
+            slots += m.allocations.len();
             if used != m.used {
                 wrong.push(format!("{}: {used} in use, not {}", m.host, m.used));
             }
--- a/src/sched/direct.rs
+++ b/src/sched/direct_calls.rs
@@ -2,8 +2,8 @@
 //! next heartbeat, and what their answers prove.
 
 use super::job::{Live, Phase};
-use super::machine::{Life, Machine};
-use super::report::{Delivery, ReportSource};
+use super::machine::{Machine, MachineState};
+use super::report_reconciliation::{Delivery, ReportSource};
 use super::{DirectResult, Effect, Sched};
 use crate::ids::{CallId, Host, JobId, Token};
 use crate::time::{Span, Time};
@@ -23,9 +23,9 @@
 impl Sched {
     /// Sends what waits for this worker, with the answer that is held for it or by a
     /// direct call.
-    pub(super) fn push(&mut self, now: Time, host: &Host) {
+    pub(super) fn send_commands(&mut self, now: Time, host: &Host) {
         if let Some(beat) = self.held.remove(host) {
-            return self.answer_beat(now, host, beat);
+            return self.answer_heartbeat(now, host, beat);
         }
         let Some(addr) = self.callable_address(now, host) else {
             return;
@@ -42,7 +42,7 @@
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        machine.direct = Some(call);
+        machine.direct_call = Some(call);
         let orders = Orders {
             token: machine.token,
             session: machine.session,
@@ -60,14 +60,14 @@
     fn callable_address(&self, now: Time, host: &Host) -> Option<String> {
         let machine = self.machines.get(host)?;
         let fresh = Span::secs(self.cfg.workers.report_s * MAX_INTERVALS_SINCE_HEARD);
-        let callable = machine.reported
-            && machine.life == Life::Up
-            && machine.direct.is_none()
-            && machine.doubt.is_none()
+        let callable = machine.has_reported
+            && machine.state == MachineState::Up
+            && machine.direct_call.is_none()
+            && machine.unconfirmed_token.is_none()
             // Calls to a zone that is cut off hold up those to others.
-            && !self.watch.silent(&machine.zone)
-            && now >= machine.no_push_until
-            && now - machine.reached < fresh;
+            && !self.watch.is_silent(&machine.zone)
+            && now >= machine.no_direct_call_until
+            && now - machine.last_contact < fresh;
         machine.addr.clone().filter(|_| callable)
     }
 
@@ -81,17 +81,17 @@
     /// renew the lease; one that overtakes the call tells a worker to end what it does
     /// not have yet, and the call would start it under the renewed lease. So they carry
     /// a token from now on that puts the call out of force.
-    pub(super) fn outdate_call(&mut self, host: &Host) {
+    pub(super) fn invalidate_call(&mut self, host: &Host) {
         let token = self.next_token();
         if let Some(machine) = self.machines.get_mut(host)
-            && machine.direct.is_some()
+            && machine.direct_call.is_some()
         {
             machine.token = token;
         }
     }
 
     /// Something of this job is stored: commands that waited for that may leave.
-    pub(super) fn note_ready(&mut self, id: &JobId) {
+    pub(super) fn note_job_stored(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -101,17 +101,17 @@
     }
 
     /// Sends what has become ready during this event.
-    pub(super) fn push_ready(&mut self, now: Time) {
+    pub(super) fn send_ready_commands(&mut self, now: Time) {
         for host in std::mem::take(&mut self.ready) {
-            self.push(now, &host);
+            self.send_commands(now, &host);
         }
     }
 
     /// Tries all machines again for which commands wait.
-    pub(super) fn push_all(&mut self, now: Time) {
+    pub(super) fn retry_unsent_commands(&mut self, now: Time) {
         for host in std::mem::take(&mut self.unsent) {
             if self.any_awaits_command(&host) {
-                self.push(now, &host);
+                self.send_commands(now, &host);
                 self.unsent.insert(host);
             }
         }
@@ -121,7 +121,7 @@
         let Some(machine) = self.machines.get(host) else {
             return false;
         };
-        machine.slots.keys().any(|task| {
+        machine.allocations.keys().any(|task| {
             let job = self.jobs.get(&task.job);
             let live = job.and_then(|job| job.live.get(&task.ix));
             live.is_some_and(awaits_command)
@@ -129,7 +129,7 @@
     }
 
     /// A direct call has ended.
-    pub(super) fn direct_result(
+    pub(super) fn handle_call_result(
         &mut self,
         now: Time,
         call: CallId,
@@ -140,44 +140,44 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        if machine.direct != Some(call) {
+        if machine.direct_call != Some(call) {
             return;
         }
-        machine.direct = None;
-        self.take_call_result(now, &host, token, result);
-        self.probed(now, call);
+        machine.direct_call = None;
+        self.apply_call_result(now, &host, token, result);
+        self.probe_finished(now, call);
     }
 
     /// `token`: a new one, for a worker that may still carry the call out.
-    fn take_call_result(&mut self, now: Time, host: &Host, token: Token, result: DirectResult) {
+    fn apply_call_result(&mut self, now: Time, host: &Host, token: Token, result: DirectResult) {
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
         match result {
             DirectResult::Done(report) => {
-                self.take_report(now, &report, ReportSource::DirectCall);
-                self.push(now, host);
+                self.apply_report(now, &report, ReportSource::DirectCall);
+                self.send_commands(now, host);
             }
             DirectResult::Conflict(report) => {
                 // A probe of a machine that had not reported yet ends so, too.
-                if machine.reported {
-                    machine.no_push_until = now + FAILED_CALL_BACKOFF;
+                if machine.has_reported {
+                    machine.no_direct_call_until = now + FAILED_CALL_BACKOFF;
                 }
-                self.take_report(now, &report, ReportSource::DirectCall);
+                self.apply_report(now, &report, ReportSource::DirectCall);
             }
             DirectResult::Unsent => {}
             DirectResult::Refused => {
-                machine.no_push_until = now + FAILED_CALL_BACKOFF;
+                machine.no_direct_call_until = now + FAILED_CALL_BACKOFF;
                 let zone = machine.zone.clone();
-                self.watch.unanswered(&zone);
+                self.watch.note_failed_call(&zone);
             }
             DirectResult::Unclear => {
                 // It may be carried out minutes from now, unless the worker has
                 // heard a higher token by then.
-                machine.no_push_until = now + FAILED_CALL_BACKOFF;
-                machine.doubt_until(token);
+                machine.no_direct_call_until = now + FAILED_CALL_BACKOFF;
+                machine.await_confirmation(token);
                 let zone = machine.zone.clone();
-                self.watch.unanswered(&zone);
+                self.watch.note_failed_call(&zone);
             }
         }
     }
@@ -185,8 +185,8 @@
 
 impl Machine {
     /// What was sent may be carried out until the worker has confirmed this token.
-    pub(super) fn doubt_until(&mut self, token: Token) {
+    pub(super) fn await_confirmation(&mut self, token: Token) {
         self.token = token;
-        self.doubt = Some(token);
+        self.unconfirmed_token = Some(token);
     }
 }
--- a/src/sched/fences.rs
+++ b/src/sched/fences.rs
@@ -28,7 +28,7 @@
 impl FenceRecord {
     /// As many zones as so many bytes hold. Nothing is known of one that is left
     /// out, so that the next leader waits for its leases from its own beginning.
-    pub fn within(mut self, bytes: usize) -> FenceRecord {
+    pub fn truncated_to(mut self, bytes: usize) -> FenceRecord {
         while self.since.len() > 1
             && serde_json::to_string(&self).is_ok_and(|text| text.len() > bytes)
         {
@@ -44,91 +44,91 @@
     /// Zones that are not answered, since when.
     wanted: BTreeMap<Zone, Wall>,
     /// Zones that the state service may name under our epoch.
-    written: BTreeSet<Zone>,
+    possibly_written: BTreeSet<Zone>,
     /// Counts the changes of `wanted`.
-    version: u64,
+    wanted_version: u64,
     /// The version that was given out to be written.
-    sent: u64,
+    sent_version: u64,
     /// The version that is stored.
-    stored: u64,
+    stored_version: u64,
     /// What the leader before us left, as moments of our clock.
     inherited: BTreeMap<Zone, Time>,
     /// When a worker of a zone was last answered by this leader.
-    answered: BTreeMap<Zone, Time>,
+    last_answered: BTreeMap<Zone, Time>,
 }
 
 impl Fences {
     /// A worker there must not be answered: the record that says so stands, or
     /// may do so.
-    pub fn closed(&self, zone: &Zone) -> bool {
-        self.written.contains(zone)
+    pub fn is_fenced(&self, zone: &Zone) -> bool {
+        self.possibly_written.contains(zone)
     }
 
     /// A worker of the zone is answered.
     pub fn note_answer(&mut self, zone: &Zone, now: Time) {
-        match self.answered.get_mut(zone) {
+        match self.last_answered.get_mut(zone) {
             Some(at) => *at = now,
             None => {
-                self.answered.insert(zone.clone(), now);
+                self.last_answered.insert(zone.clone(), now);
             }
         }
     }
 
     /// When a worker of the zone that this leader never heard may have been answered
     /// last, if the leader before us left word of it.
-    pub fn inherited(&self, zone: &Zone) -> Option<Time> {
+    pub fn inherited_since(&self, zone: &Zone) -> Option<Time> {
         self.inherited.get(zone).copied()
     }
 
     /// The record to be written next, with its version.
     pub fn next_write(&mut self, epoch: Epoch) -> Option<(FenceRecord, u64)> {
-        if self.sent == self.version {
+        if self.sent_version == self.wanted_version {
             return None;
         }
-        self.sent = self.version;
-        self.written.extend(self.wanted.keys().cloned());
+        self.sent_version = self.wanted_version;
+        self.possibly_written.extend(self.wanted.keys().cloned());
         let wanted = self.wanted.iter();
         let since = wanted.map(|(zone, since)| (zone.clone(), since.0));
         let since = since.collect();
-        Some((FenceRecord { epoch, since }, self.version))
+        Some((FenceRecord { epoch, since }, self.wanted_version))
     }
 
     /// The record could not be written, as far as is known.
-    pub fn again(&mut self) {
-        self.sent = self.stored;
+    pub fn write_failed(&mut self) {
+        self.sent_version = self.stored_version;
     }
 
     /// That version of the record is stored.
     pub fn stored(&mut self, version: u64) {
-        self.stored = self.stored.max(version);
+        self.stored_version = self.stored_version.max(version);
         // What is on record is what was wanted, if nothing has changed since.
-        if self.stored == self.version {
-            self.written = self.wanted.keys().cloned().collect();
+        if self.stored_version == self.wanted_version {
+            self.possibly_written = self.wanted.keys().cloned().collect();
         }
     }
 
     /// A machine that this leader never heard was not answered later than its zone
     /// was, if the leader before us left word of that.
-    pub fn bound(&self, machine: &mut Machine) {
-        if machine.reported_at.is_none()
-            && let Some(at) = self.inherited(&machine.zone)
+    pub fn bound_machine_times(&self, machine: &mut Machine) {
+        if machine.last_report.is_none()
+            && let Some(at) = self.inherited_since(&machine.zone)
         {
-            machine.answered = machine.answered.min(at);
+            machine.last_renewal = machine.last_renewal.min(at);
             // Nor was it heard: that would have lowered the fence.
-            machine.heard = machine.heard.min(at);
-            machine.reached = machine.reached.min(at);
+            machine.last_heartbeat = machine.last_heartbeat.min(at);
+            machine.last_contact = machine.last_contact.min(at);
         }
     }
 
     fn raise(&mut self, zone: Zone, since: Wall) {
         self.wanted.insert(zone, since);
-        self.version += 1;
+        self.wanted_version += 1;
     }
 }
 
 /// A time of day on our clock, never too early: both clocks may be off, in
 /// opposite directions. It may lie ahead, where an earlier leader could still answer.
-fn moment(now: Time, wall: Wall, at: Wall, clock_error: Span) -> Time {
+fn to_local_time(now: Time, wall: Wall, at: Wall, clock_error: Span) -> Time {
     let error = Span(2 * clock_error.0);
     if at.0 > wall.0 {
         return now + Span::millis(at.0 - wall.0).stretched() + error;
@@ -144,19 +144,19 @@
     }
 
     /// That record could not be written, as far as is known.
-    pub fn fences_again(&mut self) {
-        self.fences.again();
+    pub fn fence_write_failed(&mut self) {
+        self.fences.write_failed();
     }
 
     /// Takes the record that was stored when this leadership began. The time of day
     /// must have been read no later than `now`: what follows from it is then never too
     /// early.
-    pub fn take_fences(&mut self, now: Time, wall: Wall, record: FenceRecord) {
+    pub fn load_fences(&mut self, now: Time, wall: Wall, record: FenceRecord) {
         if record.epoch.0 + 1 != self.epoch.0 {
             return;
         }
         for (zone, since) in record.since {
-            let at = moment(now, wall, Wall(since), self.cfg.clock_error);
+            let at = to_local_time(now, wall, Wall(since), self.cfg.clock_error);
             let ago_s = now.0 as f64 / 1e6 - at.0 as f64 / 1e6;
             tracing::info!(%zone, ago_s, "not answered under the term before");
             self.fences.inherited.insert(zone.clone(), at);
@@ -168,8 +168,8 @@
     /// The zone's workers are not answered from now on.
     /// To be called with the tick that told the time of day.
     pub(super) fn raise_fence(&mut self, now: Time, zone: &Zone) {
-        let inherited = self.fences.inherited(zone);
-        let answered = self.fences.answered.get(zone).copied();
+        let inherited = self.fences.inherited_since(zone);
+        let answered = self.fences.last_answered.get(zone).copied();
         let at = answered.or(inherited).unwrap_or(self.began);
         // Earlier leaders may have gone on for a while after our beginning, but
         // for those of which the leader before us left word.
@@ -189,7 +189,7 @@
     pub(super) fn lower_fence(&mut self, zone: &Zone) {
         self.fences.inherited.remove(zone);
         if self.fences.wanted.remove(zone).is_some() {
-            self.fences.version += 1;
+            self.fences.wanted_version += 1;
         }
     }
 }
--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -3,7 +3,7 @@
 mod rent;
 
 use super::job::Phase;
-use super::machine::{Life, Machine};
+use super::machine::{Machine, MachineState};
 use super::place::allowed;
 use super::{Effect, Sched};
 use crate::ids::{Build, Epoch, Host, JobId, Label, TaskId, Zone};
@@ -225,7 +225,7 @@
         let rented = Time(now.0.saturating_sub(Span::secs(listed.age_s).0));
         let (host, build, zone) = (&listed.host, listed.build.clone(), listed.zone.clone());
         let mut machine = Machine::new(host.clone(), build, zone, listed.spot, rented, token);
-        machine.answered = self.maybe_renewed(now);
+        machine.last_renewal = self.maybe_renewed(now);
         self.machines.insert(host.clone(), machine);
     }
 
@@ -234,25 +234,25 @@
         let Some(machine) = self.machines.get_mut(&listed.host) else {
             return false;
         };
-        if !machine.reported {
+        if !machine.has_reported {
             // Loaded attempts name a machine, but not its type and zone.
             machine.build = listed.build.clone();
             machine.zone = listed.zone.clone();
             machine.spot = listed.spot;
             if let Some(flavor) = self.flavors.get(&machine.build) {
-                machine.set_flavor(flavor);
+                machine.set_machine_type(flavor);
             }
         }
-        machine.certain = true;
+        machine.existence_confirmed = true;
         if machine.addr.is_none() {
             machine.addr = listed.addr.clone();
         }
-        self.fences.bound(machine);
-        if listed.status == "failed" && !matches!(machine.life, Life::Leaving { .. }) {
+        self.fences.bound_machine_times(machine);
+        if listed.status == "failed" && !matches!(machine.state, MachineState::Leaving { .. }) {
             tracing::info!(host = %machine.host, "stopped on its own, released");
-            machine.life = Life::Leaving { next: now };
+            machine.state = MachineState::Leaving { next: now };
         }
-        listed.status == "running" && !machine.reported
+        listed.status == "running" && !machine.has_reported
     }
 
     /// Until when the lease of a worker that we have just met may have been
@@ -263,45 +263,45 @@
 
     /// Machines that fell silent, never came up or are about to be taken.
     pub(super) fn watch_machines(&mut self, now: Time) {
-        self.look_at_zones(now);
+        self.update_zones(now);
         let lease = self.lease_bound();
         let silence = self.silence(now);
-        let kept: HashSet<Zone> = self.kept_zones(now);
+        let kept: HashSet<Zone> = self.retained_zones(now);
         let mut expired: Vec<Host> = vec![];
         let mut evicted: Vec<TaskId> = vec![];
         for machine in self.machines.values_mut() {
             let zone_kept = kept.contains(&machine.zone);
-            let has_worker = machine.life != Life::Booting;
-            match machine.life {
-                Life::Booting => {
+            let has_worker = machine.state != MachineState::Booting;
+            match machine.state {
+                MachineState::Booting => {
                     let boot_s = self.flavors.get(&machine.build).map(|f| f.boot_s);
                     let limit = late_boot(boot_s.unwrap_or(DEFAULT_BOOT_S));
                     // A new leader has not heard from those that are up.
-                    if now - machine.hired > limit && !zone_kept && silence.settled {
+                    if now - machine.rented_at > limit && !zone_kept && silence.settled {
                         tracing::info!(host = %machine.host, "never came up, released");
-                        machine.life = Life::Leaving { next: now };
+                        machine.state = MachineState::Leaving { next: now };
                     }
                 }
-                Life::Up => {
+                MachineState::Up => {
                     machine.end_quarantine(now);
                     // One that comes back has as long as any other to report.
-                    let returned = self.watch.zones.returned(&machine.zone);
-                    let heard = machine.heard.max(returned).max(silence.awake);
-                    let cut_off = self.fleet.cut_off(now, &machine.via);
+                    let returned = self.watch.zones.returned_at(&machine.zone);
+                    let heard = machine.last_heartbeat.max(returned).max(silence.awake);
+                    let cut_off = self.fleet.cut_off(now, &machine.relayed_by);
                     let silent = now - heard > silence.limit_for(cut_off) && silence.is_theirs;
-                    let taken = machine.notice_until.is_some_and(|until| now > until)
+                    let taken = machine.spot_notice_until.is_some_and(|until| now > until)
                         && now - heard > TAKEN_AFTER_SILENCE;
                     if (silent && !zone_kept) || taken {
-                        tracing::info!(host = %machine.host, tasks = machine.slots.len(), "silent, released");
-                        machine.life = Life::Leaving { next: now };
+                        tracing::info!(host = %machine.host, tasks = machine.allocations.len(), "silent, released");
+                        machine.state = MachineState::Leaving { next: now };
                     }
-                    if machine.notice_until.is_some() {
-                        evicted.extend(machine.slots.keys().cloned());
+                    if machine.spot_notice_until.is_some() {
+                        evicted.extend(machine.allocations.keys().cloned());
                     }
                 }
-                Life::Leaving { .. } => {}
+                MachineState::Leaving { .. } => {}
             }
-            if has_worker && now > machine.answered + lease {
+            if has_worker && now > machine.last_renewal + lease {
                 expired.push(machine.host.clone());
             }
         }
@@ -321,10 +321,12 @@
         let limit = Span::secs(share_of_lease_s.max(heartbeats_s));
         // Zones in trouble are one matter, and machines that fall silent another.
         let watched = |machine: &&Machine| {
-            machine.life == Life::Up && machine.certain && !self.watch.silent(&machine.zone)
+            machine.state == MachineState::Up
+                && machine.existence_confirmed
+                && !self.watch.is_silent(&machine.zone)
         };
         let awake = self.awake;
-        let is_silent = |machine: &&Machine| now - machine.heard.max(awake) > limit;
+        let is_silent = |machine: &&Machine| now - machine.last_heartbeat.max(awake) > limit;
         let all = self.machines.values().filter(watched).count();
         let silent = self.machines.values().filter(watched).filter(is_silent);
         // When most fall silent at once, the fault is likely on our side.
@@ -344,26 +346,26 @@
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        machine.answered = now;
-        machine.reported = false;
+        machine.last_renewal = now;
+        machine.has_reported = false;
         // An unreachable one, which reports all the same, is looked after in
         // `return_idle`.
-        let failed = machine.life == Life::Up && machine.unreachable_since.is_none();
+        let failed = machine.state == MachineState::Up && machine.unreachable_since.is_none();
         let zone = machine.zone.clone();
-        let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+        let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         // A lost zone's machines are good for its next session, when it is back.
         if failed
-            && !self.keeps_zone(now, &zone)
+            && !self.retains_zone(now, &zone)
             && let Some(machine) = self.machines.get_mut(host)
         {
-            machine.life = Life::Leaving { next: now };
+            machine.state = MachineState::Leaving { next: now };
         }
-        self.watch.ended(&zone, tasks.len());
+        self.watch.note_lease_expired(&zone, tasks.len());
         if !tasks.is_empty() {
             tracing::info!(%host, tasks = tasks.len(), "lease has run out, tasks restart");
         }
         for task in tasks {
-            self.gone_by(now, &task, Some(Failure::Lost), false);
+            self.attempt_gone_with(now, &task, Some(Failure::Lost), false);
         }
     }
 
@@ -377,7 +379,7 @@
             return;
         };
         let machine = self.machines.get(&live.host);
-        let Some(until) = machine.and_then(|machine| machine.notice_until) else {
+        let Some(until) = machine.and_then(|machine| machine.spot_notice_until) else {
             return;
         };
         if live.stop.is_some() {
@@ -389,9 +391,9 @@
         let saves_now = saves && now + margin >= until;
         match kind {
             // Moved while its machine still stands.
-            Kind::Service => self.stop(now, &task.job, task.ix, save_s + 1.0),
+            Kind::Service => self.stop_attempt(now, &task.job, task.ix, save_s + 1.0),
             Kind::Gang if saves_now => self.stop_gang(now, &task.job),
-            Kind::Array if saves_now => self.stop(now, &task.job, task.ix, save_s + 1.0),
+            Kind::Array if saves_now => self.stop_attempt(now, &task.job, task.ix, save_s + 1.0),
             Kind::Gang | Kind::Array => {}
         }
     }
@@ -410,12 +412,12 @@
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        machine.fails += 1;
-        machine.fail_jobs.insert(task.job.clone());
-        machine.rest_until = now + FAILED_TASK_BACKOFF;
-        let blamed = machine.fail_jobs.len() > 1 || works_elsewhere;
-        if machine.fails >= MAX_ERRORS_IN_A_ROW && blamed && !machine.quarantined {
-            tracing::info!(%host, fails = machine.fails, "quarantined");
+        machine.failures += 1;
+        machine.failed_jobs.insert(task.job.clone());
+        machine.backoff_until = now + FAILED_TASK_BACKOFF;
+        let blamed = machine.failed_jobs.len() > 1 || works_elsewhere;
+        if machine.failures >= MAX_ERRORS_IN_A_ROW && blamed && !machine.quarantined {
+            tracing::info!(%host, fails = machine.failures, "quarantined");
             machine.quarantined = true;
             machine.quarantined_at = now;
             self.forgive(host);
@@ -432,8 +434,8 @@
         job.backoff_until = now + Span::secs(pause);
         tracing::info!(job = %id, pause, "fails everywhere, backs off");
         for machine in self.machines.values_mut() {
-            if machine.fail_jobs.remove(id) && machine.fail_jobs.is_empty() {
-                machine.fails = 0;
+            if machine.failed_jobs.remove(id) && machine.failed_jobs.is_empty() {
+                machine.failures = 0;
                 machine.quarantined = false;
             }
         }
@@ -444,8 +446,8 @@
         let keep = self.headroom(now);
         let mut free = self.free_room(now);
         let is_idle = |machine: &&Machine| {
-            let up = machine.life == Life::Up && machine.reported;
-            up && !machine.shut && machine.slots.is_empty()
+            let up = machine.state == MachineState::Up && machine.has_reported;
+            up && !machine.closed && machine.allocations.is_empty()
         };
         let idle = self.machines.values().filter(is_idle);
         let mut idle: Vec<(bool, Time, Host)> = idle
@@ -457,7 +459,7 @@
             let Some(machine) = self.machines.get(&host) else {
                 continue;
             };
-            let mut unusable = machine.quarantined || machine.notice_until.is_some();
+            let mut unusable = machine.quarantined || machine.spot_notice_until.is_some();
             if let Some(since) = machine.unreachable_since {
                 let long = now - since >= self.lease_bound() + self.lease_bound();
                 if !long || now < self.fleet.return_unreachable_at {
@@ -477,7 +479,7 @@
             }
             tracing::info!(%host, spot, "given back");
             if let Some(machine) = self.machines.get_mut(&host) {
-                machine.life = Life::Leaving { next: now };
+                machine.state = MachineState::Leaving { next: now };
             }
         }
     }
@@ -489,7 +491,7 @@
         } else {
             tuning.idle_s
         };
-        now - machine.idle_since > Span::secs(limit_s) && now - machine.hired > MIN_PAID_TIME
+        now - machine.idle_since > Span::secs(limit_s) && now - machine.rented_at > MIN_PAID_TIME
     }
 
     /// Some job without room could use the machine.
@@ -506,7 +508,7 @@
     fn request_returns(&mut self, now: Time) {
         let mut hosts = vec![];
         for machine in self.machines.values_mut() {
-            if let Life::Leaving { next } = &mut machine.life
+            if let MachineState::Leaving { next } = &mut machine.state
                 && now >= *next
                 && hosts.len() < MAX_RETURNS_PER_REQUEST
             {
@@ -529,15 +531,15 @@
             let Some(machine) = self.machines.get(&host) else {
                 continue;
             };
-            if !matches!(machine.life, Life::Leaving { .. }) {
+            if !matches!(machine.state, MachineState::Leaving { .. }) {
                 continue;
             }
             let zone = machine.zone.clone();
-            let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+            let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
             for task in tasks {
-                self.gone_by(now, &task, Some(Failure::Lost), false);
+                self.attempt_gone_with(now, &task, Some(Failure::Lost), false);
             }
-            self.watch.given_back(&zone);
+            self.watch.note_released(&zone);
             self.machines.remove(&host);
             self.fleet.gone.insert(host);
         }
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -4,7 +4,7 @@
 use crate::ids::{Build, Host, Team, Zone};
 use crate::sched::allowed_zones::AllowedZones;
 use crate::sched::job::Job;
-use crate::sched::machine::{Life, Machine};
+use crate::sched::machine::{Machine, MachineState};
 use crate::sched::{Effect, HireResult, Room, Sched};
 use crate::time::{Span, Time};
 use crate::wire::cloud::{Flavor, Hire};
@@ -180,7 +180,7 @@
 
     fn request_machines(&mut self, now: Time, kind: MachineKind, machines: f64) {
         // A zone that comes back is rented in by degrees.
-        let open = self.watch.open(now, &kind.zone);
+        let open = self.watch.usable_share(now, &kind.zone);
         let max = (MAX_MACHINES_PER_REQUEST as f64 * open).ceil() as u32;
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
         self.fleet.counter += 1;
@@ -216,7 +216,7 @@
         let mut all: BTreeMap<MachineKind, Coming> = BTreeMap::new();
         for request in self.fleet.requests.values() {
             let hire = &request.hire;
-            if self.watch.silent(&hire.zone) {
+            if self.watch.is_silent(&hire.zone) {
                 continue;
             }
             let coming = all.entry(MachineKind::of_request(hire)).or_default();
@@ -225,7 +225,7 @@
         }
         for machine in self.machines.values() {
             // Nothing can be counted on in a zone that is silent.
-            if self.watch.silent(&machine.zone) {
+            if self.watch.is_silent(&machine.zone) {
                 continue;
             }
             let of_machine = self.coming_of(now, machine);
@@ -239,19 +239,19 @@
     }
 
     fn coming_of(&self, now: Time, machine: &Machine) -> Coming {
-        match machine.life {
-            Life::Booting => Coming {
+        match machine.state {
+            MachineState::Booting => Coming {
                 room: 1.0,
                 whole: 1.0,
             },
-            Life::Up if machine.shut => Coming {
+            MachineState::Up if machine.closed => Coming {
                 room: machine.free().at_least_zero().share_of(&machine.capacity),
-                whole: machine.slots.is_empty() as u8 as f64,
+                whole: machine.allocations.is_empty() as u8 as f64,
             },
-            Life::Up if machine.notice_until.is_none() && machine.capacity.cpu > 0 => {
+            MachineState::Up if machine.spot_notice_until.is_none() && machine.capacity.cpu > 0 => {
                 self.freed_soon(now, machine)
             }
-            Life::Up | Life::Leaving { .. } => Coming::default(),
+            MachineState::Up | MachineState::Leaving { .. } => Coming::default(),
         }
     }
 
@@ -260,14 +260,14 @@
         let soon = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
         let mut freed = Room::default();
         let mut staying = 0;
-        for slot in machine.slots.values() {
+        for slot in machine.allocations.values() {
             if slot.ends_within(now, soon) {
                 freed += slot.need;
             } else {
                 staying += 1;
             }
         }
-        let empties = staying == 0 && !machine.slots.is_empty();
+        let empties = staying == 0 && !machine.allocations.is_empty();
         Coming {
             room: freed.share_of(&machine.capacity),
             whole: empties as u8 as f64,
@@ -320,7 +320,11 @@
         let mut offers = vec![];
         // What is rented in a zone that is lost boots and is paid for, and never
         // reports.
-        for zone in flavor.zones.iter().filter(|zone| !self.watch.silent(zone)) {
+        for zone in flavor
+            .zones
+            .iter()
+            .filter(|zone| !self.watch.is_silent(zone))
+        {
             let spot = flavor.spot_price.map(|price| (true, price));
             for (spot, price) in spot.into_iter().chain([(false, flavor.price)]) {
                 let kind = MachineKind {
@@ -338,7 +342,7 @@
 
     fn machines_by_zone(&self) -> BTreeMap<Zone, usize> {
         let mut machines = BTreeMap::new();
-        for machine in self.machines.values().filter(|machine| !machine.shut) {
+        for machine in self.machines.values().filter(|machine| !machine.closed) {
             *machines.entry(machine.zone.clone()).or_default() += 1;
         }
         machines
@@ -444,15 +448,15 @@
             let (build, zone) = (hire.build.clone(), hire.zone.clone());
             let mut machine = Machine::new(host, build, zone, hire.spot, now, token);
             if let Some(flavor) = flavor {
-                machine.set_flavor(flavor);
+                machine.set_machine_type(flavor);
             }
             machine
         });
         // Nobody else has ever told it anything. It may have reported before
         // this answer came; nothing was placed there until now.
-        self.replan |= machine.reported && !machine.certain;
-        machine.certain = true;
-        machine.in_term = true;
+        self.replan |= machine.has_reported && !machine.existence_confirmed;
+        machine.existence_confirmed = true;
+        machine.session_confirmed = true;
     }
 }
 
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -4,7 +4,7 @@
 use super::Sched;
 use super::fleet::Short;
 use super::job::{Job, Live, Phase};
-use super::machine::{ENDLESS, Life, Machine};
+use super::machine::{ENDLESS, Machine, MachineState};
 use super::order::Order;
 use super::place::{Candidate, Score, View, allowed};
 use crate::ids::{Attempt, Host, JobId, Zone};
@@ -147,11 +147,15 @@
         let fresh = self.heard_within();
         let view = View::of(self, now, job, order, false);
         let mut suitable = vec![];
-        for machine in self.machines.values().filter(|m| m.open(now, fresh)) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|m| m.accepts_tasks(now, fresh))
+        {
             let candidate = Candidate {
                 m: machine,
                 free: machine.free(),
-                span: machine.remaining(now),
+                span: machine.remaining_range(now),
                 kept: held.contains(&machine.host),
             };
             if let Some(score) = view.score(&candidate) {
@@ -190,7 +194,7 @@
         let overdue = job.overdue(now);
         for machine in self.machines.values() {
             let kept = held.contains(&machine.host) && !(overdue && machine.kept_long(now));
-            if !allowed(&job.spec, machine) || kept || self.watch.silent(&machine.zone) {
+            if !allowed(&job.spec, machine) || kept || self.watch.is_silent(&machine.zone) {
                 continue;
             }
             if let Some(soon_free) = self.soon_free(now, job, machine) {
@@ -213,10 +217,10 @@
             after,
             tasks,
         };
-        if machine.life == Life::Booting {
+        if machine.state == MachineState::Booting {
             return Some(soon_free(ENDLESS, whole));
         }
-        if !machine.open(now, self.heard_within()) {
+        if !machine.accepts_tasks(now, self.heard_within()) {
             return None;
         }
         let free = machine.free().times(&job.need);
@@ -224,8 +228,10 @@
             return Some(soon_free(Span::ZERO, free));
         }
         let boot = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
-        let empty_after = machine.remaining(now).map_or(Span::ZERO, |(_, high)| high);
-        let overruns = || machine.slots.values().any(|slot| slot.overruns(now));
+        let empty_after = machine
+            .remaining_range(now)
+            .map_or(Span::ZERO, |(_, high)| high);
+        let overruns = || machine.allocations.values().any(|slot| slot.overruns(now));
         (empty_after < boot && !overruns()).then(|| soon_free(empty_after, whole))
     }
 
@@ -260,7 +266,7 @@
         let going_on = job.live.iter().filter(|(_, live)| live.stop.is_none());
         let tasks: Vec<_> = going_on.map(|(task, _)| *task).collect();
         for task in tasks {
-            self.stop(now, id, task, leeway_s);
+            self.stop_attempt(now, id, task, leeway_s);
         }
     }
 }
--- a/src/sched/beats.rs
+++ b/src/sched/heartbeats.rs
@@ -1,27 +1,27 @@
 //! Answers to workers' heartbeats: who is entitled to one, and when it leaves.
 
 use super::Sched;
-use super::machine::{Life, Machine, SentAnswer};
-use super::report::{Delivery, ReportSource};
+use super::machine::{Machine, MachineState, SentAnswer};
+use super::report_reconciliation::{Delivery, ReportSource};
 use crate::ids::{Host, Label, ReqId, Seq, Session};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
 use crate::wire::worker::{Report, ReportAnswer};
 
 /// An answer waits no longer for its zone to be taken back on record.
-const MAX_WAIT_AT_FENCE: Span = Span(1_000_000);
+const MAX_FENCE_WAIT: Span = Span(1_000_000);
 
 /// Tokens that one leadership may give out; a larger one comes from a later leader.
 const TOKENS_PER_EPOCH: u64 = 1 << 24;
 
 /// A heartbeat that is being answered.
-pub(super) struct Beat {
+pub(super) struct PendingHeartbeat {
     req: ReqId,
-    since: Time,
+    received_at: Time,
     /// Orders the heartbeats of a worker.
-    order: (Session, Seq),
+    position: (Session, Seq),
     /// The worker has heard our token: it drops the answers of earlier leaders.
-    heard_our_token: bool,
+    has_our_token: bool,
     /// The newest of its worker, which may be told what to do.
     newest: bool,
 }
@@ -29,7 +29,13 @@
 impl Sched {
     /// Takes a heartbeat, which came by way of the controller `via` if not directly,
     /// and answers it now or holds the answer back.
-    pub(super) fn beat(&mut self, now: Time, req: ReqId, body: &[u8], via: Option<Label>) {
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        now: Time,
+        req: ReqId,
+        body: &[u8],
+        via: Option<Label>,
+    ) {
         let report: Report = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(e) => return self.answer(req, Answer::error(400, &e.to_string())),
@@ -43,39 +49,39 @@
         }
         let host = report.host.clone();
         let tasks_before = self.tasks_on(&host);
-        let newest = self.take_report(now, &report, ReportSource::Heartbeat);
+        let newest = self.apply_report(now, &report, ReportSource::Heartbeat);
         if newest && let Some(machine) = self.machines.get_mut(&host) {
-            machine.via = via;
+            machine.relayed_by = via;
         }
         let freed = self.tasks_on(&host) < tasks_before;
-        let beat = Beat {
+        let beat = PendingHeartbeat {
             req,
-            since: now,
-            order: (report.session, report.seq),
-            heard_our_token: report.token >= self.base_token(),
+            received_at: now,
+            position: (report.session, report.seq),
+            has_our_token: report.token >= self.base_token(),
             newest,
         };
         if !self.supersedes_waiting(&host, &beat) {
             return self.answer(req, Answer::later("a newer report is here", 1));
         }
-        if newest && self.worth_holding(now, &host, freed) {
+        if newest && self.should_hold_answer(now, &host, freed) {
             self.reports_held += 1;
             self.held.insert(host, beat);
         } else {
-            self.answer_beat(now, &host, beat);
+            self.answer_heartbeat(now, &host, beat);
         }
     }
 
     fn tasks_on(&self, host: &Host) -> usize {
         let machine = self.machines.get(host);
-        machine.map_or(0, |machine| machine.slots.len())
+        machine.map_or(0, |machine| machine.allocations.len())
     }
 
     /// A worker has one heartbeat in flight, so it has given up an earlier one that
     /// still waits for its answer. False if a newer one waits: then this is a copy.
-    fn supersedes_waiting(&mut self, host: &Host, beat: &Beat) -> bool {
+    fn supersedes_waiting(&mut self, host: &Host, beat: &PendingHeartbeat) -> bool {
         let waiting = self.held.get(host).or(self.at_fence.get(host));
-        if waiting.is_some_and(|waiting| waiting.order >= beat.order) {
+        if waiting.is_some_and(|waiting| waiting.position >= beat.position) {
             return false;
         }
         let earlier = self.held.remove(host);
@@ -87,7 +93,7 @@
 
     /// Answers a heartbeat with what the worker is to do, which renews its lease, unless
     /// that must not be or has to wait.
-    pub(super) fn answer_beat(&mut self, now: Time, host: &Host, beat: Beat) {
+    pub(super) fn answer_heartbeat(&mut self, now: Time, host: &Host, beat: PendingHeartbeat) {
         if !self.may_report(now) {
             return self.answer(beat.req, Answer::later("not entitled to answer", 1));
         }
@@ -99,10 +105,10 @@
         // a record that has not left yet must not say so later.
         let zone = machine.zone.clone();
         self.lower_fence(&zone);
-        if self.fences.closed(&zone) {
+        if self.fences.is_fenced(&zone) {
             return self.hold_at_fence(now, host, beat);
         }
-        if unreachable && self.keeps_up(now) && self.ends_something(host) {
+        if unreachable && self.answers_are_timely(now) && self.check_pending_stops(host) {
             // An unreachable worker ends what it has with its lease, which no answer
             // of ours may renew: a cancellation holds by that.
             self.reports_refused += 1;
@@ -125,8 +131,8 @@
 
     /// The answer waits until it is on record that the zone is answered again: a worker
     /// that is sent away comes back only after its lease has expired.
-    fn hold_at_fence(&mut self, now: Time, host: &Host, beat: Beat) {
-        if now - beat.since >= MAX_WAIT_AT_FENCE {
+    fn hold_at_fence(&mut self, now: Time, host: &Host, beat: PendingHeartbeat) {
+        if now - beat.received_at >= MAX_FENCE_WAIT {
             self.reports_refused += 1;
             return self.answer(beat.req, Answer::later("its zone is being taken back", 1));
         }
@@ -135,55 +141,56 @@
 
     /// Answers that waited at a fence: those whose zone is open, and those that
     /// have waited for too long.
-    pub(super) fn answer_at_fence(&mut self, now: Time) {
+    pub(super) fn answer_fenced_heartbeats(&mut self, now: Time) {
         for (host, beat) in std::mem::take(&mut self.at_fence) {
-            self.answer_beat(now, &host, beat);
+            self.answer_heartbeat(now, &host, beat);
         }
     }
 
     /// What the worker is to do next will be known in a moment: its answer can
     /// wait for that, which saves a direct call and further heartbeats.
-    fn worth_holding(&self, now: Time, host: &Host, freed: bool) -> bool {
+    fn should_hold_answer(&self, now: Time, host: &Host, freed: bool) -> bool {
         if self.cfg.hold == Span::ZERO || !self.may_start(now) {
             return false;
         }
-        let able = |machine: &Machine| machine.life == Life::Up && machine.direct.is_none();
+        let able =
+            |machine: &Machine| machine.state == MachineState::Up && machine.direct_call.is_none();
         let waits = self.unsent.contains(host) || freed && !self.fleet.short.is_empty();
         waits && self.machines.get(host).is_some_and(able)
     }
 
     /// Answers to heartbeats that need not, or may not, wait any longer; `passed`: a
     /// placement pass has just ended.
-    pub(super) fn answer_held(&mut self, now: Time, passed: bool) {
+    pub(super) fn answer_held_heartbeats(&mut self, now: Time, passed: bool) {
         let hold = self.cfg.hold;
         let unsent = &self.unsent;
-        let due = |(host, beat): (&Host, &Beat)| {
+        let due = |(host, beat): (&Host, &PendingHeartbeat)| {
             let idle = passed && !unsent.contains(host);
-            (idle || now - beat.since >= hold).then(|| host.clone())
+            (idle || now - beat.received_at >= hold).then(|| host.clone())
         };
         let hosts: Vec<Host> = self.held.iter().filter_map(due).collect();
         for host in hosts {
             if let Some(beat) = self.held.remove(&host) {
-                self.answer_beat(now, &host, beat);
+                self.answer_heartbeat(now, &host, beat);
             }
         }
     }
 
     /// When the next held answer is due.
-    pub(super) fn held_until(&self) -> Option<Time> {
-        let first = self.held.values().map(|beat| beat.since).min();
+    pub(super) fn next_held_deadline(&self) -> Option<Time> {
+        let first = self.held.values().map(|beat| beat.received_at).min();
         first.map(|since| since + self.cfg.hold)
     }
 }
 
 impl Machine {
     /// Notes that a heartbeat is answered with 200, which renews the worker's lease.
-    fn note_answer(&mut self, now: Time, beat: &Beat) {
+    fn note_answer(&mut self, now: Time, beat: &PendingHeartbeat) {
         // Until the worker has heard our token, an earlier leader may renew it, too.
-        self.answered = if beat.heard_our_token {
+        self.last_renewal = if beat.has_our_token {
             now
         } else {
-            self.answered.max(now)
+            self.last_renewal.max(now)
         };
         if beat.newest {
             self.last_answer = Some(SentAnswer {
--- a/src/sched/life.rs
+++ b/src/sched/life.rs
@@ -107,7 +107,7 @@
         let some = j.live.iter().filter(|(_, l)| on_its_way(l));
         let tasks: Vec<TaskIx> = some.map(|(t, _)| *t).collect();
         for t in tasks {
-            self.stop(now, id, t, leeway);
+            self.stop_attempt(now, id, t, leeway);
         }
     }
 
@@ -121,7 +121,7 @@
         let goes_on = j.live.iter().filter(|(_, l)| l.stop.is_none());
         let tasks: Vec<TaskIx> = goes_on.map(|(t, _)| *t).collect();
         for t in tasks {
-            self.stop(now, id, t, leeway);
+            self.stop_attempt(now, id, t, leeway);
         }
     }
 
@@ -377,7 +377,7 @@
             }
             let saves = j.spec.save_s + 1.0;
             if l.timed_out {
-                self.stop(now, &t.job, t.ix, 0.0);
+                self.stop_attempt(now, &t.job, t.ix, 0.0);
                 continue;
             }
             tracing::info!(task = %t, limit, "ran for longer than it may");
@@ -385,9 +385,9 @@
             if j.spec.kind == Kind::Gang {
                 self.stop_gang(now, &t.job);
             } else {
-                self.stop(now, &t.job, t.ix, saves);
+                self.stop_attempt(now, &t.job, t.ix, saves);
             }
-            if let Some(l) = self.live_mut(&t) {
+            if let Some(l) = self.active_attempt_mut(&t) {
                 l.timed_out = true;
                 self.time_limits.insert((again, t));
             }
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum MachineState {
     /// Rented, has not reported yet.
     Booting,
     Up,
@@ -21,7 +21,7 @@
 
 /// A task's claim on its machine, with what the spread check needs.
 #[derive(Clone, Debug)]
-pub struct Slot {
+pub struct Allocation {
     pub need: Room,
     pub start: Time,
     pub estimate: Span,
@@ -36,63 +36,63 @@
     pub build: Build,
     pub zone: Zone,
     pub spot: bool,
-    pub life: Life,
+    pub state: MachineState,
     pub capacity: Room,
     pub used: Room,
-    pub slots: BTreeMap<TaskId, Slot>,
-    pub hired: Time,
+    pub allocations: BTreeMap<TaskId, Allocation>,
+    pub rented_at: Time,
     pub session: Session,
     pub seq: Seq,
     /// The token that our commands to this worker carry.
     pub token: Token,
     /// An unanswered direct command may be carried out until the worker has
     /// confirmed this token.
-    pub doubt: Option<Token>,
-    pub direct: Option<CallId>,
-    pub no_push_until: Time,
+    pub unconfirmed_token: Option<Token>,
+    pub direct_call: Option<CallId>,
+    pub no_direct_call_until: Time,
     /// When it last reported by itself, or was met. An answer to a call is no proof
     /// that its reports arrive, and so none that its lease can be renewed.
-    pub heard: Time,
+    pub last_heartbeat: Time,
     /// When it last sent anything, answers to calls included: calls reach it.
-    pub reached: Time,
+    pub last_contact: Time,
     /// The controller that passed its last report on, if not the leader itself.
-    pub via: Option<Label>,
+    pub relayed_by: Option<Label>,
     /// When the last answer to one of its reports left; its lease counts from
     /// an earlier moment.
-    pub answered: Time,
-    pub reported: bool,
+    pub last_renewal: Time,
+    pub has_reported: bool,
     /// Its last report in this term.
-    pub reported_at: Option<Time>,
+    pub last_report: Option<Time>,
     /// It is there: rented or listed in this term, or heard in answer to it. A
     /// copy of an earlier report proves nothing, and may be of one long gone.
-    pub certain: bool,
+    pub existence_confirmed: bool,
     /// Its session is known from what it sent in this term, so whatever it was
     /// told before has ended once it reports a later one.
-    pub in_term: bool,
+    pub session_confirmed: bool,
     /// What its latest report was answered with.
     pub last_answer: Option<SentAnswer>,
     /// Answers in a row whose effect the next heartbeat did not show.
-    pub unheard_answers: u32,
+    pub ineffective_answers: u32,
     /// It reports, but answers and commands do not reach it: nothing more is placed
     /// there until it has confirmed the token of that moment.
     pub unreachable_since: Option<Time>,
     /// Its zone is in trouble, or not back in full: it takes nothing new.
-    pub shut: bool,
-    pub notice_until: Option<Time>,
+    pub closed: bool,
+    pub spot_notice_until: Option<Time>,
     pub idle_since: Time,
     /// Images that it should still hold, with their sizes, the latest last.
-    pub images: Vec<(Image, f64)>,
+    pub cached_images: Vec<(Image, f64)>,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     /// Attempts that its last report showed and that are no longer ours.
-    pub strays: BTreeMap<(TaskId, Attempt), bool>,
-    pub fails: u32,
-    pub fail_jobs: BTreeSet<JobId>,
+    pub unknown_attempts: BTreeMap<(TaskId, Attempt), bool>,
+    pub failures: u32,
+    pub failed_jobs: BTreeSet<JobId>,
     pub quarantined: bool,
     pub quarantined_at: Time,
     /// Since when it is kept free for gangs.
-    pub kept_since: Option<Time>,
-    pub rest_until: Time,
+    pub reserved_for_gangs_since: Option<Time>,
+    pub backoff_until: Time,
 }
 
 /// An answer to a heartbeat.
@@ -118,41 +118,41 @@
             build,
             zone,
             spot,
-            life: Life::Booting,
+            state: MachineState::Booting,
             capacity: Room::default(),
             used: Room::default(),
-            slots: BTreeMap::new(),
-            hired: now,
+            allocations: BTreeMap::new(),
+            rented_at: now,
             session: Session(0),
             seq: Seq(0),
             token,
-            doubt: None,
-            direct: None,
-            no_push_until: Time::default(),
-            heard: now,
-            reached: now,
-            via: None,
-            answered: now,
-            reported: false,
-            reported_at: None,
-            certain: false,
-            in_term: false,
+            unconfirmed_token: None,
+            direct_call: None,
+            no_direct_call_until: Time::default(),
+            last_heartbeat: now,
+            last_contact: now,
+            relayed_by: None,
+            last_renewal: now,
+            has_reported: false,
+            last_report: None,
+            existence_confirmed: false,
+            session_confirmed: false,
             last_answer: None,
-            unheard_answers: 0,
+            ineffective_answers: 0,
             unreachable_since: None,
-            shut: false,
-            notice_until: None,
+            closed: false,
+            spot_notice_until: None,
             idle_since: now,
-            images: vec![],
+            cached_images: vec![],
             cache_gb: 0.0,
             fetch_gb_per_s: 0.0,
-            strays: BTreeMap::new(),
-            fails: 0,
-            fail_jobs: BTreeSet::new(),
+            unknown_attempts: BTreeMap::new(),
+            failures: 0,
+            failed_jobs: BTreeSet::new(),
             quarantined: false,
             quarantined_at: Time::default(),
-            kept_since: None,
-            rest_until: Time::default(),
+            reserved_for_gangs_since: None,
+            backoff_until: Time::default(),
         }
     }
 
@@ -161,37 +161,39 @@
     }
 
     /// May take tasks now.
-    pub fn open(&self, now: Time, fresh: Span) -> bool {
-        self.life == Life::Up
-            && self.reported
-            && self.certain
+    pub fn accepts_tasks(&self, now: Time, fresh: Span) -> bool {
+        self.state == MachineState::Up
+            && self.has_reported
+            && self.existence_confirmed
             && self.unreachable_since.is_none()
-            && !self.shut
+            && !self.closed
             && !self.quarantined
-            && self.notice_until.is_none()
-            && now >= self.rest_until
-            && now - self.heard < fresh
+            && self.spot_notice_until.is_none()
+            && now >= self.backoff_until
+            && now - self.last_heartbeat < fresh
     }
 
     /// The image has been used here; the longest unused go as the cache fills.
-    pub fn saw_image(&mut self, image: &Image, gb: f64) {
-        if self.images.last().is_some_and(|i| i.0 == *image) {
+    pub fn note_image_use(&mut self, image: &Image, gb: f64) {
+        if self.cached_images.last().is_some_and(|i| i.0 == *image) {
             return;
         }
-        self.images.retain(|i| i.0 != *image);
-        self.images.push((image.clone(), gb));
+        self.cached_images.retain(|i| i.0 != *image);
+        self.cached_images.push((image.clone(), gb));
         let held = |v: &[(Image, f64)]| v.iter().map(|i| i.1).sum::<f64>();
-        while self.images.len() > IMAGES_REMEMBERED || held(&self.images) > self.cache_gb {
-            self.images.remove(0);
+        while self.cached_images.len() > IMAGES_REMEMBERED
+            || held(&self.cached_images) > self.cache_gb
+        {
+            self.cached_images.remove(0);
         }
     }
 
     pub fn has_image(&self, image: &Image) -> bool {
-        self.images.iter().any(|i| i.0 == *image)
+        self.cached_images.iter().any(|i| i.0 == *image)
     }
 
     /// What the cloud says of this type of machine.
-    pub fn set_flavor(&mut self, f: &Flavor) {
+    pub fn set_machine_type(&mut self, f: &Flavor) {
         self.capacity = Room::of_flavor(f);
         self.cache_gb = f.cache_gb;
         self.fetch_gb_per_s = f.fetch_gb_per_s;
@@ -205,7 +207,7 @@
         }
         let whole = Span::secs(gb / self.fetch_gb_per_s * FETCH_MARGIN);
         let mut fetched: Vec<&Image> = vec![];
-        for s in self.slots.values() {
+        for s in self.allocations.values() {
             if s.image == *image {
                 return whole - (now - s.start);
             }
@@ -217,8 +219,8 @@
     }
 
     /// Remaining runtimes of its tasks, the smallest and the largest.
-    pub fn remaining(&self, now: Time) -> Option<(Span, Span)> {
-        let each = self.slots.values().map(|s| s.remaining(now));
+    pub fn remaining_range(&self, now: Time) -> Option<(Span, Span)> {
+        let each = self.allocations.values().map(|s| s.remaining(now));
         each.fold(None, |acc, r| match acc {
             None => Some((r, r)),
             Some((low, high)) => Some((r.min(low), r.max(high))),
@@ -229,7 +231,7 @@
 /// Services run until they are cancelled.
 pub const ENDLESS: Span = Span(u64::MAX / 4);
 
-impl Slot {
+impl Allocation {
     pub fn remaining(&self, now: Time) -> Span {
         if self.endless {
             ENDLESS
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -3,16 +3,14 @@
 
 mod admission;
 mod allowed_zones;
-mod audit;
-mod beats;
-mod catchup;
+mod consistency;
 mod dependencies;
-mod direct;
+mod direct_calls;
 mod estimate;
 mod fences;
 mod fleet;
 mod gang;
-mod hearing;
+mod heartbeats;
 mod inheritance;
 pub mod job;
 mod life;
@@ -24,8 +22,10 @@
 mod place;
 pub mod places;
 mod preempt;
+mod reachability;
 mod records;
-mod report;
+mod recovery;
+mod report_reconciliation;
 mod room;
 mod served;
 mod spare;
@@ -53,7 +53,7 @@
 use crate::wire::worker::{Orders, Report};
 use hookworks_job_lifecycle::RetryPolicy as RetryRule;
 use job::{Final, Job};
-use machine::{Life, Machine, Slot};
+use machine::{Allocation, Machine, MachineState};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// What may happen to the scheduler.
@@ -210,9 +210,9 @@
     rules: BTreeMap<Class, RetryRule>,
     arrivals: spare::Arrivals,
     fleet: fleet::Fleet,
-    probes: catchup::Probes,
+    probes: recovery::Probes,
     books: served::Books,
-    watch: zones::Watch,
+    watch: zones::ZoneMonitor,
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
     finals_order: VecDeque<JobId>,
@@ -262,9 +262,9 @@
     /// Machines for which something has been stored since commands last left.
     ready: BTreeSet<Host>,
     /// Reports whose answers wait for what is being stored.
-    held: BTreeMap<Host, beats::Beat>,
+    held: BTreeMap<Host, heartbeats::PendingHeartbeat>,
     /// Those that wait for their zone to be taken back on record.
-    at_fence: BTreeMap<Host, beats::Beat>,
+    at_fence: BTreeMap<Host, heartbeats::PendingHeartbeat>,
     out: Vec<Effect>,
     /// Jobs whose records can't be read, and whether what can be says that they
     /// were cancelled. They are left alone, but known.
@@ -296,7 +296,7 @@
             fleet: fleet::Fleet::new(epoch),
             probes: Default::default(),
             books: served::Books::new(cfg.floor),
-            watch: zones::Watch::new(&cfg, now),
+            watch: zones::ZoneMonitor::new(&cfg, now),
             fences: Default::default(),
             cfg,
             epoch,
@@ -362,7 +362,7 @@
         let may_pass = turn_ends || self.cfg.pass_every == Span::ZERO;
         match event {
             Event::Ask(req, ask) => self.ask(now, req, ask),
-            Event::Relayed(req, by, body) => self.beat(now, req, &body, Some(by)),
+            Event::Relayed(req, by, body) => self.handle_heartbeat(now, req, &body, Some(by)),
             Event::OutOfReach(away) => {
                 for l in away {
                     self.fleet.out_of_reach.insert(l, now);
@@ -373,7 +373,7 @@
             Event::AlreadyFinal(job, f) => self.already_final(now, job, f),
             Event::FinalRead(job, r) => self.final_read(now, job, r),
             Event::RecordRead(req, job, r) => self.record_read(now, req, job, r),
-            Event::Direct(call, host, r) => self.direct_result(now, call, host, r),
+            Event::Direct(call, host, r) => self.handle_call_result(now, call, host, r),
             Event::Flavors(f) => self.take_flavors(f),
             Event::Listed(l) => self.listed(now, l),
             Event::Hired(h, r) => self.hired(now, h, r),
@@ -381,8 +381,8 @@
             Event::Proven(t) => self.proven = self.proven.max(t),
             Event::Behind => self.behind = now,
             Event::Wake => {
-                self.push_ready(now);
-                self.answer_held(now, false);
+                self.send_ready_commands(now);
+                self.answer_held_heartbeats(now, false);
             }
             Event::Tick(wall) => {
                 self.wall = wall;
@@ -400,10 +400,10 @@
                     j.queue(0, &mut self.dirty, Purpose::Now);
                 }
             }
-            self.answer_held(now, true);
+            self.answer_held_heartbeats(now, true);
         }
         if self.cfg.pass_every == Span::ZERO {
-            self.push_ready(now);
+            self.send_ready_commands(now);
         }
         std::mem::take(&mut self.out)
     }
@@ -425,7 +425,7 @@
         let ready = (!self.ready.is_empty()).then_some(Time::default());
         let goes_on = self.dependencies.is_announcing() || !self.inheritance.is_empty();
         let goes_on = goes_on.then_some(Time::default());
-        let due = [pass, ready, goes_on, self.held_until()];
+        let due = [pass, ready, goes_on, self.next_held_deadline()];
         due.into_iter().flatten().min()
     }
 
@@ -452,7 +452,7 @@
         let away = |l| self.fleet.out_of_reach.get(l);
         let lately = |l| away(l).is_some_and(|t| now - *t < Span::secs(1.0));
         let others = &self.cfg.controllers;
-        !others.is_empty() && self.keeps_up(now) && others.keys().all(lately)
+        !others.is_empty() && self.answers_are_timely(now) && others.keys().all(lately)
     }
 
     fn next_token(&mut self) -> Token {
@@ -486,7 +486,7 @@
         self.note_quick();
         for m in self.machines.values_mut() {
             if let Some(f) = self.flavors.get(&m.build) {
-                m.set_flavor(f);
+                m.set_machine_type(f);
             }
         }
         self.replan = true;
@@ -506,7 +506,7 @@
             let id = job.id().clone();
             let estimate = estimate::of(&job);
             for (t, l) in &job.live {
-                let slot = Slot {
+                let slot = Allocation {
                     need: job.need,
                     start: l.placed,
                     estimate,
@@ -518,21 +518,21 @@
                     let b = Build::from("");
                     Machine::new(l.host.clone(), b, "".into(), false, now, token)
                 });
-                m.life = Life::Up;
+                m.state = MachineState::Up;
                 if let Some(p) = &l.place {
                     (m.zone, m.build, m.spot) = (p.zone.clone(), p.build.clone(), p.spot);
                 }
                 // Earlier leaders may have answered its reports until now, and
                 // one that doesn't know of us yet may for some time to come.
-                m.answered = now.max(self.began + self.cfg.report_grace());
-                self.fences.bound(m);
-                m.doubt = Some(token);
+                m.last_renewal = now.max(self.began + self.cfg.report_grace());
+                self.fences.bound_machine_times(m);
+                m.unconfirmed_token = Some(token);
                 m.used += job.need;
                 let task = TaskId {
                     job: id.clone(),
                     ix: *t,
                 };
-                m.slots.insert(task, slot);
+                m.allocations.insert(task, slot);
                 self.teams.add(&job.spec.team, &job.need);
             }
             self.jobs.insert(id.clone(), job);
@@ -566,15 +566,15 @@
             tracing::warn!(seconds = pause.as_secs(), "stood still");
             self.awake = now;
         }
-        self.push_ready(now);
-        self.answer_held(now, false);
-        self.answer_at_fence(now);
+        self.send_ready_commands(now);
+        self.answer_held_heartbeats(now, false);
+        self.answer_fenced_heartbeats(now);
         self.watch_machines(now);
         self.note_waiting(now);
         self.probe(now);
-        self.tell_progress(now);
+        self.log_recovery_progress(now);
         self.plan_fleet(now);
-        self.push_all(now);
+        self.retry_unsent_commands(now);
         self.look_at_shares(now);
         self.read_parents(now);
         self.go_on_looking_up(now);
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -102,7 +102,7 @@
     pub(super) fn order(&self, now: Time) -> Order {
         let within = self.within_guarantee();
         let mut whole = Room::default();
-        for m in self.machines.values().filter(|m| !m.shut) {
+        for m in self.machines.values().filter(|m| !m.closed) {
             whole += m.capacity;
         }
         let rank = |j: &Job| {
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -1,7 +1,7 @@
 //! What operators see: the line of figures in the log, and the overview.
 
 use super::job::{self, Job};
-use super::machine::Life;
+use super::machine::MachineState;
 use super::{Room, Sched};
 use crate::time::Time;
 use crate::wire::user::Kind;
@@ -31,17 +31,17 @@
         let mut capacity = Room::default();
         let (mut used, mut free, mut pending) = (capacity, capacity, capacity);
         for m in self.machines.values() {
-            up += (m.life == Life::Up) as u32;
-            booting += (m.life == Life::Booting) as u32;
+            up += (m.state == MachineState::Up) as u32;
+            booting += (m.state == MachineState::Booting) as u32;
             used += m.used;
             if m.spot {
-                spot += (m.life == Life::Up) as u32;
+                spot += (m.state == MachineState::Up) as u32;
                 spot_used += m.used;
             }
-            if m.life == Life::Up {
+            if m.state == MachineState::Up {
                 capacity += m.capacity;
             }
-            if m.open(now, fresh) {
+            if m.accepts_tasks(now, fresh) {
                 free += m.free();
             }
         }
@@ -79,7 +79,7 @@
         let mut machines_up = 0;
         for m in self.machines.values() {
             used += m.used;
-            if m.life == Life::Up {
+            if m.state == MachineState::Up {
                 machines_up += 1;
                 capacity += m.capacity;
             }
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -10,7 +10,7 @@
 use super::allowed_zones::AllowedZones;
 use super::fleet::Short;
 use super::job::{Job, Live, Phase};
-use super::machine::{ENDLESS, Machine, Slot};
+use super::machine::{Allocation, ENDLESS, Machine};
 use super::order::{Order, Turn};
 use super::places::Place;
 use super::records::Purpose;
@@ -98,7 +98,7 @@
         }
         for m in self.machines.values_mut() {
             let kept = held.contains(&m.host);
-            m.kept_since = kept.then(|| m.kept_since.unwrap_or(now));
+            m.reserved_for_gangs_since = kept.then(|| m.reserved_for_gangs_since.unwrap_or(now));
         }
         if now >= self.preempt_at {
             self.preempt_at = now + PREEMPTION_INTERVAL;
@@ -215,7 +215,7 @@
         let spare = self.spare(now);
         let mut best: Option<(Score, &Machine)> = None;
         for m in self.machines.values() {
-            if !m.open(now, fresh) {
+            if !m.accepts_tasks(now, fresh) {
                 continue;
             }
             if !view.may_take(&spare, m.spot, 0) {
@@ -224,7 +224,7 @@
             if !zones.contains(&m.zone) {
                 continue;
             }
-            let (free, span) = (m.free(), m.remaining(now));
+            let (free, span) = (m.free(), m.remaining_range(now));
             let kept = held.contains(&m.host);
             let c = Candidate {
                 m,
@@ -289,14 +289,14 @@
         if let Some(m) = self.machines.get_mut(host) {
             holds_image = m.has_image(&j.spec.image);
             m.used += j.need;
-            let slot = Slot {
+            let slot = Allocation {
                 need: j.need,
                 start: now,
                 estimate: est,
                 endless: est == ENDLESS,
                 image: j.spec.image.clone(),
             };
-            m.slots.insert(task_id(id, ix), slot);
+            m.allocations.insert(task_id(id, ix), slot);
         }
         self.unsent.insert(host.clone());
         tracing::debug!(job = %id, class = %j.spec.class, task = %ix, %host, holds_image, "placed");
@@ -449,7 +449,11 @@
 fn candidates<'a>(sched: &'a Sched, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
     let fresh = sched.heard_within();
     let mut candidates = vec![];
-    for machine in sched.machines.values().filter(|m| m.open(now, fresh)) {
+    for machine in sched
+        .machines
+        .values()
+        .filter(|m| m.accepts_tasks(now, fresh))
+    {
         let (free, kept) = (machine.free(), held.contains(&machine.host));
         if free.cpu <= 0 || kept && !machine.kept_long(now) {
             continue;
@@ -457,7 +461,7 @@
         candidates.push(Candidate {
             m: machine,
             free,
-            span: machine.remaining(now),
+            span: machine.remaining_range(now),
             kept,
         });
     }
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -199,7 +199,7 @@
                 // Others first, or it takes the same room again.
                 job.backoff_until = job.backoff_until.max(now + YIELD_BACKOFF);
             }
-            self.stop(now, &id, task, 0.0);
+            self.stop_attempt(now, &id, task, 0.0);
         }
     }
 
@@ -290,7 +290,7 @@
                 // What was set aside for it is not taken away again.
                 let guarded = self.books.guards(&task_id(job.id(), *task));
                 let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
-                if guarded || !is_array || nearly_done || !machine.open(now, fresh) {
+                if guarded || !is_array || nearly_done || !machine.accepts_tasks(now, fresh) {
                     continue;
                 }
                 victims.push(Victim::new(job, *task, ran_s, rank, machine));
--- a/src/sched/hearing.rs
+++ b/src/sched/reachability.rs
@@ -23,10 +23,10 @@
 
 /// So many answers in a row without effect make a worker unreachable. One is lost now
 /// and then.
-const MAX_UNHEARD_ANSWERS: u32 = 2;
+const MAX_INEFFECTIVE_ANSWERS: u32 = 2;
 /// The same while none of its heartbeats was sent under this leader for certain: the
 /// first may be a copy, whose answer nobody hears.
-const MAX_UNHEARD_ANSWERS_UNPROVEN: u32 = 3;
+const MAX_INEFFECTIVE_ANSWERS_UNPROVEN: u32 = 3;
 /// A worker sends no heartbeat sooner after another. One that comes sooner after an
 /// answer was sent before that, or is a copy, and shows nothing of it.
 const MIN_HEARTBEAT_INTERVAL: Span = Span(500_000);
@@ -37,7 +37,7 @@
 
 /// The session of a report, against that of the one before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SessionSeen {
+pub(super) enum SessionChange {
     /// The same one, or there was none before.
     Same,
     /// A later one than was heard under this leader.
@@ -49,15 +49,15 @@
 impl Machine {
     /// The worker tells that it has heard this token. True if that makes an unreachable
     /// worker reachable again.
-    pub(super) fn confirms(&mut self, now: Time, token: Token) -> bool {
-        if self.doubt.is_some_and(|doubt| token >= doubt) {
-            self.doubt = None;
+    pub(super) fn confirm_token(&mut self, now: Time, token: Token) -> bool {
+        if self.unconfirmed_token.is_some_and(|doubt| token >= doubt) {
+            self.unconfirmed_token = None;
         }
         let reachable_again = token >= self.token && self.unreachable_since.is_some();
         if reachable_again {
             tracing::info!(host = %self.host, "hears again");
             self.unreachable_since = None;
-            self.unheard_answers = 0;
+            self.ineffective_answers = 0;
             self.last_answer = None;
             self.idle_since = now;
         }
@@ -65,26 +65,26 @@
     }
 
     fn is_unreachable(&self) -> bool {
-        let enough = if self.in_term {
-            MAX_UNHEARD_ANSWERS
+        let enough = if self.session_confirmed {
+            MAX_INEFFECTIVE_ANSWERS
         } else {
-            MAX_UNHEARD_ANSWERS_UNPROVEN
+            MAX_INEFFECTIVE_ANSWERS_UNPROVEN
         };
-        self.unheard_answers >= enough
+        self.ineffective_answers >= enough
     }
 }
 
 impl Sched {
     /// Notes what a heartbeat shows of the answer to the one before; `shown`: the
     /// attempts of ours on it.
-    pub(super) fn note_hearing(
+    pub(super) fn check_answer_effect(
         &mut self,
         now: Time,
         report: &Report,
         shown: &BTreeSet<TaskId>,
-        session: SessionSeen,
+        session: SessionChange,
     ) {
-        let keeps_up = self.keeps_up(now);
+        let keeps_up = self.answers_are_timely(now);
         let Some(machine) = self.machines.get_mut(&report.host) else {
             return;
         };
@@ -92,24 +92,26 @@
             return;
         };
         if !keeps_up {
-            machine.unheard_answers = 0;
+            machine.ineffective_answers = 0;
             return;
         }
         if now - answer.at < MIN_HEARTBEAT_INTERVAL {
             return;
         }
-        let lost_lease = session == SessionSeen::Later && self.answered_in_time(now, &report.host);
+        let lost_lease =
+            session == SessionChange::Later && self.answered_in_time(now, &report.host);
         let heard = report.token >= answer.token
-            && (session != SessionSeen::Same || self.has_begun(&report.host, answer, shown));
+            && (session != SessionChange::Same
+                || self.orders_took_effect(&report.host, answer, shown));
         let Some(machine) = self.machines.get_mut(&report.host) else {
             return;
         };
         if lost_lease {
-            machine.unheard_answers = MAX_UNHEARD_ANSWERS;
+            machine.ineffective_answers = MAX_INEFFECTIVE_ANSWERS;
         } else if heard {
-            machine.unheard_answers = 0;
+            machine.ineffective_answers = 0;
         } else {
-            machine.unheard_answers += 1;
+            machine.ineffective_answers += 1;
         }
         if machine.is_unreachable() && machine.unreachable_since.is_none() {
             self.mark_unreachable(now, &report.host);
@@ -120,11 +122,16 @@
     fn answered_in_time(&self, now: Time, host: &Host) -> bool {
         let lease = Span::secs(self.cfg.workers.lease_s).shrunk() - MAX_ANSWER_DELAY;
         let machine = self.machines.get(host);
-        machine.is_some_and(|machine| now < machine.answered + lease)
+        machine.is_some_and(|machine| now < machine.last_renewal + lease)
     }
 
     /// Whether all that this answer told to run is shown, or has been seen before.
-    fn has_begun(&self, host: &Host, answer: SentAnswer, shown: &BTreeSet<TaskId>) -> bool {
+    fn orders_took_effect(
+        &self,
+        host: &Host,
+        answer: SentAnswer,
+        shown: &BTreeSet<TaskId>,
+    ) -> bool {
         let waits = |live: &Live| live.phase == Phase::Placed && live.told == Some(answer.seq);
         let begun = |task: &TaskId| {
             let live = self
@@ -134,7 +141,7 @@
             !live.is_some_and(waits) || shown.contains(task)
         };
         let machine = self.machines.get(host);
-        machine.is_none_or(|machine| machine.slots.keys().all(begun))
+        machine.is_none_or(|machine| machine.allocations.keys().all(begun))
     }
 
     fn mark_unreachable(&mut self, now: Time, host: &Host) {
@@ -144,13 +151,16 @@
             return;
         };
         machine.unreachable_since = Some(now);
-        machine.doubt_until(token);
-        tracing::info!(%host, tasks = machine.slots.len(), "does not hear");
+        machine.await_confirmation(token);
+        tracing::info!(%host, tasks = machine.allocations.len(), "does not hear");
         // What was not told to start there can start elsewhere at once.
-        let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+        let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         for task in tasks {
-            if self.live_mut(&task).is_some_and(|live| !live.sent) {
-                self.gone(now, &task);
+            if self
+                .active_attempt_mut(&task)
+                .is_some_and(|live| !live.sent)
+            {
+                self.attempt_gone(now, &task);
             }
         }
     }
@@ -158,14 +168,14 @@
     /// Answers leave in time. Where they don't, workers drop them, and what their
     /// heartbeats show says nothing of them: a flood of jobs must not make most of a
     /// fleet count as unreachable.
-    pub(super) fn keeps_up(&self, now: Time) -> bool {
+    pub(super) fn answers_are_timely(&self, now: Time) -> bool {
         now - self.behind > RECOVERY_AFTER_OVERLOAD
     }
 
     /// Something on the machine is to end: what was stopped or is no longer ours,
     /// and what was told to start and has not been seen, which waits elsewhere.
     /// If so, it is tried directly as well, which renews no lease.
-    pub(super) fn ends_something(&mut self, host: &Host) -> bool {
+    pub(super) fn check_pending_stops(&mut self, host: &Host) -> bool {
         let Some(machine) = self.machines.get(host) else {
             return false;
         };
@@ -176,8 +186,8 @@
                 .and_then(|job| job.live.get(&task.ix));
             live.is_some_and(|live| live.stop.is_some() || live.phase == Phase::Placed)
         };
-        let running_strays = machine.strays.values().any(|ended| !ended);
-        let any = running_strays || machine.slots.keys().any(ends);
+        let running_strays = machine.unknown_attempts.values().any(|ended| !ended);
+        let any = running_strays || machine.allocations.keys().any(ends);
         if any {
             self.request_confirmation(host);
         }
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -242,11 +242,11 @@
                     self.announce(&id, ParentOutcome::Cancelled);
                 }
                 self.open_counterparts(&id, part, None);
-                self.note_ready(&id);
+                self.note_job_stored(&id);
             }
             Key::Fences => {
                 self.fences.stored(ver);
-                self.answer_at_fence(now);
+                self.answer_fenced_heartbeats(now);
             }
             Key::Final(id) => {
                 let Some(f) = self.final_of(&id) else {
--- a/src/sched/catchup.rs
+++ b/src/sched/recovery.rs
@@ -14,7 +14,7 @@
 //! report or the one after.
 
 use super::job::Phase;
-use super::machine::Life;
+use super::machine::MachineState;
 use super::place::allowed;
 use super::{Effect, Sched};
 use crate::ids::{CallId, Host, Session, TaskId, Token};
@@ -28,13 +28,13 @@
 const MAX_FRESH_PROBES: usize = 8;
 /// A machine that is gone or hangs gives no answer for seconds: its probe counts among
 /// the fresh ones no longer than this.
-const FRESH_PROBE_AGE: Span = Span(400_000);
+const MAX_FRESH_PROBE_AGE: Span = Span(400_000);
 /// Probes under way, fresh or not.
 const MAX_PROBES: usize = 12;
 /// How often the progress is logged.
-const PROGRESS_INTERVAL: Span = Span(1_000_000);
+const PROGRESS_LOG_INTERVAL: Span = Span(1_000_000);
 /// It is logged for no longer than this.
-const MAX_PROGRESS_TIME: Span = Span(30_000_000);
+const MAX_PROGRESS_LOG_TIME: Span = Span(30_000_000);
 
 /// Machines that are to be asked, and those that are being asked.
 #[derive(Default)]
@@ -45,13 +45,13 @@
     /// attempts of which that is all that is not known.
     unconfirmed: BTreeSet<Host>,
     /// When each probe under way was sent.
-    under_way: BTreeMap<CallId, Time>,
-    sent: u64,
+    in_flight: BTreeMap<CallId, Time>,
+    sent_count: u64,
     /// Attempts of an earlier leader that were begun.
     resumed: u64,
-    progress_at: Time,
+    next_progress_log: Time,
     /// All have reported, and all tokens are confirmed.
-    done: bool,
+    complete: bool,
 }
 
 impl Sched {
@@ -95,19 +95,19 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        machine.direct = Some(call);
+        machine.direct_call = Some(call);
         let orders = Orders {
             token: machine.token,
             // A worker that has not reported yet is asked in no session of its.
-            session: if machine.reported {
+            session: if machine.has_reported {
                 machine.session
             } else {
                 Session(0)
             },
             orders: vec![],
         };
-        self.probes.under_way.insert(call, now);
-        self.probes.sent += 1;
+        self.probes.in_flight.insert(call, now);
+        self.probes.sent_count += 1;
         self.out.push(Effect::Orders {
             call,
             host,
@@ -121,15 +121,15 @@
         let machine = self.machines.get(host)?;
         // Calls into a zone that is cut off hold up all others.
         let zone = &machine.zone;
-        let silent = self.watch.silent(zone) || self.fences.inherited(zone).is_some();
-        let busy = machine.direct.is_some() || now < machine.no_push_until;
-        let known = machine.reported && machine.doubt.is_none();
+        let silent = self.watch.is_silent(zone) || self.fences.inherited_since(zone).is_some();
+        let busy = machine.direct_call.is_some() || now < machine.no_direct_call_until;
+        let known = machine.has_reported && machine.unconfirmed_token.is_none();
         machine.addr.clone().filter(|_| !silent && !busy && !known)
     }
 
     /// A direct call has ended, however; if it was a probe, the next one leaves.
-    pub(super) fn probed(&mut self, now: Time, call: CallId) {
-        if self.probes.under_way.remove(&call).is_some() {
+    pub(super) fn probe_finished(&mut self, now: Time, call: CallId) {
+        if self.probes.in_flight.remove(&call).is_some() {
             self.probe(now);
         }
     }
@@ -140,11 +140,11 @@
     ///
     /// That leader may have given its resources to others since. So all that is on
     /// record, this included, must fit the machine and the team's limit.
-    pub(super) fn resume(&mut self, now: Time, host: &Host, task: &TaskId) -> bool {
-        if !self.may_resume(now, host, task) {
+    pub(super) fn resume_attempt(&mut self, now: Time, host: &Host, task: &TaskId) -> bool {
+        if !self.may_resume_attempt(now, host, task) {
             return false;
         }
-        let Some(live) = self.live_mut(task) else {
+        let Some(live) = self.active_attempt_mut(task) else {
             return false;
         };
         // Whoever told the worker before us is not listened to any more.
@@ -158,9 +158,12 @@
         true
     }
 
-    fn may_resume(&self, now: Time, host: &Host, task: &TaskId) -> bool {
+    fn may_resume_attempt(&self, now: Time, host: &Host, task: &TaskId) -> bool {
         let fresh = self.heard_within();
-        let machine = self.machines.get(host).filter(|m| m.open(now, fresh));
+        let machine = self
+            .machines
+            .get(host)
+            .filter(|m| m.accepts_tasks(now, fresh));
         let (Some(machine), Some(job)) = (machine, self.jobs.get(&task.job)) else {
             return false;
         };
@@ -173,28 +176,28 @@
     }
 
     /// Logs the progress once a second until all is as it was.
-    pub(super) fn tell_progress(&mut self, now: Time) {
-        let over = self.probes.done || now - self.began > MAX_PROGRESS_TIME;
-        if over || now < self.probes.progress_at {
+    pub(super) fn log_recovery_progress(&mut self, now: Time) {
+        let over = self.probes.complete || now - self.began > MAX_PROGRESS_LOG_TIME;
+        if over || now < self.probes.next_progress_log {
             return;
         }
-        self.probes.progress_at = now + PROGRESS_INTERVAL;
+        self.probes.next_progress_log = now + PROGRESS_LOG_INTERVAL;
         let machines = self.machine_progress();
         let attempts = self.attempt_progress();
-        self.probes.done = machines.heard == machines.up && attempts.unproven == 0;
+        self.probes.complete = machines.heard == machines.up && attempts.unproven == 0;
         tracing::info!(
             after_s = (now - self.began).as_secs(),
             machines = machines.up,
             heard = machines.heard,
             unconfirmed = machines.unconfirmed,
-            asked = self.probes.sent,
+            asked = self.probes.sent_count,
             to_ask = self.probes.unreported.len(),
             on_machines = attempts.on_machines,
             unproven = attempts.unproven,
             not_begun = attempts.not_begun,
             resumed = self.probes.resumed,
             writes = ?self.dirty.lengths(),
-            done = self.probes.done,
+            done = self.probes.complete,
             "catching up"
         );
     }
@@ -202,10 +205,14 @@
     fn machine_progress(&self) -> MachineProgress {
         let first_token = Token(self.epoch.base());
         let mut progress = MachineProgress::default();
-        for machine in self.machines.values().filter(|m| m.life == Life::Up) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|m| m.state == MachineState::Up)
+        {
             progress.up += 1;
-            progress.heard += machine.reported as u32;
-            progress.unconfirmed += (machine.doubt == Some(first_token)) as u32;
+            progress.heard += machine.has_reported as u32;
+            progress.unconfirmed += (machine.unconfirmed_token == Some(first_token)) as u32;
         }
         progress
     }
@@ -225,9 +232,9 @@
 
 impl Probes {
     fn may_send(&self, now: Time) -> bool {
-        let fresh = |sent: &&Time| now - **sent < FRESH_PROBE_AGE;
-        self.under_way.len() < MAX_PROBES
-            && self.under_way.values().filter(fresh).count() < MAX_FRESH_PROBES
+        let fresh = |sent: &&Time| now - **sent < MAX_FRESH_PROBE_AGE;
+        self.in_flight.len() < MAX_PROBES
+            && self.in_flight.values().filter(fresh).count() < MAX_FRESH_PROBES
     }
 }
 
--- a/src/sched/report.rs
+++ b/src/sched/report_reconciliation.rs
@@ -3,9 +3,9 @@
 //! Whether and when a report is answered is decided in `beats`.
 
 use super::dependencies::ParentOutcome;
-use super::hearing::SessionSeen;
 use super::job::{Live, Phase, Stop};
-use super::machine::{Life, Machine};
+use super::machine::{Machine, MachineState};
+use super::reachability::SessionChange;
 use super::{Sched, estimate};
 use crate::ids::{Attempt, Host, JobId, Seq, Session, TaskId, TaskIx};
 use crate::time::{Span, Time};
@@ -58,13 +58,13 @@
     /// What this session is, against that of the report before. After a failover the
     /// first report tells nothing of what went before: the loaded attempts may well
     /// be of this very session.
-    fn session_seen(&self, session: Session) -> SessionSeen {
+    fn session_seen(&self, session: Session) -> SessionChange {
         if self.session == Session(0) || session <= self.session {
-            SessionSeen::Same
-        } else if self.in_term {
-            SessionSeen::Later
+            SessionChange::Same
+        } else if self.session_confirmed {
+            SessionChange::Later
         } else {
-            SessionSeen::Unproven
+            SessionChange::Unproven
         }
     }
 
@@ -72,26 +72,26 @@
     fn note_report(&mut self, now: Time, report: &Report, source: ReportSource) {
         self.session = report.session;
         self.seq = report.seq;
-        self.reached = now;
-        if source == ReportSource::Heartbeat || self.reported_at.is_none() {
-            self.heard = now;
+        self.last_contact = now;
+        if source == ReportSource::Heartbeat || self.last_report.is_none() {
+            self.last_heartbeat = now;
         }
-        self.reported_at = Some(now);
+        self.last_report = Some(now);
         self.build = report.build.clone();
         self.zone = report.zone.clone();
         self.spot = report.spot;
         if report.addr.is_some() {
             self.addr = report.addr.clone();
         }
-        if self.life == Life::Booting {
-            self.life = Life::Up;
+        if self.state == MachineState::Booting {
+            self.state = MachineState::Up;
         }
     }
 
     fn note_spot_notice(&mut self, now: Time, notice_s: Option<f64>) {
-        let noticed = self.notice_until.is_some();
-        let notice_s = notice_s.filter(|_| self.in_term);
-        self.notice_until = notice_s.map(|s| now + Span::secs(s));
+        let noticed = self.spot_notice_until.is_some();
+        let notice_s = notice_s.filter(|_| self.session_confirmed);
+        self.spot_notice_until = notice_s.map(|s| now + Span::secs(s));
         if let Some(seconds) = notice_s
             && !noticed
         {
@@ -102,16 +102,21 @@
 
 impl Sched {
     /// Takes what a report says. False if a newer one was there before.
-    pub(super) fn take_report(&mut self, now: Time, report: &Report, source: ReportSource) -> bool {
+    pub(super) fn apply_report(
+        &mut self,
+        now: Time,
+        report: &Report,
+        source: ReportSource,
+    ) -> bool {
         let Some(session) = self.note_worker(now, report, source) else {
             return false;
         };
-        if session != SessionSeen::Same {
+        if session != SessionChange::Same {
             self.new_session(now, &report.host, session);
         }
         let shown = self.take_tasks(now, report);
         if source == ReportSource::Heartbeat {
-            self.note_hearing(now, report, &shown, session);
+            self.check_answer_effect(now, report, &shown, session);
         }
         self.take_missing(now, &report.host, &shown, source);
         true
@@ -123,7 +128,7 @@
         now: Time,
         report: &Report,
         source: ReportSource,
-    ) -> Option<SessionSeen> {
+    ) -> Option<SessionChange> {
         let token = self.base_token();
         let renewed = self.maybe_renewed(now);
         let machines = self.machines.entry(report.host.clone());
@@ -132,7 +137,7 @@
             let (build, zone) = (report.build.clone(), report.zone.clone());
             let mut machine =
                 Machine::new(report.host.clone(), build, zone, report.spot, now, token);
-            machine.answered = renewed;
+            machine.last_renewal = renewed;
             machine
         });
         if (report.session, report.seq) <= (machine.session, machine.seq) {
@@ -141,23 +146,23 @@
         let session = machine.session_seen(report.session);
         // A heartbeat may be a copy of an old one, unless it carries our token.
         let sent_in_term = source == ReportSource::DirectCall || report.token >= token;
-        machine.in_term |= sent_in_term;
-        machine.certain |= sent_in_term;
+        machine.session_confirmed |= sent_in_term;
+        machine.existence_confirmed |= sent_in_term;
         machine.note_report(now, report, source);
         if let Some(flavor) = self.flavors.get(&machine.build) {
-            machine.set_flavor(flavor);
+            machine.set_machine_type(flavor);
         }
-        if !machine.reported || session != SessionSeen::Same {
+        if !machine.has_reported || session != SessionChange::Same {
             // Its session may have begun as late as now, long after it was rented,
             // and its lease with it.
-            machine.answered = machine.answered.max(now);
+            machine.last_renewal = machine.last_renewal.max(now);
         }
-        if !machine.reported {
-            machine.reported = true;
+        if !machine.has_reported {
+            machine.has_reported = true;
             machine.idle_since = now;
             self.replan = true;
         }
-        self.replan |= machine.confirms(now, report.token);
+        self.replan |= machine.confirm_token(now, report.token);
         machine.note_spot_notice(now, report.notice_s);
         Some(session)
     }
@@ -179,7 +184,7 @@
             strays.insert((task.task.clone(), task.attempt), ended);
         }
         if let Some(machine) = self.machines.get_mut(&report.host) {
-            machine.strays = strays;
+            machine.unknown_attempts = strays;
         }
         shown
     }
@@ -187,29 +192,29 @@
     /// The worker's lease has expired, so all that was there is gone. If the session
     /// before is not proven to be of this leadership, only what is known to be of it:
     /// a copy of an old report can make the present session look new.
-    fn new_session(&mut self, now: Time, host: &Host, session: SessionSeen) {
-        let proven = session == SessionSeen::Later;
+    fn new_session(&mut self, now: Time, host: &Host, session: SessionChange) {
+        let proven = session == SessionChange::Later;
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
         if proven {
-            machine.doubt = None;
+            machine.unconfirmed_token = None;
         }
         let ended = |live: &&mut Live| {
             let seen = !live.inherited || live.phase != Phase::Placed;
             live.sent && (proven || seen)
         };
-        let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+        let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         for task in tasks {
-            if self.live_mut(&task).filter(ended).is_some() {
+            if self.active_attempt_mut(&task).filter(ended).is_some() {
                 tracing::debug!(%host, %task, "gone with its worker's session");
-                self.gone_by(now, &task, Some(Failure::Lost), false);
+                self.attempt_gone_with(now, &task, Some(Failure::Lost), false);
             }
         }
     }
 
     /// The attempt of a task, if it has one.
-    pub(super) fn live_mut(&mut self, task: &TaskId) -> Option<&mut Live> {
+    pub(super) fn active_attempt_mut(&mut self, task: &TaskId) -> Option<&mut Live> {
         self.jobs.get_mut(&task.job)?.live.get_mut(&task.ix)
     }
 
@@ -217,7 +222,7 @@
     /// that machine.
     fn take_task(&mut self, now: Time, host: &Host, report: &TaskReport) -> bool {
         let task = &report.task;
-        let Some(live) = self.live_mut(task) else {
+        let Some(live) = self.active_attempt_mut(task) else {
             return false;
         };
         if live.attempt != report.attempt || live.host != *host {
@@ -253,7 +258,7 @@
         self.dirty.changed.insert(task.job.clone());
         let fetched = matches!(phase, Phase::Waiting | Phase::Running);
         if fetched && let Some(machine) = self.machines.get_mut(host) {
-            machine.saw_image(&job.spec.image, job.spec.image_gb);
+            machine.note_image_use(&job.spec.image, job.spec.image_gb);
         }
     }
 
@@ -278,7 +283,7 @@
             job.history.note(JobEvent::Started, self.wall.into());
         }
         if let Some(machine) = self.machines.get_mut(host)
-            && let Some(slot) = machine.slots.get_mut(task)
+            && let Some(slot) = machine.allocations.get_mut(task)
         {
             slot.start = since;
         }
@@ -294,27 +299,27 @@
         match report.cause {
             Some(Cause::Done) => {
                 if let Some(machine) = self.machines.get_mut(host) {
-                    machine.fails = 0;
-                    machine.fail_jobs.clear();
+                    machine.failures = 0;
+                    machine.failed_jobs.clear();
                 }
                 self.completed(now, task, running_since);
             }
             Some(Cause::Error) => {
                 self.failed(now, host, task);
-                self.gone_by(now, task, Some(Failure::Error), false);
+                self.attempt_gone_with(now, task, Some(Failure::Error), false);
             }
             Some(Cause::NoRoom | Cause::InUse) => {
                 tracing::info!(%host, %task, cause = ?report.cause, "start refused");
                 if let Some(machine) = self.machines.get_mut(host) {
-                    machine.rest_until = now + REFUSED_START_BACKOFF;
+                    machine.backoff_until = now + REFUSED_START_BACKOFF;
                 }
-                self.gone(now, task);
+                self.attempt_gone(now, task);
             }
             Some(Cause::Unknown) | None => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.backoff_until = now + UNKNOWN_END_BACKOFF;
                 }
-                self.gone(now, task);
+                self.attempt_gone(now, task);
             }
             Some(Cause::PeersGone) => {
                 // So the gang had begun, even if no report said so: members
@@ -322,18 +327,20 @@
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.gang_ran = true;
                 }
-                self.gone(now, task);
+                self.attempt_gone(now, task);
             }
             Some(Cause::Stopped) => {
-                let timed_out = self.live_mut(task).is_some_and(|live| live.timed_out);
+                let timed_out = self
+                    .active_attempt_mut(task)
+                    .is_some_and(|live| live.timed_out);
                 let failure = if timed_out {
                     Failure::TimedOut
                 } else {
                     Failure::Stopped
                 };
-                self.gone_by(now, task, Some(failure), report.kept);
+                self.attempt_gone_with(now, task, Some(failure), report.kept);
             }
-            Some(Cause::Alone) => self.gone_by(now, task, None, false),
+            Some(Cause::Alone) => self.attempt_gone_with(now, task, None, false),
         }
     }
 
@@ -390,7 +397,7 @@
                 ix: *ix,
             };
             if let Some(machine) = self.machines.get_mut(&live.host)
-                && let Some(slot) = machine.slots.get_mut(&task)
+                && let Some(slot) = machine.allocations.get_mut(&task)
             {
                 slot.estimate = estimate;
             }
@@ -408,10 +415,10 @@
         };
         self.teams.sub(&job.spec.team, &job.need);
         if let Some(machine) = self.machines.get_mut(&live.host)
-            && machine.slots.remove(task).is_some()
+            && machine.allocations.remove(task).is_some()
         {
             machine.used -= job.need;
-            if machine.slots.is_empty() {
+            if machine.allocations.is_empty() {
                 machine.idle_since = now;
             }
         }
@@ -419,13 +426,13 @@
     }
 
     /// The attempt is proven gone, and nobody is to blame.
-    pub(super) fn gone(&mut self, now: Time, task: &TaskId) {
-        self.gone_by(now, task, None, false);
+    pub(super) fn attempt_gone(&mut self, now: Time, task: &TaskId) {
+        self.attempt_gone_with(now, task, None, false);
     }
 
     /// The attempt is proven gone without being done; `kept`: what it had
     /// worked out was saved.
-    pub(super) fn gone_by(
+    pub(super) fn attempt_gone_with(
         &mut self,
         now: Time,
         task: &TaskId,
@@ -467,12 +474,15 @@
         let Some(machine) = self.machines.get(host) else {
             return;
         };
-        let clear = machine.doubt.is_none() && machine.direct.is_none();
+        let clear = machine.unconfirmed_token.is_none() && machine.direct_call.is_none();
         let seq = machine.seq;
-        let missing = machine.slots.keys().filter(|task| !shown.contains(*task));
+        let missing = machine
+            .allocations
+            .keys()
+            .filter(|task| !shown.contains(*task));
         let missing: Vec<TaskId> = missing.cloned().collect();
         for task in missing {
-            let Some(live) = self.live_mut(&task) else {
+            let Some(live) = self.active_attempt_mut(&task) else {
                 continue;
             };
             let gone = match (live.phase, live.stop) {
@@ -482,7 +492,7 @@
                     self.request_confirmation(host);
                     false
                 }
-                (Phase::Placed, None) => live.inherited && !self.resume(now, host, &task),
+                (Phase::Placed, None) => live.inherited && !self.resume_attempt(now, host, &task),
                 // It is not to start any more: gone once no command that may
                 // still be carried out could start it.
                 (Phase::Placed, Some(_)) => {
@@ -492,7 +502,7 @@
                 _ => clear,
             };
             if gone {
-                self.gone(now, &task);
+                self.attempt_gone(now, &task);
             }
         }
     }
@@ -508,10 +518,11 @@
         };
         // While a direct call is on its way the two could overtake each other, which
         // matters for all but ending what is there.
-        let only_kill = machine.direct.is_some() || delivery == Delivery::Answer { newest: false };
+        let only_kill =
+            machine.direct_call.is_some() || delivery == Delivery::Answer { newest: false };
         let mut orders = self.orders_for_strays(machine, only_kill);
         let seq = machine.seq;
-        let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+        let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         for task in tasks {
             let may_run = may_run && !only_kill && orders.len() < MAX_ORDERS;
             orders.extend(self.order_for_attempt(task, seq, delivery, may_run));
@@ -523,15 +534,15 @@
     fn takes_starts(&self, now: Time, host: &Host, delivery: Delivery) -> bool {
         let fresh = self.heard_within();
         let takes = |machine: &Machine| {
-            let reports = delivery != Delivery::DirectCall || now - machine.heard < fresh;
-            machine.life == Life::Up && reports
+            let reports = delivery != Delivery::DirectCall || now - machine.last_heartbeat < fresh;
+            machine.state == MachineState::Up && reports
         };
         self.machines.get(host).is_some_and(takes)
     }
 
     /// Attempts there that are not ours are to end, and to be forgotten once ended.
     fn orders_for_strays(&self, machine: &Machine, only_kill: bool) -> Vec<Order> {
-        let may_clear = !only_kill && machine.doubt.is_none();
+        let may_clear = !only_kill && machine.unconfirmed_token.is_none();
         let order = |((task, attempt), ended): (&(TaskId, Attempt), &bool)| {
             let (task, attempt) = (task.clone(), *attempt);
             if !ended {
@@ -543,7 +554,7 @@
             }
             (may_clear && self.may_clear(&task)).then_some(Order::Clear { task, attempt })
         };
-        machine.strays.iter().filter_map(order).collect()
+        machine.unknown_attempts.iter().filter_map(order).collect()
     }
 
     /// What a worker is to do with an attempt of ours, if anything; `seq`: its last
@@ -558,7 +569,7 @@
         let answers = delivery != Delivery::DirectCall;
         let job = self.jobs.get(&task.job)?;
         let stored = job.parts[job.part_of(task.ix)].stored;
-        let live = self.live_mut(&task)?;
+        let live = self.active_attempt_mut(&task)?;
         let attempt = live.attempt;
         match (live.phase, live.stop) {
             (Phase::Placed, None) => {
@@ -598,21 +609,21 @@
     /// The attempt is to end, saving for so long. The command leaves once the event
     /// has been taken in whole: in the middle of it, it would carry `run` for attempts
     /// that are about to be stopped or taken for gone.
-    pub(super) fn stop(&mut self, now: Time, id: &JobId, ix: TaskIx, leeway_s: f64) {
+    pub(super) fn stop_attempt(&mut self, now: Time, id: &JobId, ix: TaskIx, leeway_s: f64) {
         let task = TaskId {
             job: id.clone(),
             ix,
         };
-        let Some(live) = self.live_mut(&task) else {
+        let Some(live) = self.active_attempt_mut(&task) else {
             return;
         };
         if !live.sent {
-            return self.gone(now, &task);
+            return self.attempt_gone(now, &task);
         }
         live.stop = Some(Stop { leeway_s });
         let (host, unseen) = (live.host.clone(), live.phase == Phase::Placed);
         if unseen {
-            self.outdate_call(&host);
+            self.invalidate_call(&host);
         }
         self.ready.insert(host);
     }
--- a/src/sched/spare.rs
+++ b/src/sched/spare.rs
@@ -130,7 +130,11 @@
     pub(super) fn free_room(&self, now: Time) -> Spare {
         let fresh = self.heard_within();
         let mut free = Spare::default();
-        for m in self.machines.values().filter(|m| m.open(now, fresh)) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.accepts_tasks(now, fresh))
+        {
             free.add(m);
         }
         free
--- a/src/sched/users.rs
+++ b/src/sched/users.rs
@@ -51,7 +51,7 @@
 impl Sched {
     pub(super) fn ask(&mut self, now: Time, req: ReqId, ask: Ask) {
         match ask {
-            Ask::Report(body) => self.beat(now, req, &body, None),
+            Ask::Report(body) => self.handle_heartbeat(now, req, &body, None),
             Ask::Submit(body) => match JobSpec::parse(&body) {
                 Ok(spec) => self.submit(now, req, spec, body),
                 Err(e) => self.answer(req, Answer::error(400, &e)),
@@ -243,7 +243,7 @@
             None => return,
         };
         for t in tasks {
-            self.stop(now, id, t, 0.0);
+            self.stop_attempt(now, id, t, 0.0);
         }
     }
 
--- a/src/sched/waiting.rs
+++ b/src/sched/waiting.rs
@@ -7,7 +7,7 @@
 
 use super::Sched;
 use super::job::Job;
-use super::machine::{Machine, Slot};
+use super::machine::{Allocation, Machine};
 use crate::time::{Span, Time};
 
 /// A job that waits for longer takes any room that it may run on.
@@ -44,19 +44,20 @@
 impl Machine {
     /// It has been kept free for gangs for as long as it may be.
     pub(super) fn kept_long(&self, now: Time) -> bool {
-        self.kept_since.is_some_and(|t| now - t >= KEPT_FOR)
+        self.reserved_for_gangs_since
+            .is_some_and(|t| now - t >= KEPT_FOR)
     }
 
     /// It is put aside no longer; the next error puts it aside again.
     pub(super) fn end_quarantine(&mut self, now: Time) {
         if self.quarantined && now - self.quarantined_at >= QUARANTINE {
             self.quarantined = false;
-            self.fails = self.fails.saturating_sub(1);
+            self.failures = self.failures.saturating_sub(1);
         }
     }
 }
 
-impl Slot {
+impl Allocation {
     /// The task is expected to end within that time.
     pub(super) fn ends_within(&self, now: Time, within: Span) -> bool {
         self.remaining(now) < within && !self.overruns(now)
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -4,17 +4,19 @@
 
 use super::fleet::late_boot;
 use super::job::{Job, Live, Phase};
-use super::machine::{Life, Machine};
+use super::machine::{Machine, MachineState};
 use super::{Config, Room, Sched, estimate};
 use crate::ids::{Host, Label, TaskId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
-use hookworks_zones::{Budget, Case, Change, Evidence, Stake, Standing, State, Zones, plan};
+use hookworks_zones::{
+    AttemptAtRisk, AttemptKind, Budget, Change, Evidence, LostMachine, State, Zones, plan_releases,
+};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashSet};
 
 /// What is worth moving is looked into so often.
-const PLAN_EVERY: Span = Span(1_000_000);
+const PLAN_INTERVAL: Span = Span(1_000_000);
 
 /// What became of the work of a zone, since its latest trouble began.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -30,103 +32,103 @@
 }
 
 /// What the scheduler keeps of zones.
-pub(super) struct Watch {
+pub(super) struct ZoneMonitor {
     pub zones: Zones,
     /// Where the other controllers are.
     controllers: BTreeMap<Label, Zone>,
     /// Direct calls that failed since the last look.
-    unanswered: BTreeMap<Zone, u32>,
+    failed_calls: BTreeMap<Zone, u32>,
     tally: BTreeMap<Zone, Tally>,
-    plan_at: Time,
+    next_plan_at: Time,
     /// Verdicts are acted on.
-    act: bool,
+    act_on_verdicts: bool,
 }
 
-impl Watch {
-    pub fn new(cfg: &Config, now: Time) -> Watch {
-        Watch {
+impl ZoneMonitor {
+    pub fn new(cfg: &Config, now: Time) -> ZoneMonitor {
+        ZoneMonitor {
             zones: Zones::new(cfg.zones, now),
             controllers: cfg.controllers.clone(),
-            act: cfg.act_on_zones,
-            unanswered: BTreeMap::new(),
+            act_on_verdicts: cfg.act_on_zones,
+            failed_calls: BTreeMap::new(),
             tally: BTreeMap::new(),
-            plan_at: now,
+            next_plan_at: now,
         }
     }
 
-    pub fn unanswered(&mut self, z: &Zone) {
-        *self.unanswered.entry(z.clone()).or_default() += 1;
+    pub fn note_failed_call(&mut self, z: &Zone) {
+        *self.failed_calls.entry(z.clone()).or_default() += 1;
     }
 
     /// Attempts there were ended by their machine's lease.
-    pub fn ended(&mut self, z: &Zone, n: usize) {
-        if self.zones.gone_since(z).is_some() {
+    pub fn note_lease_expired(&mut self, z: &Zone, n: usize) {
+        if self.zones.last_heard_before_outage(z).is_some() {
             self.tally.entry(z.clone()).or_default().ended += n as u64;
         }
     }
 
     /// A machine there has been given back.
-    pub fn given_back(&mut self, z: &Zone) {
-        if self.zones.gone_since(z).is_some() {
+    pub fn note_released(&mut self, z: &Zone) {
+        if self.zones.last_heard_before_outage(z).is_some() {
             self.tally.entry(z.clone()).or_default().machines_given_back += 1;
         }
     }
 
     /// The share of the zone that may be used.
-    pub fn open(&self, now: Time, z: &Zone) -> f64 {
-        match self.act {
-            true => self.zones.open(now, z),
+    pub fn usable_share(&self, now: Time, z: &Zone) -> f64 {
+        match self.act_on_verdicts {
+            true => self.zones.usable_share(now, z),
             false => 1.0,
         }
     }
 
     /// It gets nothing new: nothing is heard from there.
-    pub fn silent(&self, z: &Zone) -> bool {
-        self.act && self.zones.state(z).silent()
+    pub fn is_silent(&self, z: &Zone) -> bool {
+        self.act_on_verdicts && self.zones.state(z).silent()
     }
 }
 
 impl Sched {
     /// New evidence of all zones, and what follows from it.
-    pub(super) fn look_at_zones(&mut self, now: Time) {
+    pub(super) fn update_zones(&mut self, now: Time) {
         // A leader that can't prove that it is one may be cut off itself.
         if !self.may_start(now) {
             return;
         }
-        let seen = self.evidence(now);
-        for c in self.watch.zones.look(now, seen) {
-            self.changed_zone(now, &c);
+        let seen = self.collect_evidence(now);
+        for c in self.watch.zones.update(now, seen) {
+            self.zone_changed(now, &c);
         }
-        if !self.watch.act {
+        if !self.watch.act_on_verdicts {
             return;
         }
-        if self.watch.zones.troubled() || self.machines.values().any(|m| m.shut) {
-            self.shut_and_open(now);
+        if self.watch.zones.any_unhealthy() || self.machines.values().any(|m| m.closed) {
+            self.close_and_reopen_machines(now);
         }
-        if now >= self.watch.plan_at {
-            self.watch.plan_at = now + PLAN_EVERY;
-            self.move_from_lost(now);
+        if now >= self.watch.next_plan_at {
+            self.watch.next_plan_at = now + PLAN_INTERVAL;
+            self.release_from_lost_zones(now);
         }
     }
 
-    fn changed_zone(&mut self, now: Time, c: &Change) {
+    fn zone_changed(&mut self, now: Time, c: &Change) {
         let e = &c.evidence;
         tracing::info!(zone = %c.zone, from = c.from.as_str(), to = c.to.as_str(),
-            lasted_s = c.lasted.as_secs(), machines = e.machines, overdue = e.overdue,
-            controllers = e.controllers, away = e.away, unanswered = e.unanswered,
-            late_boots = e.late_boots, tally = ?self.watch.tally.get(&c.zone), "zone");
+            lasted_s = c.previous_duration.as_secs(), machines = e.machines, overdue = e.overdue,
+            controllers = e.controllers, away = e.unreachable_controllers, unanswered = e.failed_calls,
+            late_boots = e.overdue_boots, tally = ?self.watch.tally.get(&c.zone), "zone");
         if c.to == State::Doubt && c.from == State::Well {
             self.watch.tally.insert(c.zone.clone(), Tally::default());
         }
-        let quiet = self.watch.zones.limits().quiet;
-        let heard = e.newest.is_some_and(|t| now - t < quiet);
-        if self.watch.act && c.to.silent() && !heard {
+        let quiet = self.watch.zones.limits().quiet_after;
+        let heard = e.last_heard.is_some_and(|t| now - t < quiet);
+        if self.watch.act_on_verdicts && c.to.silent() && !heard {
             self.raise_fence(now, &c.zone);
         }
         self.replan = true;
     }
 
-    fn evidence(&mut self, now: Time) -> BTreeMap<Zone, Evidence> {
+    fn collect_evidence(&mut self, now: Time) -> BTreeMap<Zone, Evidence> {
         let late = self.watch.zones.limits().overdue_after();
         let mut all: BTreeMap<Zone, Evidence> = BTreeMap::new();
         for f in self.flavors.values() {
@@ -138,10 +140,10 @@
             let e = all.entry(z.clone()).or_default();
             e.controllers += 1;
             let away = self.fleet.out_of_reach.get(label);
-            e.away += away.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
+            e.unreachable_controllers += away.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
         }
-        for (z, n) in std::mem::take(&mut self.watch.unanswered) {
-            all.entry(z).or_default().unanswered += n;
+        for (z, n) in std::mem::take(&mut self.watch.failed_calls) {
+            all.entry(z).or_default().failed_calls += n;
         }
         for m in self.machines.values() {
             if m.zone.as_str().is_empty() {
@@ -153,52 +155,58 @@
             let Some(e) = all.get_mut(&m.zone) else {
                 continue;
             };
-            match m.life {
-                Life::Booting => e.late_boots += self.boots_late(now, m) as u32,
-                Life::Up => {
+            match m.state {
+                MachineState::Booting => e.overdue_boots += self.is_boot_overdue(now, m) as u32,
+                MachineState::Up => {
                     e.machines += 1;
-                    e.heard += m.reported_at.is_some() as u32;
-                    let gone = self.watch.zones.gone_since(&m.zone);
-                    e.back += gone.is_some_and(|t| m.reached > t) as u32;
-                    e.newest = e.newest.max(m.reported_at);
-                    if now - m.reached.max(self.awake) > late {
+                    e.reported += m.last_report.is_some() as u32;
+                    let gone = self.watch.zones.last_heard_before_outage(&m.zone);
+                    e.returned += gone.is_some_and(|t| m.last_contact > t) as u32;
+                    e.last_heard = e.last_heard.max(m.last_report);
+                    if now - m.last_contact.max(self.awake) > late {
                         e.overdue += 1;
-                        e.fell_silent = Some(match e.fell_silent {
-                            None => (m.reached, m.reached),
-                            Some((a, b)) => (a.min(m.reached), b.max(m.reached)),
+                        e.overdue_last_heard = Some(match e.overdue_last_heard {
+                            None => (m.last_contact, m.last_contact),
+                            Some((a, b)) => (a.min(m.last_contact), b.max(m.last_contact)),
                         });
                     }
                 }
-                Life::Leaving { .. } => {}
+                MachineState::Leaving { .. } => {}
             }
         }
         all
     }
 
     /// It should have come up long ago.
-    fn boots_late(&self, now: Time, m: &Machine) -> bool {
+    fn is_boot_overdue(&self, now: Time, m: &Machine) -> bool {
         let boot = self.flavors.get(&m.build).map_or(60.0, |f| f.boot_s);
-        now - m.hired > late_boot(boot)
+        now - m.rented_at > late_boot(boot)
     }
 
     /// Machines of zones in trouble take nothing new; those of one that comes
     /// back open by degrees, as they are heard.
-    fn shut_and_open(&mut self, now: Time) {
+    fn close_and_reopen_machines(&mut self, now: Time) {
         let zones = &self.watch.zones;
         // How many of each zone that comes back may be open.
         let mut most: BTreeMap<&Zone, usize> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.life == Life::Up) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.state == MachineState::Up)
+        {
             if zones.state(&m.zone) == State::Returning {
                 *most.entry(&m.zone).or_default() += 1;
             }
         }
         for (z, n) in &mut most {
-            *n = (*n as f64 * zones.open(now, z)).ceil() as usize;
+            *n = (*n as f64 * zones.usable_share(now, z)).ceil() as usize;
         }
         for m in self.machines.values() {
-            let back = zones.gone_since(&m.zone).is_none_or(|t| m.reached > t);
+            let back = zones
+                .last_heard_before_outage(&m.zone)
+                .is_none_or(|t| m.last_contact > t);
             if back
-                && !m.shut
+                && !m.closed
                 && let Some(n) = most.get_mut(&m.zone)
             {
                 *n = n.saturating_sub(1);
@@ -206,8 +214,10 @@
         }
         let (mut closed, mut opened) = (vec![], vec![]);
         for m in self.machines.values() {
-            let back = zones.gone_since(&m.zone).is_none_or(|t| m.reached > t);
-            match (m.shut, back) {
+            let back = zones
+                .last_heard_before_outage(&m.zone)
+                .is_none_or(|t| m.last_contact > t);
+            match (m.closed, back) {
                 (false, false) => closed.push(m.host.clone()),
                 (true, true) => {
                     if let Some(n) = most.get_mut(&m.zone) {
@@ -225,42 +235,42 @@
             let Some(m) = self.machines.get_mut(&h) else {
                 continue;
             };
-            m.shut = false;
+            m.closed = false;
             // It had no chance to be anything but idle.
             m.idle_since = now;
-            let (z, n) = (m.zone.clone(), m.slots.len() as u64);
+            let (z, n) = (m.zone.clone(), m.allocations.len() as u64);
             self.watch.tally.entry(z).or_default().returned += n;
             self.replan = true;
         }
         for h in closed {
-            self.shut(now, &h);
+            self.close_machine(now, &h);
         }
     }
 
     /// The machine gets nothing new. What was to start there and has not been
     /// told to can start elsewhere at once.
-    fn shut(&mut self, now: Time, host: &Host) {
+    fn close_machine(&mut self, now: Time, host: &Host) {
         let Some(m) = self.machines.get_mut(host) else {
             return;
         };
-        m.shut = true;
-        let tasks: Vec<TaskId> = m.slots.keys().cloned().collect();
+        m.closed = true;
+        let tasks: Vec<TaskId> = m.allocations.keys().cloned().collect();
         for t in tasks {
-            if self.live_mut(&t).is_some_and(|l| !l.sent) {
-                self.gone(now, &t);
+            if self.active_attempt_mut(&t).is_some_and(|l| !l.sent) {
+                self.attempt_gone(now, &t);
             }
         }
     }
 
     /// Gives back what is better started elsewhere, as far as that can be.
-    fn move_from_lost(&mut self, now: Time) {
+    fn release_from_lost_zones(&mut self, now: Time) {
         let zones = &self.watch.zones;
         let lost: Vec<(Zone, Span)> = zones
             .views(now)
             .into_iter()
             .filter(|v| v.state == State::Lost)
             .map(|v| {
-                let known = self.fences.inherited(&v.zone).unwrap_or(now);
+                let known = self.fences.inherited_since(&v.zone).unwrap_or(now);
                 let silent = zones.silent_for(now, &v.zone).max(now - known);
                 (v.zone, silent)
             })
@@ -268,51 +278,55 @@
         if lost.is_empty() {
             return;
         }
-        let mut budget = self.room_elsewhere(now);
+        let mut budget = self.capacity_elsewhere(now);
         for (zone, silent) in lost {
             let mut cases = vec![];
             for m in self.machines.values() {
-                if m.zone == zone && m.life == Life::Up && m.shut && !m.slots.is_empty() {
-                    cases.push(self.case(now, m));
+                if m.zone == zone
+                    && m.state == MachineState::Up
+                    && m.closed
+                    && !m.allocations.is_empty()
+                {
+                    cases.push(self.lost_machine(now, m));
                 }
             }
             let n = cases.len();
-            let chosen = plan(silent, cases, budget);
+            let chosen = plan_releases(silent, cases, budget);
             if n > 0 {
-                tracing::info!(%zone, silent_s = silent.as_secs(), machines = n, worth_moving = chosen.worthy,
-                    chosen = chosen.machines.len(), free = budget.free, made = budget.made, "lost zone");
+                tracing::info!(%zone, silent_s = silent.as_secs(), machines = n, worth_moving = chosen.worthwhile,
+                    chosen = chosen.machines.len(), free = budget.free, made = budget.preemptible, "lost zone");
             }
-            budget = chosen.left;
+            budget = chosen.remaining;
             let mut moved = 0;
             for h in chosen.machines {
                 let Some(m) = self.machines.get_mut(&h) else {
                     continue;
                 };
-                moved += m.slots.len() as u64;
-                m.life = Life::Leaving { next: now };
-                tracing::info!(host = %h, %zone, tasks = m.slots.len(), "given back for its work");
+                moved += m.allocations.len() as u64;
+                m.state = MachineState::Leaving { next: now };
+                tracing::info!(host = %h, %zone, tasks = m.allocations.len(), "given back for its work");
             }
             let t = self.watch.tally.entry(zone).or_default();
             t.moved += moved;
         }
     }
 
-    fn case(&self, now: Time, m: &Machine) -> Case<Host> {
+    fn lost_machine(&self, now: Time, m: &Machine) -> LostMachine<Host> {
         let lease = self.lease_bound();
         let stake = |t: &TaskId| {
             let j = self.jobs.get(&t.job)?;
             let l = j.live.get(&t.ix)?;
-            Some(self.stake(now, m, j, l))
+            Some(self.attempt_at_risk(now, m, j, l))
         };
-        Case {
+        LostMachine {
             machine: m.host.clone(),
-            stakes: m.slots.keys().filter_map(stake).collect(),
-            lease_left: m.answered + lease - now,
-            boot: Span::secs(self.boot_s(&m.build)),
+            attempts: m.allocations.keys().filter_map(stake).collect(),
+            lease_remaining: m.last_renewal + lease - now,
+            boot_time: Span::secs(self.boot_s(&m.build)),
         }
     }
 
-    fn stake(&self, now: Time, m: &Machine, j: &Job, l: &Live) -> Stake {
+    fn attempt_at_risk(&self, now: Time, m: &Machine, j: &Job, l: &Live) -> AttemptAtRisk {
         let size = j.need.share_of(&m.capacity);
         let est = estimate::of(j);
         let ran = match (l.phase, l.running_since) {
@@ -332,45 +346,51 @@
         let whole =
             j.live.len() as u32 == j.spec.tasks && j.live.values().all(|l| l.stop.is_none());
         let standing = match j.spec.kind {
-            Kind::Service => Standing::Replica,
-            Kind::Gang if !whole || l.stop.is_some() => Standing::Broken,
-            _ if j.priority() <= Priority::High || self.is_quick(&j.spec.class) => Standing::Urgent,
-            _ => Standing::Other,
+            Kind::Service => AttemptKind::Replica,
+            Kind::Gang if !whole || l.stop.is_some() => AttemptKind::BrokenGang,
+            _ if j.priority() <= Priority::High || self.is_quick(&j.spec.class) => {
+                AttemptKind::Urgent
+            }
+            _ => AttemptKind::Other,
         };
-        Stake {
-            standing,
-            unsaved: match gang {
+        AttemptAtRisk {
+            kind: standing,
+            unsaved_work: match gang {
                 true => Span(unsaved.0 * j.spec.tasks as u64),
                 false => unsaved,
             },
-            again: match saves > 0.0 {
+            rerun_time: match saves > 0.0 {
                 true => (est - ran) + unsaved,
                 false => est,
             },
-            left: est - ran,
-            due: self.next_due(now, j).map(|t| t - now),
-            size,
+            remaining: est - ran,
+            due_in: self.next_due(now, j).map(|t| t - now),
+            machine_share: size,
         }
     }
 
     /// What the zones that are well can start soon, beyond what waits already.
-    fn room_elsewhere(&self, now: Time) -> Budget {
+    fn capacity_elsewhere(&self, now: Time) -> Budget {
         let fresh = self.heard_within();
         let keep = self.headroom(now);
         let mut free = Room::default();
         let (mut whole, mut n) = (Room::default(), 0u32);
         let (mut lower, mut soon_free) = (Room::default(), Room::default());
         let mut within = Span::secs(1.0);
-        for m in self.machines.values().filter(|m| m.open(now, fresh)) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.accepts_tasks(now, fresh))
+        {
             free += m.free().at_least_zero();
             whole += m.capacity;
             n += 1;
             let soon = Span::secs(self.boot_s(&m.build) * self.cfg.tuning.wait_share);
             within = within.max(soon);
-            for (t, s) in &m.slots {
+            for (t, s) in &m.allocations {
                 if s.remaining(now) < soon {
                     soon_free += s.need;
-                } else if self.jobs.get(&t.job).is_some_and(gives_way) {
+                } else if self.jobs.get(&t.job).is_some_and(may_be_preempted) {
                     lower += s.need;
                 }
             }
@@ -383,11 +403,11 @@
         let free = free.minus(&keep.all).at_least_zero();
         // Of what running tasks leave until the next look, half is for those
         // who wait already.
-        let turns = 2.0 * within.as_secs() / PLAN_EVERY.as_secs();
+        let turns = 2.0 * within.as_secs() / PLAN_INTERVAL.as_secs();
         let turn = soon_free.least_share_of(&whole) / turns;
         Budget {
             free: n as f64 * (free.least_share_of(&whole) + turn),
-            made: n as f64 * lower.least_share_of(&whole),
+            preemptible: n as f64 * lower.least_share_of(&whole),
         }
     }
 
@@ -398,14 +418,14 @@
 
     /// Machines of a zone in trouble are not given up for their silence: while
     /// it lasts, and for as long as others in their place would cost more.
-    pub(super) fn keeps_zone(&self, now: Time, z: &Zone) -> bool {
-        let keep = self.watch.zones.limits().keep;
-        self.watch.silent(z) && self.watch.zones.silent_for(now, z) < keep
+    pub(super) fn retains_zone(&self, now: Time, z: &Zone) -> bool {
+        let keep = self.watch.zones.limits().retain_for;
+        self.watch.is_silent(z) && self.watch.zones.silent_for(now, z) < keep
     }
 
-    pub(super) fn kept_zones(&self, now: Time) -> HashSet<Zone> {
+    pub(super) fn retained_zones(&self, now: Time) -> HashSet<Zone> {
         let all = self.watch.zones.views(now).into_iter().map(|v| v.zone);
-        all.filter(|z| self.keeps_zone(now, z)).collect()
+        all.filter(|z| self.retains_zone(now, z)).collect()
     }
 
     /// What operators see of zones.
@@ -423,15 +443,15 @@
         let mut counts: BTreeMap<&Zone, Counts> = BTreeMap::new();
         for m in self.machines.values() {
             let c = counts.entry(&m.zone).or_default();
-            match m.life {
-                Life::Up => c.up += 1,
-                Life::Booting => c.booting += 1,
-                Life::Leaving { .. } => c.leaving += 1,
+            match m.state {
+                MachineState::Up => c.up += 1,
+                MachineState::Booting => c.booting += 1,
+                MachineState::Leaving { .. } => c.leaving += 1,
             }
-            c.shut += m.shut as u32;
-            c.tasks += m.slots.len();
-            if self.watch.silent(&m.zone) {
-                c.tasks_out_of_reach += m.slots.len();
+            c.shut += m.closed as u32;
+            c.tasks += m.allocations.len();
+            if self.watch.is_silent(&m.zone) {
+                c.tasks_out_of_reach += m.allocations.len();
             }
         }
         for j in self.jobs.values() {
@@ -450,6 +470,6 @@
 }
 
 /// Production and urgent work may have room made by it.
-fn gives_way(j: &Job) -> bool {
+fn may_be_preempted(j: &Job) -> bool {
     j.spec.kind == Kind::Array && j.priority() > Priority::High
 }
--- a/src/settings/zones.rs
+++ b/src/settings/zones.rs
@@ -37,15 +37,15 @@
         let l = Limits::of(Span::ZERO);
         ZoneLimits {
             act: false,
-            quiet_s: l.quiet.as_secs(),
+            quiet_s: l.quiet_after.as_secs(),
             overdue_share: l.overdue_share,
-            most_share: l.most_share,
-            least_machines: l.least,
+            most_share: l.partial_outage_share,
+            least_machines: l.min_machines,
             lost_after_s: l.lost_after.as_secs(),
-            settle_s: l.settle.as_secs(),
-            settle_most_s: l.settle_most.as_secs(),
-            memory_s: l.memory.as_secs(),
-            keep_s: l.keep.as_secs(),
+            settle_s: l.recovery_ramp.as_secs(),
+            settle_most_s: l.max_recovery_ramp.as_secs(),
+            memory_s: l.outage_memory.as_secs(),
+            keep_s: l.retain_for.as_secs(),
         }
     }
 }
@@ -55,15 +55,15 @@
     pub fn limits(&self, report_s: f64) -> Limits {
         Limits {
             report: Span::secs(report_s),
-            quiet: Span::secs(self.quiet_s),
+            quiet_after: Span::secs(self.quiet_s),
             overdue_share: self.overdue_share,
-            most_share: self.most_share,
-            least: self.least_machines,
+            partial_outage_share: self.most_share,
+            min_machines: self.least_machines,
             lost_after: Span::secs(self.lost_after_s),
-            settle: Span::secs(self.settle_s),
-            settle_most: Span::secs(self.settle_most_s),
-            memory: Span::secs(self.memory_s),
-            keep: Span::secs(self.keep_s),
+            recovery_ramp: Span::secs(self.settle_s),
+            max_recovery_ramp: Span::secs(self.settle_most_s),
+            outage_memory: Span::secs(self.memory_s),
+            retain_for: Span::secs(self.keep_s),
         }
     }
 
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -360,7 +360,7 @@
             return None;
         }
         let (record, ver) = sched.fences_to_write()?;
-        let record = record.within(self.limits.value_bytes());
+        let record = record.truncated_to(self.limits.value_bytes());
         let value = serde_json::to_value(record).unwrap_or_default();
         let mut draft = Draft::new(1);
         draft.require(FENCES.into(), self.stamp(FENCES));
--- a/src/store/commit/outcomes.rs
+++ b/src/store/commit/outcomes.rs
@@ -36,7 +36,7 @@
         let part = match w.what {
             What::Part(p, _) => p,
             What::End => 0,
-            What::Fences(_) => return sched.fences_again(),
+            What::Fences(_) => return sched.fence_write_failed(),
         };
         if let Some(j) = sched.jobs.get_mut(&w.job) {
             j.queue(part, &mut sched.dirty, w.purpose);
@@ -158,7 +158,7 @@
                 What::End => self.put_aside(now, sched, (w.job, 0), w.purpose),
                 What::Fences(_) => {
                     self.rest_until = now + REST;
-                    sched.fences_again();
+                    sched.fence_write_failed();
                 }
             }
         }
--- a/tests/accelerators.rs
+++ b/tests/accelerators.rs
@@ -239,7 +239,7 @@
         let m =
             d.s.machines
                 .get_mut(&Host::from(format!("n-{n:06}").as_str()));
-        m.unwrap().saw_image(&"gang".into(), 9.0);
+        m.unwrap().note_image_use(&"gang".into(), 9.0);
     }
     let mut g = gang(1, 2);
     (g.class, g.image_gb) = ("gangs".into(), 9.0);
@@ -261,7 +261,7 @@
         (other.image, other.class) = ("other".into(), "work".into());
         d.submit(&other);
         let third = d.s.machines.get_mut(&Host::from("n-000003")).unwrap();
-        third.saw_image(&"live".into(), image_gb);
+        third.note_image_use(&"live".into(), image_gb);
         let mut s = service(2, 1);
         s.image_gb = image_gb;
         d.submit(&s);
@@ -404,7 +404,7 @@
     d.now = now.0;
     runs(&mut d, machine(1, "a", false, 2));
     let m = &d.s.machines[&Host::from("n-000001")];
-    let left = m.remaining(hookworks::time::Time(d.now)).unwrap().1;
+    let left = m.remaining_range(hookworks::time::Time(d.now)).unwrap().1;
     // Of 100 s some 60 are over.
     assert!(left.as_secs() < 41.0, "{left:?}");
     let a = d.attempt("job-000001", 0).unwrap();
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -101,7 +101,7 @@
     let (second, ver) = d.s.fences_to_write().unwrap();
     assert!(second.since.is_empty());
     // Not stored, as far as is known: it may be, or not, so neither is said.
-    d.s.fences_again();
+    d.s.fence_write_failed();
     assert_eq!(d.s.fences_to_write().map(|w| w.1), Some(ver));
     d.wait(1.5);
     assert_eq!(
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -90,7 +90,7 @@
 fn what_is_to_end_there_ends_with_the_lease() {
     let (mut d, a) = at_work();
     let mut seq = goes_deaf(&mut d, a);
-    let answered = d.s.machines[&host(1)].answered;
+    let answered = d.s.machines[&host(1)].last_renewal;
     d.ask(Ask::Cancel(JOB.into()));
     let cancelled = d.now;
     while d.attempt(JOB, 0).is_some() {
@@ -222,7 +222,7 @@
     d.beat(&r);
     assert_eq!(d.attempt(JOB, 0), Some(a), "it may have begun meanwhile");
     // Nor is what an earlier leader told it out of force yet.
-    assert!(d.s.machines[&host(1)].doubt.is_some());
+    assert!(d.s.machines[&host(1)].unconfirmed_token.is_some());
     // Sent in this term, a report of that session says what there is; and a later
     // one proves that all that was there before has ended.
     r.token = Token(Epoch(6).base());
@@ -245,7 +245,7 @@
     d.beat(&copy);
     d.submit(&job(1, 1));
     assert_eq!(d.attempt(JOB, 0), None, "placed on a ghost");
-    assert!(d.s.machines[&host(1)].notice_until.is_none());
+    assert!(d.s.machines[&host(1)].spot_notice_until.is_none());
     // Listed, it is there after all.
     let listed = Listed {
         host: host(1),
@@ -265,13 +265,13 @@
 #[test]
 fn a_copy_of_a_known_report_is_no_sign_of_life() {
     let (mut d, a) = at_work();
-    let heard = d.s.machines[&host(1)].heard;
+    let heard = d.s.machines[&host(1)].last_heartbeat;
     for _ in 0..4 {
         d.wait(2.5);
         d.beat(&runs(3, a));
         d.beat(&report(1, 2, Token(0)));
     }
-    assert_eq!(d.s.machines[&host(1)].heard, heard);
+    assert_eq!(d.s.machines[&host(1)].last_heartbeat, heard);
     assert_eq!(
         d.attempt(JOB, 0),
         Some(a),
@@ -382,6 +382,6 @@
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
     d.event(Event::Direct(call, h, DirectResult::Done(Box::new(r))));
     let m = &d.s.machines[&host(1)];
-    assert!(m.certain && m.doubt.is_none());
+    assert!(m.existence_confirmed && m.unconfirmed_token.is_none());
     assert_eq!(d.attempt(JOB, 0), Some(a));
 }
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -96,7 +96,7 @@
     d.beat(&report(1, seq, Token(0)));
     seq += 1;
     d.beat(&report(1, seq, Token(0)));
-    let answered = d.s.machines[&host(1)].answered;
+    let answered = d.s.machines[&host(1)].last_renewal;
     d.submit(&job(1, 1));
     answers_calls(&mut d, &mut seq, &[]);
     let first = d.attempt(JOB, 0).unwrap();
@@ -107,7 +107,7 @@
     answers_calls(&mut d, &mut seq, &[(JOB, first)]);
     assert!(seq > before, "it answered a call");
     while d.attempt(JOB, 0) == Some(first) {
-        assert_eq!(d.s.machines[&host(1)].answered, answered);
+        assert_eq!(d.s.machines[&host(1)].last_renewal, answered);
         d.wait(1.0);
         assert!(d.now < 4_030_000_000, "its lease seemed to be renewed");
     }
--- a/tests/record_limits.rs
+++ b/tests/record_limits.rs
@@ -1019,9 +1019,9 @@
         epoch: Epoch(3),
         since: zones.collect(),
     };
-    let kept = all.clone().within(2048);
+    let kept = all.clone().truncated_to(2048);
     let bytes = serde_json::to_string(&kept).unwrap().len();
     assert!(bytes <= 2048 && kept.since.len() > 60, "{bytes} bytes");
     assert!(kept.since.iter().all(|(z, at)| all.since[z] == *at));
-    assert_eq!(all.clone().within(1 << 20), all);
+    assert_eq!(all.clone().truncated_to(1 << 20), all);
 }
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -532,7 +532,7 @@
     // answers to reports held no commands, and a cancelled task ran on.
     let (mut d, a) = one_task(true);
     let (_, host, _) = d.direct().remove(0);
-    assert!(d.s.machines[&host].direct.is_some());
+    assert!(d.s.machines[&host].direct_call.is_some());
     d.ask(Ask::Cancel(JOB.into()));
     let mut r = report(1, 2, Token(0));
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -77,7 +77,7 @@
     all_run(&mut d, 1, 2);
     let slot = |d: &Desk| {
         let m = &d.s.machines[&host(1)];
-        m.slots.values().next().unwrap().estimate.as_secs()
+        m.allocations.values().next().unwrap().estimate.as_secs()
     };
     let attempts: Vec<_> = (0..4)
         .map(|t| d.attempt("job-000001", t).unwrap())
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -35,7 +35,7 @@
 fn running(d: &Desk, n: u32, seq: u64) -> Report {
     let mut r = report(n, seq, Token(3 << 24));
     let m = &d.s.machines[&r.host];
-    for t in m.slots.keys() {
+    for t in m.allocations.keys() {
         let l = &d.s.jobs[&t.job].live[&t.ix];
         r.tasks
             .push(task(t.job.as_str(), t.ix.0, l.attempt, TaskState::Running));
@@ -228,14 +228,14 @@
     let m = d.s.machines.get_mut(&host).unwrap();
     assert_eq!(m.cache_gb, 50.0);
     for n in 0..40 {
-        m.saw_image(&Image::from(format!("i{n}").as_str()), 2.0);
+        m.note_image_use(&Image::from(format!("i{n}").as_str()), 2.0);
     }
     let held = |m: &hookworks::sched::machine::Machine, n: u32| {
         m.has_image(&Image::from(format!("i{n}").as_str()))
     };
     assert!(held(m, 39) && held(m, 15) && !held(m, 14));
-    m.saw_image(&Image::from("i15"), 2.0);
-    m.saw_image(&Image::from("new"), 2.0);
+    m.note_image_use(&Image::from("i15"), 2.0);
+    m.note_image_use(&Image::from("new"), 2.0);
     assert!(held(m, 15) && !held(m, 16), "the longest unused goes first");
 }
 
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -65,7 +65,7 @@
         change(&mut cfg);
         let mut s = Sched::new(cfg, Epoch(epoch), Time(now), Time(now), Wall(1_000_000));
         if let Some(f) = fences {
-            s.take_fences(Time(now), Wall(1_000_000), f);
+            s.load_fences(Time(now), Wall(1_000_000), f);
         }
         s.load(Time(now), jobs, Default::default());
         let mut d = Desk {
--- a/tests/world/dispatch.rs
+++ b/tests/world/dispatch.rs
@@ -103,7 +103,7 @@
         let held = |j: &&Job| j.holds.get(HoldKind::System).is_some();
         let held = t.sched.jobs.values().filter(held);
         self.limited.extend(held.map(|j| j.id().clone()));
-        let wrong = t.sched.audit();
+        let wrong = t.sched.check_totals();
         self.broken.extend(wrong);
     }
 
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -77,7 +77,7 @@
             sched.set_format(format);
         }
         if let Some(f) = l.fences {
-            sched.take_fences(now, wall, f);
+            sched.load_fences(now, wall, f);
         }
         sched.load(now, l.jobs, l.unreadable);
         self.log.push(format!("{} c{i} leads {epoch}", self.now));
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -62,14 +62,14 @@
 fn tasks_in(w: &World, zone: &str) -> BTreeSet<TaskId> {
     let s = w.sched(w.leader().unwrap());
     let there = s.machines.values().filter(|m| m.zone.as_str() == zone);
-    there.flat_map(|m| m.slots.keys().cloned()).collect()
+    there.flat_map(|m| m.allocations.keys().cloned()).collect()
 }
 
 /// Machines there that have tasks.
 fn busy_in(w: &World, zone: &str) -> BTreeSet<Host> {
     let s = w.sched(w.leader().unwrap());
     let there = s.machines.values().filter(|m| m.zone.as_str() == zone);
-    let busy = there.filter(|m| !m.slots.is_empty());
+    let busy = there.filter(|m| !m.allocations.is_empty());
     busy.map(|m| m.host.clone()).collect()
 }
 
