--- a/src/api.rs
+++ b/src/api.rs
@@ -18,76 +18,76 @@
 use std::time::{Duration, Instant};
 
 /// What arrives at the main loop.
-pub enum Incoming {
-    Ask(Reply, Ask),
+pub enum ApiRequest {
+    Forwardable(Reply, Ask),
     Overview(Reply),
 }
 
 /// A controller that has room for more workers.
 #[derive(Debug)]
-pub struct Elsewhere {
+pub struct RedirectTarget {
     label: Label,
-    room: AtomicUsize,
+    free_places: AtomicUsize,
 }
 
-impl Elsewhere {
-    pub fn new(label: Label, room: usize) -> Elsewhere {
-        Elsewhere {
+impl RedirectTarget {
+    pub fn new(label: Label, room: usize) -> RedirectTarget {
+        RedirectTarget {
             label,
-            room: AtomicUsize::new(room),
+            free_places: AtomicUsize::new(room),
         }
     }
 
     /// Books a place there, as long as there are any.
-    fn book(&self) -> bool {
+    fn reserve(&self) -> bool {
         let (set, fetch) = (Ordering::SeqCst, Ordering::SeqCst);
         let one = |n: usize| n.checked_sub(1);
-        self.room.fetch_update(set, fetch, one).is_ok()
+        self.free_places.fetch_update(set, fetch, one).is_ok()
     }
 }
 
 /// What the main loop tells all connections; read without locks.
 #[derive(Default)]
-pub struct Notice {
+pub struct SharedStatus {
     /// This controller can serve or pass on.
     pub healthy: AtomicBool,
     /// Where a worker goes that finds no room here.
-    pub elsewhere: ArcSwapOption<Elsewhere>,
+    pub redirect_target: ArcSwapOption<RedirectTarget>,
     /// All unfinished jobs, at the leader.
-    pub jobs: ArcSwapOption<Published>,
+    pub jobs: ArcSwapOption<PublishedJobs>,
 }
 
 /// The unfinished jobs as of a moment, to be told as long as the leadership
 /// is proven.
-pub struct Published {
+pub struct PublishedJobs {
     pub jobs: Snapshot,
-    pub until: Instant,
+    pub valid_until: Instant,
 }
 
-impl Notice {
+impl SharedStatus {
     /// What has changed, if this controller may tell.
     pub fn changes(&self, since: Option<Mark>) -> Option<Answer> {
         let p = self.jobs.load();
-        let p = p.as_ref().filter(|p| Instant::now() < p.until)?;
+        let p = p.as_ref().filter(|p| Instant::now() < p.valid_until)?;
         Some(Answer::new(200, rows(&p.jobs.changes(since))))
     }
 
     /// A page of unfinished jobs, if this controller may tell any.
     pub fn page(&self, q: &Query) -> Option<Answer> {
         let p = self.jobs.load();
-        let p = p.as_ref().filter(|p| Instant::now() < p.until)?;
+        let p = p.as_ref().filter(|p| Instant::now() < p.valid_until)?;
         Some(Answer::new(200, rows(&p.jobs.page(q, wall().0))))
     }
 }
 
 /// The routes of a controller.
 pub struct Api<F> {
-    notice: Arc<Notice>,
+    shared: Arc<SharedStatus>,
     inbox: F,
 }
 
 /// What a request asks for, before its body is here.
-pub enum Wanted {
+pub enum Operation {
     Submit,
     Report,
     Poll(String),
@@ -108,8 +108,8 @@
 
 /// Sockets for calls to the state service, the cloud, workers and controllers,
 /// none of which may be given to callers.
-fn sockets_set_aside(s: &Settings) -> usize {
-    crate::node::sockets_for_calls() + crate::peer::sockets(s.platform.seeds.len())
+fn reserved_sockets(s: &Settings) -> usize {
+    crate::node::sockets_for_calls() + crate::peer::max_sockets(s.platform.seeds.len())
 }
 
 /// The bounds in force under these settings.
@@ -122,7 +122,7 @@
         sockets: limits.max_connections,
         descriptors: descriptors(limits.max_connections),
         memory: (limits.ram_mb * 1e6) as u64,
-        reserved_sockets: sockets_set_aside(s),
+        reserved_sockets: reserved_sockets(s),
     };
     Bounds::plan(&machine, &s.tuning.connections.bounds_settings())
 }
@@ -130,11 +130,11 @@
 /// Starts the server. What reaches `inbox` is answered by way of its `Reply`.
 pub fn start<F>(
     settings: &Settings,
-    notice: Arc<Notice>,
+    notice: Arc<SharedStatus>,
     inbox: F,
 ) -> std::io::Result<Server<Api<F>>>
 where
-    F: Fn(Incoming) -> bool + Send + Sync + 'static,
+    F: Fn(ApiRequest) -> bool + Send + Sync + 'static,
 {
     let bounds = bounds(settings).map_err(std::io::Error::other)?;
     let t = &settings.tuning.connections;
@@ -145,14 +145,17 @@
         idle: Duration::from_secs_f64(t.idle_s),
         ..Timeouts::default()
     };
-    let api = Api { notice, inbox };
+    let api = Api {
+        shared: notice,
+        inbox,
+    };
     let server = Server::start(settings.platform.listen, bounds, timeouts, api)?;
     tracing::info!(connections = bounds.connections, limited_by = %bounds.limited_by,
         guaranteed = ?bounds.guaranteed, set_aside = bounds.set_aside, "accepting");
     Ok(server)
 }
 
-fn route(method: &Method, path: &str, query: &str) -> Result<(RequestClass, Wanted), Answer> {
+fn route(method: &Method, path: &str, query: &str) -> Result<(RequestClass, Operation), Answer> {
     let only = |m: Method| {
         if *method == m {
             Ok(())
@@ -162,27 +165,31 @@
     };
     let none = || Answer::error(404, "no such path");
     match path {
-        "/v2/runs" => only(Method::POST).map(|()| (RequestClass::Users, Wanted::Submit)),
-        "/v2/jobs" => only(Method::GET).map(|()| (RequestClass::Users, Wanted::List(query.into()))),
+        "/v2/runs" => only(Method::POST).map(|()| (RequestClass::Users, Operation::Submit)),
+        "/v2/jobs" => {
+            only(Method::GET).map(|()| (RequestClass::Users, Operation::List(query.into())))
+        }
         "/v2/events" => {
-            only(Method::GET).map(|()| (RequestClass::Users, Wanted::Events(query.into())))
+            only(Method::GET).map(|()| (RequestClass::Users, Operation::Events(query.into())))
         }
-        "/agent/beat" => only(Method::POST).map(|()| (RequestClass::Workers, Wanted::Report)),
-        "/v2/overview" => only(Method::GET).map(|()| (RequestClass::Watch, Wanted::Overview)),
+        "/agent/beat" => only(Method::POST).map(|()| (RequestClass::Workers, Operation::Report)),
+        "/v2/overview" => only(Method::GET).map(|()| (RequestClass::Watch, Operation::Overview)),
         _ => {
             if let Some(id) = path.strip_prefix("/v2/jobs/") {
-                let show = || (RequestClass::Users, Wanted::Show(id.into()));
+                let show = || (RequestClass::Users, Operation::Show(id.into()));
                 return only(Method::GET).map(|()| show());
             }
             let id = path.strip_prefix("/v2/runs/").ok_or_else(none)?;
             match id.split_once('/') {
-                None => only(Method::GET).map(|()| (RequestClass::Users, Wanted::Poll(id.into()))),
+                None => {
+                    only(Method::GET).map(|()| (RequestClass::Users, Operation::Poll(id.into())))
+                }
                 Some((id, what)) => {
                     let id = id.to_string();
                     let wanted = match what {
-                        "abort" => Wanted::Cancel(id),
-                        "hold" => Wanted::Hold(id),
-                        "release" => Wanted::Release(id),
+                        "abort" => Operation::Cancel(id),
+                        "hold" => Operation::Hold(id),
+                        "release" => Operation::Release(id),
                         _ => return Err(none()),
                     };
                     only(Method::POST).map(|()| (RequestClass::Users, wanted))
@@ -194,15 +201,15 @@
 
 impl<F> Service for Api<F>
 where
-    F: Fn(Incoming) -> bool + Send + Sync + 'static,
+    F: Fn(ApiRequest) -> bool + Send + Sync + 'static,
 {
-    type Request = Wanted;
+    type Request = Operation;
 
-    fn route(&self, method: &Method, path: &str, query: &str) -> Route<Wanted> {
+    fn route(&self, method: &Method, path: &str, query: &str) -> Route<Operation> {
         if path == "/healthz" {
             let a = match *method == Method::GET {
                 false => Answer::error(405, "method not allowed"),
-                true if self.notice.healthy.load(Ordering::Relaxed) => {
+                true if self.shared.healthy.load(Ordering::Relaxed) => {
                     Answer::new(200, "{}".into())
                 }
                 true => Answer::error(503, "no leader in reach"),
@@ -215,52 +222,52 @@
         }
     }
 
-    fn handle(&self, wanted: Wanted, body: Vec<u8>, reply: Reply) {
+    fn handle(&self, wanted: Operation, body: Vec<u8>, reply: Reply) {
         let ask = match wanted {
-            Wanted::Submit => Ask::Submit(body),
-            Wanted::Report => Ask::Report(body),
-            Wanted::Poll(id) => Ask::Poll(id),
-            Wanted::Cancel(id) => Ask::Cancel(id),
-            Wanted::Hold(id) => Ask::Hold(id, body),
-            Wanted::Release(id) => Ask::Release(id, body),
-            Wanted::Show(id) => Ask::Show(id),
-            Wanted::Events(query) => match since(&query) {
+            Operation::Submit => Ask::Submit(body),
+            Operation::Report => Ask::Report(body),
+            Operation::Poll(id) => Ask::Poll(id),
+            Operation::Cancel(id) => Ask::Cancel(id),
+            Operation::Hold(id) => Ask::Hold(id, body),
+            Operation::Release(id) => Ask::Release(id, body),
+            Operation::Show(id) => Ask::Show(id),
+            Operation::Events(query) => match since(&query) {
                 Err(e) => return reply.answer(Answer::error(400, &e)),
-                Ok(mark) => match self.notice.changes(mark) {
+                Ok(mark) => match self.shared.changes(mark) {
                     Some(a) => return reply.answer(a),
                     None => Ask::Events(query),
                 },
             },
-            Wanted::List(query) => match Query::parse(&query) {
+            Operation::List(query) => match Query::parse(&query) {
                 Err(e) => return reply.answer(Answer::error(400, &e)),
                 // Read here, on the connection's own thread: the main loop
                 // does not hear of it.
-                Ok(q) => match self.notice.page(&q).filter(|_| q.wants_unfinished()) {
+                Ok(q) => match self.shared.page(&q).filter(|_| q.wants_unfinished()) {
                     Some(a) => return reply.answer(a),
                     None => Ask::List(query),
                 },
             },
-            Wanted::Overview => {
-                (self.inbox)(Incoming::Overview(reply));
+            Operation::Overview => {
+                (self.inbox)(ApiRequest::Overview(reply));
                 return;
             }
         };
-        (self.inbox)(Incoming::Ask(reply, ask));
+        (self.inbox)(ApiRequest::Forwardable(reply, ask));
     }
 
     fn reserve_elsewhere(&self) -> bool {
-        self.notice
-            .elsewhere
+        self.shared
+            .redirect_target
             .load()
             .as_ref()
-            .is_some_and(|e| e.book())
+            .is_some_and(|e| e.reserve())
     }
 
     fn no_capacity(&self, class: RequestClass, elsewhere: bool) -> Answer {
         if class != RequestClass::Workers {
             return Answer::later("too many connections", 1);
         }
-        let there = self.notice.elsewhere.load();
+        let there = self.shared.redirect_target.load();
         let label = there.as_ref().filter(|_| elsewhere);
         redirect(label.map(|e| e.label.clone()))
     }
--- a/src/election.rs
+++ b/src/election.rs
@@ -119,7 +119,7 @@
         /// The number of the new leadership.
         epoch: Epoch,
         /// The revision of the leader's key, the condition of all later writes.
-        stamp: Stamp,
+        revision: Stamp,
         /// The leadership is proven as of this time.
         proven: Time,
     },
@@ -264,7 +264,7 @@
         self.fast_polls_left = 0;
         ElectionOutcome::Elected {
             epoch,
-            stamp,
+            revision: stamp,
             proven,
         }
     }
--- a/src/node/balance.rs
+++ b/src/node/balance.rs
@@ -5,9 +5,9 @@
 //! bound.
 
 use super::{Node, Role};
-use crate::api::Elsewhere;
+use crate::api::RedirectTarget;
 use crate::ids::{Host, Label};
-use crate::peer::Load;
+use crate::peer::PeerLoad;
 use crate::time::{Span, Time};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -161,11 +161,14 @@
 }
 
 /// The controller with most room for workers, if any has some.
-pub fn roomiest(loads: &[Load]) -> Option<Elsewhere> {
-    let room = |load: &Load| load.most.map_or(0, |max| max.saturating_sub(load.workers));
+pub fn most_free_controller(loads: &[PeerLoad]) -> Option<RedirectTarget> {
+    let room = |load: &PeerLoad| {
+        load.max_workers
+            .map_or(0, |max| max.saturating_sub(load.workers))
+    };
     let best = loads.iter().max_by_key(|load| room(load))?;
     let room = room(best);
-    (room > 0).then(|| Elsewhere::new(best.label.clone(), room as usize))
+    (room > 0).then(|| RedirectTarget::new(best.label.clone(), room as usize))
 }
 
 impl Node {
@@ -192,16 +195,16 @@
                 max_workers,
             }
         };
-        let loads = self.peers.workers();
-        let roomiest = roomiest(&loads).map(Arc::new);
-        self.notice.elsewhere.store(roomiest);
+        let loads = self.peers.worker_loads();
+        let target = most_free_controller(&loads).map(Arc::new);
+        self.notice.redirect_target.store(target);
         let others = loads.into_iter().map(|load| ControllerLoad {
-            capacity: capacity(&load.label, load.most),
+            capacity: capacity(&load.label, load.max_workers),
             label: load.label,
             workers: load.workers,
         });
-        let own = capacity(&own_label, Some(self.peers.most()));
+        let own = capacity(&own_label, Some(self.peers.max_workers()));
         let reporting = self.worker_balance.tick(now, own, others.collect());
-        self.peers.set_workers(reporting);
+        self.peers.set_worker_count(reporting);
     }
 }
--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -43,7 +43,7 @@
         }
         // Between two leaders, or while the state service is down for all,
         // being taken out of the load balancing would only make it last longer.
-        let in_touch = self.peers.any() || now - self.state_ok_at < STATE_SERVICE_FRESH;
+        let in_touch = self.peers.any_reachable() || now - self.state_ok_at < STATE_SERVICE_FRESH;
         now - self.led_at < MAX_LEADERLESS && in_touch
     }
 
--- a/src/node/lists.rs
+++ b/src/node/job_lists.rs
@@ -1,7 +1,7 @@
 //! Pages of jobs, made by a thread of their own.
 
-use super::{Msg, spawn};
-use crate::api::Notice;
+use super::{Message, spawn};
+use crate::api::SharedStatus;
 use crate::ids::{JobId, ReqId};
 use crate::sched::detail_of_record;
 use crate::settings::Settings;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// What somebody wants to read.
-pub enum Wanted {
+pub enum ListRequest {
     Page(Query),
     Changes(Option<Mark>),
 }
@@ -33,10 +33,10 @@
 pub fn start(
     settings: &Settings,
     clock: Clock,
-    notice: Arc<Notice>,
-    inbox: Sender<Msg>,
-) -> Sender<(ReqId, Wanted)> {
-    let (tx, rx) = bounded::<(ReqId, Wanted)>(MAX_LISTS);
+    notice: Arc<SharedStatus>,
+    inbox: Sender<Message>,
+) -> Sender<(ReqId, ListRequest)> {
+    let (tx, rx) = bounded::<(ReqId, ListRequest)>(MAX_LISTS);
     let state = StateClient::new(
         settings.platform.services.state,
         Duration::from_millis(1200),
@@ -47,11 +47,13 @@
         for (req, wanted) in rx {
             let later = || Answer::later("leadership is not proven at the moment", 1);
             let answer = match wanted {
-                Wanted::Changes(mark) => notice.changes(mark).unwrap_or_else(later),
-                Wanted::Page(q) if q.wants_unfinished() => notice.page(&q).unwrap_or_else(later),
-                Wanted::Page(q) => finished(&state, &mut budget, clock, &q),
+                ListRequest::Changes(mark) => notice.changes(mark).unwrap_or_else(later),
+                ListRequest::Page(q) if q.wants_unfinished() => {
+                    notice.page(&q).unwrap_or_else(later)
+                }
+                ListRequest::Page(q) => finished_page(&state, &mut budget, clock, &q),
             };
-            if inbox.send(Msg::Listed(req, answer)).is_err() {
+            if inbox.send(Message::ListReady(req, answer)).is_err() {
                 return;
             }
         }
@@ -61,7 +63,7 @@
 
 /// A page of finished jobs. It may hold few or none though more follow: one
 /// list reads so much at a time and no more.
-pub fn finished(state: &impl State, budget: &mut Budget, clock: Clock, q: &Query) -> Answer {
+pub fn finished_page(state: &impl State, budget: &mut Budget, clock: Clock, q: &Query) -> Answer {
     let mut page = Page::default();
     let mut after = match &q.after {
         Some(Position::Finished(id)) if !id.is_empty() => Some(final_key(&id.as_str().into())),
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -1,9 +1,9 @@
 //! How leaderships begin and end at this controller.
 
-use super::load::{self, Loaded};
+use super::state_loading::{self, LoadedState};
 use super::threads::cloud::CloudRequest;
 use super::threads::election::ElectionCommand;
-use super::{Node, Role, Term};
+use super::{Leadership, Node, Role};
 use crate::election::{ElectionOutcome, LeaderRecord};
 use crate::ids::{Epoch, Label, ReqId, Stamp};
 use crate::sched::{Config, Event, Sched};
@@ -49,7 +49,7 @@
             ElectionOutcome::Following(leader) => self.follow(now, leader),
             ElectionOutcome::Elected {
                 epoch,
-                stamp,
+                revision: stamp,
                 proven,
             } => self.elected(epoch, stamp, proven),
             ElectionOutcome::Renewed(proven) => self.renewed(now, proven),
@@ -85,7 +85,7 @@
         self.proven = proven;
         self.role = Role::Loading(epoch);
         self.seen = None;
-        load::start(&self.settings, self.clock, self.inbox.clone(), epoch, stamp);
+        state_loading::start(&self.settings, self.clock, self.inbox.clone(), epoch, stamp);
     }
 
     fn renewed(&mut self, now: Time, proven: Time) {
@@ -114,7 +114,7 @@
     }
 
     /// What is stored was read: the leadership begins, unless it has ended meanwhile.
-    pub(super) fn loaded(&mut self, now: Time, loaded: Loaded) {
+    pub(super) fn loaded(&mut self, now: Time, loaded: LoadedState) {
         let (epoch, format) = (loaded.epoch, loaded.format);
         if !matches!(self.role, Role::Loading(loading) if loading == epoch) {
             return;
@@ -135,15 +135,15 @@
     }
 
     /// Scheduler and group commit of a new leadership, with what was loaded.
-    fn new_term(&self, now: Time, loaded: Loaded) -> Term {
+    fn new_term(&self, now: Time, loaded: LoadedState) -> Leadership {
         let epoch = loaded.epoch;
-        let switch = Switch::new(loaded.stamp, loaded.record_format());
+        let switch = Switch::new(loaded.leader_revision, loaded.record_format());
         let limits = &self.settings.platform.params.state;
-        let mut commit = Committer::new(loaded.stamp, limits);
-        for (key, stamp) in loaded.stamps {
+        let mut commit = Committer::new(loaded.leader_revision, limits);
+        for (key, stamp) in loaded.revisions {
             commit.know(key, stamp);
         }
-        for (key, stamp) in loaded.litter {
+        for (key, stamp) in loaded.garbage {
             commit.add_litter(key, stamp);
         }
         let config = Config::from(&self.settings);
@@ -156,7 +156,7 @@
             sched.take_fences(at, time_of_day, fences);
         }
         sched.load(now, loaded.jobs, loaded.unreadable);
-        Term {
+        Leadership {
             epoch,
             sched,
             commit,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,24 +1,24 @@
 //! A controller: its threads, and the loop that holds everything together.
 
-mod asks;
 pub mod balance;
-pub mod follow;
 mod health;
 pub mod inbox;
 mod invariants;
+pub mod job_lists;
 mod leadership;
-pub mod lists;
-pub mod load;
 mod request_log;
+mod requests;
+pub mod routing;
+pub mod state_loading;
 mod threads;
 mod upgrade;
 
-pub use asks::{is_expired, replaced};
+pub use requests::{is_expired, leader_restarted};
 
-use crate::api::{self, Incoming, Notice, Published};
+use crate::api::{self, ApiRequest, PublishedJobs, SharedStatus};
 use crate::election::{BoundAddress, Candidate, ElectionOutcome, LeaderRecord};
 use crate::ids::{Epoch, Instance, JobId, Label, ReqId, TxnId};
-use crate::peer::{FromPeers, Own, Peers};
+use crate::peer::{LocalController, PeerEvent, Peers};
 use crate::sched::job::Final;
 use crate::sched::{Effect, Event, Sched};
 use crate::settings::{Settings, Sizes};
@@ -39,8 +39,8 @@
 use inbox::{Inbox, InboxSenders};
 use invariants::Invariants;
 use leadership::LeadershipEnd;
-use load::Loaded;
 use request_log::{RequestKind, RequestLog};
+use state_loading::LoadedState;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -79,12 +79,12 @@
 }
 
 /// The server, and how it reaches the main loop.
-type HttpInbox = Box<dyn Fn(Incoming) -> bool + Send + Sync>;
+type HttpInbox = Box<dyn Fn(ApiRequest) -> bool + Send + Sync>;
 type HttpSide = api::Api<HttpInbox>;
 
-impl InboxSenders<Msg> {
+impl InboxSenders<Message> {
     /// Puts a message into its line; false if the main loop has ended.
-    fn put(&self, message: Msg) -> bool {
+    fn put(&self, message: Message) -> bool {
         let line = match message.is_heartbeat() {
             true => &self.heartbeats,
             false => &self.others,
@@ -93,11 +93,11 @@
     }
 }
 
-impl Msg {
+impl Message {
     /// A worker's heartbeat, from here or passed on by another controller.
     fn is_heartbeat(&self) -> bool {
-        let (Msg::Http(Incoming::Ask(_, ask))
-        | Msg::Peer(FromPeers::Msg(_, PeerMsg::Ask { ask, .. }))) = self
+        let (Message::Http(ApiRequest::Forwardable(_, ask))
+        | Message::Peer(PeerEvent::Message(_, PeerMsg::Ask { ask, .. }))) = self
         else {
             return false;
         };
@@ -106,12 +106,12 @@
 }
 
 /// Everything that reaches the main loop.
-pub enum Msg {
-    Http(Incoming),
-    Peer(FromPeers),
-    Loaded(Box<Loaded>),
+pub enum Message {
+    Http(ApiRequest),
+    Peer(PeerEvent),
+    Loaded(Box<LoadedState>),
     /// Machine types, which every controller keeps at hand.
-    Flavors(Vec<Flavor>),
+    MachineTypes(Vec<Flavor>),
     /// The process is to end in good order.
     Stop,
     /// An event of a term; those of earlier terms are dropped.
@@ -119,9 +119,9 @@
     Txn(Epoch, TxnId, Outcome),
     ReadBack(Epoch, String, Result<Option<Item>, ReadError>),
     /// A page of jobs is ready.
-    Listed(ReqId, Answer),
+    ListReady(ReqId, Answer),
     /// A look-up of a final state without a leader.
-    Look(ReqId, JobId, Result<Option<Final>, ()>),
+    FinalRead(ReqId, JobId, Result<Option<Final>, ()>),
     /// Versions of controllers, and the switch to compact records.
     Upgrade(upgrade::UpgradeNews),
 }
@@ -131,7 +131,7 @@
     Peer { from: Label, id: u64 },
 }
 
-struct Pending {
+struct PendingRequest {
     origin: Origin,
     since: Time,
     limit: Span,
@@ -146,10 +146,10 @@
 enum Role {
     Follower,
     Loading(Epoch),
-    Leader(Box<Term>),
+    Leader(Box<Leadership>),
 }
 
-struct Term {
+struct Leadership {
     epoch: Epoch,
     sched: Sched,
     commit: Committer,
@@ -167,15 +167,15 @@
     state_ok_at: Time,
     led_at: Time,
     proven: Time,
-    notice: Arc<Notice>,
+    notice: Arc<SharedStatus>,
     server: Server<HttpSide>,
     term: Arc<AtomicU64>,
     store: Sender<StateRequest>,
     cloud: Sender<CloudRequest>,
     agents: Sender<DirectCall>,
-    lists: Sender<(ReqId, lists::Wanted)>,
-    inbox: Sender<Msg>,
-    pending: HashMap<ReqId, Pending>,
+    lists: Sender<(ReqId, job_lists::ListRequest)>,
+    inbox: Sender<Message>,
+    pending: HashMap<ReqId, PendingRequest>,
     next_req: u64,
     sizes: Sizes,
     /// Look-ups of final states without a leader.
@@ -201,29 +201,29 @@
 
 /// Sockets that this controller may need for its own calls.
 pub fn sockets_for_calls() -> usize {
-    threads::SOCKETS + load::SOCKETS + upgrade::SOCKETS
+    threads::SOCKETS + state_loading::SOCKETS + upgrade::SOCKETS
 }
 
 /// Runs a controller until the process ends.
 pub fn serve(settings: Settings) -> std::io::Result<()> {
     let clock = Clock::start();
     let sizes = settings.sizes().map_err(std::io::Error::other)?;
-    let (senders, received) = inbox::inbox::<Msg>(sizes.inbox);
+    let (senders, received) = inbox::inbox::<Message>(sizes.inbox);
     let inbox = senders.others.clone();
     let p = &settings.platform;
-    let notice = Arc::new(Notice::default());
+    let notice = Arc::new(SharedStatus::default());
     let term = Arc::new(AtomicU64::new(0));
     let senders = Arc::new(senders);
     let lines = senders.clone();
-    let to_inbox: HttpInbox = Box::new(move |incoming| lines.put(Msg::Http(incoming)));
+    let to_inbox: HttpInbox = Box::new(move |incoming| lines.put(Message::Http(incoming)));
     let server = api::start(&settings, notice.clone(), to_inbox)?;
-    let to_inbox = move |from_peers| senders.put(Msg::Peer(from_peers));
+    let to_inbox = move |from_peers| senders.put(Message::Peer(from_peers));
     let most = server.metrics().bounds.max_for(RequestClass::Workers) as u32;
     let instance = Instance(rand::random::<u32>() as u64);
-    let own = Own {
+    let own = LocalController {
         label: p.label.clone(),
         instance,
-        most,
+        max_workers: most,
     };
     let peers = Peers::start(own, clock, p.cluster_listen, &p.seeds, to_inbox)?;
     // From here on no other process holds that address.
@@ -235,12 +235,12 @@
     let store = threads::state_service::start(&settings, &inbox);
     let cloud = threads::cloud::start(&settings, clock, term.clone(), inbox.clone());
     let agents = threads::direct_calls::start(clock, &inbox);
-    let lists = lists::start(&settings, clock, notice.clone(), inbox.clone());
+    let lists = job_lists::start(&settings, clock, notice.clone(), inbox.clone());
     let election = threads::election::start(&settings, clock, me);
     let upgrade = Upgrade::start(&settings, clock, instance, inbox.clone());
     let tx = inbox.clone();
     if let Err(e) = ctrlc::set_handler(move || {
-        let _ = tx.send(Msg::Stop);
+        let _ = tx.send(Message::Stop);
     }) {
         tracing::warn!(error = %e, "an interrupt will end the process at once");
     }
@@ -265,7 +265,7 @@
         lists,
         inbox,
         pending: HashMap::new(),
-        next_req: first_request(instance),
+        next_req: first_request_id(instance),
         sizes,
         looks: Budget::new(looks, 2.0 * looks),
         worker_balance: WorkerBalance::default(),
@@ -288,7 +288,7 @@
 
 /// Numbers of requests that no other process under this label has used: what an
 /// earlier one was to be told arrives here, and once answered others' requests.
-pub fn first_request(instance: Instance) -> u64 {
+pub fn first_request_id(instance: Instance) -> u64 {
     (instance.0 << 32) + 1
 }
 
@@ -298,7 +298,7 @@
 }
 
 impl Node {
-    fn run(mut self, mut inbox: Inbox<Msg>, elections: Receiver<ElectionOutcome>) {
+    fn run(mut self, mut inbox: Inbox<Message>, elections: Receiver<ElectionOutcome>) {
         // The first one is due at once: health checks are waiting.
         let mut tick = Time::default();
         loop {
@@ -378,66 +378,66 @@
         tracing::info!("stopped");
     }
 
-    fn take(&mut self, m: Msg) {
+    fn take(&mut self, m: Message) {
         let now = self.clock.now();
         match m {
-            Msg::Http(Incoming::Ask(reply, ask)) => {
+            Message::Http(ApiRequest::Forwardable(reply, ask)) => {
                 // From when it was here, not from when it had waited its turn.
                 let since = self.clock.at(reply.asked()).min(now);
                 self.behind |= now - since > BEHIND_AFTER;
                 self.ask(now, since, Origin::Http(reply), ask);
             }
-            Msg::Http(Incoming::Overview(reply)) => {
+            Message::Http(ApiRequest::Overview(reply)) => {
                 let body = self.overview(now).to_string();
                 reply.answer(Answer::new(200, body));
             }
-            Msg::Peer(FromPeers::Gone(label)) => self.peer_gone(now, &label),
-            Msg::Peer(FromPeers::Msg(since, PeerMsg::Ask { id, from, ask, .. })) => {
+            Message::Peer(PeerEvent::Disconnected(label)) => self.peer_gone(now, &label),
+            Message::Peer(PeerEvent::Message(since, PeerMsg::Ask { id, from, ask, .. })) => {
                 let from = Label::from(from.as_str());
                 let origin = Origin::Peer { from, id };
                 self.behind |= now - since > BEHIND_AFTER;
                 self.ask_from_peer(now, since, origin, ask);
             }
-            Msg::Peer(FromPeers::Msg(_, PeerMsg::Tell { id, answer, .. })) => {
+            Message::Peer(PeerEvent::Message(_, PeerMsg::Tell { id, answer, .. })) => {
                 self.answer(now, ReqId(id), answer);
             }
-            Msg::Peer(FromPeers::Msg(_, PeerMsg::Ping { .. })) => {}
-            Msg::Loaded(l) => self.loaded(now, *l),
-            Msg::Flavors(f) => {
+            Message::Peer(PeerEvent::Message(_, PeerMsg::Ping { .. })) => {}
+            Message::Loaded(l) => self.loaded(now, *l),
+            Message::MachineTypes(f) => {
                 self.flavors = f.clone();
                 if let Role::Leader(t) = &self.role {
                     let epoch = t.epoch;
                     self.event(now, epoch, Event::Flavors(f));
                 }
             }
-            Msg::Event(epoch, e) => self.event(now, epoch, e),
-            Msg::Txn(epoch, id, outcome) => {
+            Message::Event(epoch, e) => self.event(now, epoch, e),
+            Message::Txn(epoch, id, outcome) => {
                 if let Some(t) = self.term(epoch) {
                     let (events, steps) = t.commit.finished(now, id, outcome, &mut t.sched);
                     self.after_commit(now, events, steps);
                 }
             }
-            Msg::ReadBack(epoch, key, r) => {
+            Message::ReadBack(epoch, key, r) => {
                 if let Some(t) = self.term(epoch) {
                     let (events, steps) = t.commit.read_back(key, r, &mut t.sched);
                     self.after_commit(now, events, steps);
                 }
             }
-            Msg::Stop => {
+            Message::Stop => {
                 tracing::info!(open = self.pending.len(), "stopping");
                 self.stopping = Some(now);
                 self.notice.healthy.store(false, Ordering::Relaxed);
                 self.server.close();
             }
-            Msg::Listed(req, a) => self.answer(now, req, a),
-            Msg::Look(req, id, r) => {
-                self.answer(now, req, follow::answer_read(&id, r));
+            Message::ListReady(req, a) => self.answer(now, req, a),
+            Message::FinalRead(req, id, r) => {
+                self.answer(now, req, routing::answer_final_read(&id, r));
             }
-            Msg::Upgrade(news) => self.upgrade_news(now, news),
+            Message::Upgrade(news) => self.upgrade_news(now, news),
         }
     }
 
-    fn term(&mut self, epoch: Epoch) -> Option<&mut Term> {
+    fn term(&mut self, epoch: Epoch) -> Option<&mut Leadership> {
         match &mut self.role {
             Role::Leader(t) if t.epoch == epoch => Some(t),
             _ => None,
@@ -531,9 +531,9 @@
                     }
                 }
                 let until = t.sched.proven_until();
-                (now < until).then(|| Published {
+                (now < until).then(|| PublishedJobs {
                     jobs: t.board.publish(),
-                    until: self.clock.moment(until),
+                    valid_until: self.clock.moment(until),
                 })
             }
             _ => None,
@@ -552,7 +552,7 @@
         }
         if let Role::Leader(t) = &self.role {
             let epoch = t.epoch;
-            let away = self.peers.out_of_reach();
+            let away = self.peers.unreachable_peers();
             self.event(now, epoch, Event::OutOfReach(away));
             if std::mem::take(&mut self.behind) {
                 self.event(now, epoch, Event::Behind);
@@ -576,7 +576,7 @@
             .iter()
             .filter(|(_, p)| {
                 p.with.as_ref().is_some_and(|l| {
-                    !self.peers.reachable(&l.0) || asks::replaced(l, best.as_ref())
+                    !self.peers.reachable(&l.0) || requests::leader_restarted(l, best.as_ref())
                 })
             })
             .map(|(r, _)| *r)
--- a/src/node/asks.rs
+++ b/src/node/requests.rs
@@ -1,10 +1,10 @@
 //! Requests of users and workers: answered as the leader, or passed on to it.
 
-use super::follow::{self, KnownLeader, Route};
-use super::lists::Wanted;
+use super::job_lists::ListRequest;
 use super::request_log::{FIRST_RETRYABLE_STATUS, RequestKind};
+use super::routing::{self, KnownLeader, Route};
 use super::threads::state_service::StateRequest;
-use super::{Node, Origin, Pending, Role};
+use super::{Node, Origin, PendingRequest, Role};
 use crate::api::redirect;
 use crate::ids::{Epoch, Label, ReqId};
 use crate::sched::Event;
@@ -21,7 +21,7 @@
         self.next_req += 1;
         self.pending.insert(
             req,
-            Pending {
+            PendingRequest {
                 origin,
                 since,
                 limit: limit_of(ask),
@@ -79,7 +79,7 @@
         if let Some(wanted) = read_only(&ask) {
             // Finished jobs are read by anyone, the others told by the leader.
             let here = match &wanted {
-                Wanted::Page(q) if !q.wants_unfinished() => true,
+                ListRequest::Page(q) if !q.wants_unfinished() => true,
                 _ => !matches!(self.role, Role::Follower),
             };
             return match here {
@@ -102,7 +102,7 @@
     }
 
     /// Pages are made by a thread of their own.
-    fn list(&mut self, now: Time, req: ReqId, wanted: Wanted) {
+    fn list(&mut self, now: Time, req: ReqId, wanted: ListRequest) {
         if self.lists.try_send((req, wanted)).is_err() {
             self.answer(now, req, Answer::later("too many lists at a time", 1));
         }
@@ -111,7 +111,7 @@
     /// A follower passes everything on to the leader.
     pub(super) fn pass_on(&mut self, now: Time, req: ReqId, ask: Ask) {
         let leader = self.known_leader(&ask);
-        match follow::route(&ask, leader) {
+        match routing::route(&ask, leader) {
             Route::PassOn(leader, epoch) => self.pass_on_to(req, ask, leader, epoch),
             route => self.without_leader(now, req, ask, route),
         }
@@ -123,7 +123,7 @@
         let (label, epoch) = self.peers.best_leader().filter(|l| l.0 != *me)?;
         Some(KnownLeader {
             reachable: self.peers.reachable(&label),
-            understands: self.understands(&label, ask.needs()),
+            supports_request: self.understands(&label, ask.needs()),
             label,
             epoch,
         })
@@ -215,7 +215,7 @@
                 // While nobody led, questions took all requests there are, and the
                 // next leader was elected a second later for that.
                 if !self.looks.has(now, 1.0) {
-                    return self.answer(now, req, follow::no_leader());
+                    return self.answer(now, req, routing::no_leader());
                 }
                 self.looks.take(now, 1.0);
                 let _ = self.store.send(StateRequest::LookUpFinal(req, id));
@@ -229,10 +229,10 @@
                     .and_then(|l| self.worker_balance.note_redirect(now, &body).then_some(l))
                 {
                     Some(l) => self.answer(now, req, redirect(Some(l))),
-                    None => self.answer(now, req, follow::no_leader()),
+                    None => self.answer(now, req, routing::no_leader()),
                 }
             }
-            _ => self.answer(now, req, follow::no_leader()),
+            _ => self.answer(now, req, routing::no_leader()),
         }
     }
 
@@ -276,15 +276,15 @@
 
 /// The leader that was asked has begun another term since: it does not know of
 /// the request any more.
-pub fn replaced(asked: &(Label, Epoch), now: Option<&(Label, Epoch)>) -> bool {
+pub fn leader_restarted(asked: &(Label, Epoch), now: Option<&(Label, Epoch)>) -> bool {
     now.is_some_and(|(label, epoch)| *label == asked.0 && *epoch > asked.1)
 }
 
 /// What somebody wants to read, if that is all; it was checked where it came in.
-fn read_only(ask: &Ask) -> Option<Wanted> {
+fn read_only(ask: &Ask) -> Option<ListRequest> {
     match ask {
-        Ask::List(query) => Query::parse(query).ok().map(Wanted::Page),
-        Ask::Events(query) => since(query).ok().map(Wanted::Changes),
+        Ask::List(query) => Query::parse(query).ok().map(ListRequest::Page),
+        Ask::Events(query) => since(query).ok().map(ListRequest::Changes),
         _ => None,
     }
 }
--- a/src/node/follow.rs
+++ b/src/node/routing.rs
@@ -15,7 +15,7 @@
     /// There is a way, directly or through the third controller.
     pub reachable: bool,
     /// Its version understands this request.
-    pub understands: bool,
+    pub supports_request: bool,
 }
 
 /// Where a request goes.
@@ -39,7 +39,7 @@
         return Route::Answer(Answer::error(400, &e));
     }
     match leader.filter(|l| l.reachable) {
-        Some(l) if l.understands => Route::PassOn(l.label, l.epoch),
+        Some(l) if l.supports_request => Route::PassOn(l.label, l.epoch),
         Some(_) => Route::Answer(Answer::later("the leader runs an earlier version", 5)),
         None => without_leader(ask),
     }
@@ -56,7 +56,7 @@
 
 /// The answer to a poll after the final state was read: that there is none says
 /// nothing, as the job may well be live.
-pub fn answer_read(id: &JobId, read: Result<Option<Final>, ()>) -> Answer {
+pub fn answer_final_read(id: &JobId, read: Result<Option<Final>, ()>) -> Answer {
     match read {
         Ok(Some(f)) => answer_final(id, f),
         Ok(None) | Err(()) => no_leader(),
--- a/src/node/load.rs
+++ b/src/node/state_loading.rs
@@ -1,6 +1,6 @@
 //! Taking over: everything unfinished is read from the store.
 
-use super::{Msg, spawn};
+use super::{Message, spawn};
 use crate::ids::{Epoch, JobId, Stamp};
 use crate::sched::FenceRecord;
 use crate::sched::job::Job;
@@ -18,12 +18,12 @@
 /// The loader's own.
 pub(super) const SOCKETS: usize = 2;
 
-pub struct Loaded {
+pub struct LoadedState {
     pub epoch: Epoch,
-    pub stamp: Stamp,
+    pub leader_revision: Stamp,
     pub jobs: Vec<Job>,
-    pub stamps: Vec<(String, Stamp)>,
-    pub litter: Vec<(String, Stamp)>,
+    pub revisions: Vec<(String, Stamp)>,
+    pub garbage: Vec<(String, Stamp)>,
     pub unreadable: BTreeMap<JobId, JobState>,
     /// Zones that earlier terms did not answer.
     pub fences: Option<FenceRecord>,
@@ -31,7 +31,7 @@
     pub format: Option<FormatRecord>,
 }
 
-impl Loaded {
+impl LoadedState {
     /// The form in which records are written.
     pub fn record_format(&self) -> RecordFormat {
         self.format.map_or(RecordFormat::Legacy, |f| f.records)
@@ -39,7 +39,13 @@
 }
 
 /// Reads in a thread of its own, so that the leadership is kept up meanwhile.
-pub fn start(settings: &Settings, clock: Clock, inbox: Sender<Msg>, epoch: Epoch, stamp: Stamp) {
+pub fn start(
+    settings: &Settings,
+    clock: Clock,
+    inbox: Sender<Message>,
+    epoch: Epoch,
+    stamp: Stamp,
+) {
     let addr = settings.platform.services.state;
     spawn("load", move || {
         let state = StateClient::new(addr, Duration::from_secs(4));
@@ -47,14 +53,14 @@
         let began = clock.now();
         for attempt in 0u64.. {
             let sent = clock.now();
-            let loaded = load(&state, epoch, stamp, sent, wall());
+            let loaded = load_state(&state, epoch, stamp, sent, wall());
             let (now, attempts) = (clock.now(), attempt + 1);
             let ms = (now - sent).0 / 1000;
             match loaded {
                 Ok(l) => {
                     let total_ms = (now - began).0 / 1000;
-                    tracing::info!(%epoch, attempts, ms, total_ms, records = l.stamps.len(), "records loaded");
-                    let _ = inbox.send(Msg::Loaded(Box::new(l)));
+                    tracing::info!(%epoch, attempts, ms, total_ms, records = l.revisions.len(), "records loaded");
+                    let _ = inbox.send(Message::Loaded(Box::new(l)));
                     return;
                 }
                 Err(_) => {
@@ -79,20 +85,20 @@
     }
 }
 
-pub fn load(
+pub fn load_state(
     state: &impl State,
     epoch: Epoch,
     stamp: Stamp,
     now: Time,
     wall: Wall,
-) -> Result<Loaded, ReadError> {
+) -> Result<LoadedState, ReadError> {
     let mut jobs = BTreeMap::new();
-    let mut l = Loaded {
+    let mut l = LoadedState {
         epoch,
-        stamp,
+        leader_revision: stamp,
         jobs: vec![],
-        stamps: vec![],
-        litter: vec![],
+        revisions: vec![],
+        garbage: vec![],
         unreadable: BTreeMap::new(),
         fences: None,
         format: None,
@@ -103,7 +109,7 @@
         let whole = pieces.join(&id, 0, &i);
         match whole.and_then(|v| Job::decode(&v, now, wall)) {
             Some(j) if *j.id() == id => {
-                l.stamps.push((i.key, i.stamp));
+                l.revisions.push((i.key, i.stamp));
                 jobs.insert(id, j);
             }
             _ => {
@@ -122,7 +128,7 @@
             continue;
         }
         let Some(j) = jobs.get_mut(&id) else {
-            l.litter.push((i.key, i.stamp));
+            l.garbage.push((i.key, i.stamp));
             continue;
         };
         let part = part.parse().ok();
@@ -132,14 +138,14 @@
             tracing::error!(key = %i.key, "a record can't be read; its tasks start anew later");
             j.damaged = true;
         }
-        l.stamps.push((i.key, i.stamp));
+        l.revisions.push((i.key, i.stamp));
     }
     let (stamps, litter) = pieces.sort(|id| jobs.contains_key(id), &l.unreadable);
-    l.stamps.extend(stamps);
-    l.litter.extend(litter);
+    l.revisions.extend(stamps);
+    l.garbage.extend(litter);
     if let Some(i) = state.get(FENCES)? {
         l.fences = serde_json::from_value(i.value).ok();
-        l.stamps.push((i.key, i.stamp));
+        l.revisions.push((i.key, i.stamp));
     }
     l.format = state.get(FORMAT)?.map(|i| FormatRecord::read(&i.value));
     for (_, mut j) in jobs {
--- a/src/node/threads/cloud.rs
+++ b/src/node/threads/cloud.rs
@@ -3,7 +3,7 @@
 
 use crate::cloud::CloudClient;
 use crate::ids::{Epoch, Host};
-use crate::node::{Msg, spawn};
+use crate::node::{Message, spawn};
 use crate::sched::Event;
 use crate::settings::Settings;
 use crate::store::budget::Budget;
@@ -45,7 +45,7 @@
     settings: &Settings,
     clock: Clock,
     leading: Arc<AtomicU64>,
-    inbox: Sender<Msg>,
+    inbox: Sender<Message>,
 ) -> Sender<CloudRequest> {
     let (sender, requests) = unbounded();
     let rate = settings.platform.params.cloud.rps;
@@ -68,7 +68,7 @@
     clock: Clock,
     leading: Arc<AtomicU64>,
     requests: Receiver<CloudRequest>,
-    inbox: Sender<Msg>,
+    inbox: Sender<Message>,
     budget: Budget,
     list_at: Time,
     flavors_at: Time,
@@ -130,7 +130,7 @@
             return;
         };
         self.flavors_at = now + FLAVORS_INTERVAL;
-        let _ = self.inbox.send(Msg::Flavors(flavors));
+        let _ = self.inbox.send(Message::MachineTypes(flavors));
     }
 
     /// Reads the list of machines, page by page.
@@ -157,6 +157,6 @@
     }
 
     fn send(&self, epoch: Epoch, event: Event) {
-        let _ = self.inbox.send(Msg::Event(epoch, event));
+        let _ = self.inbox.send(Message::Event(epoch, event));
     }
 }
--- a/src/node/threads/direct_calls.rs
+++ b/src/node/threads/direct_calls.rs
@@ -1,7 +1,7 @@
 //! Direct calls to workers, several at a time.
 
 use crate::ids::{CallId, Epoch, Host};
-use crate::node::{Msg, spawn};
+use crate::node::{Message, spawn};
 use crate::sched::{DirectResult, Event};
 use crate::time::{Clock, Span, Time};
 use crate::wire::worker::Orders;
@@ -34,7 +34,7 @@
 }
 
 /// Starts the threads; they end with the sender.
-pub(in crate::node) fn start(clock: Clock, inbox: &Sender<Msg>) -> Sender<DirectCall> {
+pub(in crate::node) fn start(clock: Clock, inbox: &Sender<Message>) -> Sender<DirectCall> {
     let (sender, calls) = unbounded();
     let client = Arc::new(WorkerClient::new());
     for _ in 0..THREADS {
@@ -44,7 +44,12 @@
     sender
 }
 
-fn serve(calls: &Receiver<DirectCall>, inbox: &Sender<Msg>, client: &WorkerClient, clock: Clock) {
+fn serve(
+    calls: &Receiver<DirectCall>,
+    inbox: &Sender<Message>,
+    client: &WorkerClient,
+    clock: Clock,
+) {
     for call in calls {
         let result = if clock.now() - call.since > MAX_QUEUE_TIME {
             DirectResult::Unsent
@@ -52,7 +57,7 @@
             client.send_orders(&call.addr, &call.orders)
         };
         let event = Event::Direct(call.call, call.host, result);
-        if inbox.send(Msg::Event(call.epoch, event)).is_err() {
+        if inbox.send(Message::Event(call.epoch, event)).is_err() {
             return;
         }
     }
--- a/src/node/threads/state_service.rs
+++ b/src/node/threads/state_service.rs
@@ -1,7 +1,7 @@
 //! Reads and transactions of the state service, several at a time.
 
 use crate::ids::{Epoch, JobId, ReqId, TxnId};
-use crate::node::{Msg, final_of, key_of_final, spawn};
+use crate::node::{Message, final_of, key_of_final, spawn};
 use crate::sched::Event;
 use crate::sched::job::Final;
 use crate::settings::Settings;
@@ -34,7 +34,7 @@
 }
 
 /// Starts the threads; they end with the sender.
-pub(in crate::node) fn start(settings: &Settings, inbox: &Sender<Msg>) -> Sender<StateRequest> {
+pub(in crate::node) fn start(settings: &Settings, inbox: &Sender<Message>) -> Sender<StateRequest> {
     let (sender, requests) = unbounded();
     let client = StateClient::new(settings.platform.services.state, REQUEST_TIMEOUT);
     for _ in 0..THREADS {
@@ -44,7 +44,7 @@
     sender
 }
 
-fn serve(requests: &Receiver<StateRequest>, inbox: &Sender<Msg>, client: &StateClient) {
+fn serve(requests: &Receiver<StateRequest>, inbox: &Sender<Message>, client: &StateClient) {
     for request in requests {
         if inbox.send(carry_out(request, client)).is_err() {
             return;
@@ -52,27 +52,27 @@
     }
 }
 
-fn carry_out(request: StateRequest, client: &StateClient) -> Msg {
+fn carry_out(request: StateRequest, client: &StateClient) -> Message {
     match request {
-        StateRequest::Commit(epoch, id, txn) => Msg::Txn(epoch, id, client.txn(&txn)),
+        StateRequest::Commit(epoch, id, txn) => Message::Txn(epoch, id, client.txn(&txn)),
         StateRequest::ReadBack(epoch, key) => {
             let item = client.get(&key);
             if item.is_err() {
                 std::thread::sleep(PAUSE_AFTER_FAILED_READ_BACK);
             }
-            Msg::ReadBack(epoch, key, item)
+            Message::ReadBack(epoch, key, item)
         }
         StateRequest::ReadFinal(epoch, id) => {
             let state = read_final(client, &id);
-            Msg::Event(epoch, Event::FinalRead(id, state))
+            Message::Event(epoch, Event::FinalRead(id, state))
         }
         StateRequest::ReadRecord(epoch, req, id) => {
             let record = read_final_item(client, &id).map(|item| item.map(|i| i.value));
-            Msg::Event(epoch, Event::RecordRead(req, id, record))
+            Message::Event(epoch, Event::RecordRead(req, id, record))
         }
         StateRequest::LookUpFinal(req, id) => {
             let state = read_final(client, &id);
-            Msg::Look(req, id, state)
+            Message::FinalRead(req, id, state)
         }
     }
 }
--- a/src/node/upgrade.rs
+++ b/src/node/upgrade.rs
@@ -2,7 +2,7 @@
 //! of the others, and as the leader makes the switch to compact records.
 
 use super::leadership::LeadershipEnd;
-use super::{Msg, Node, Role, spawn};
+use super::{Message, Node, Role, spawn};
 use crate::ids::{ControllerVersion, Epoch, Instance, Label};
 use crate::settings::Settings;
 use crate::store::client::State;
@@ -42,7 +42,7 @@
         settings: &Settings,
         clock: Clock,
         instance: Instance,
-        inbox: Sender<Msg>,
+        inbox: Sender<Message>,
     ) -> Upgrade {
         let platform = &settings.platform;
         let (requests, rx) = bounded(REQUESTS);
@@ -94,7 +94,7 @@
     mut announcer: Announcer<StateClient>,
     clock: Clock,
     requests: &Receiver<(Epoch, Step)>,
-    inbox: &Sender<Msg>,
+    inbox: &Sender<Message>,
 ) {
     let mut due = Some(clock.now());
     loop {
@@ -115,7 +115,7 @@
             }
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        if inbox.send(Msg::Upgrade(news)).is_err() {
+        if inbox.send(Message::Upgrade(news)).is_err() {
             return;
         }
     }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -21,32 +21,32 @@
 /// Not heard for longer, a controller is suspected to have failed.
 const SUSPECT_AFTER: Span = Span(1_700_000);
 /// Connections of each other controller; an old one may linger beside the new.
-const INBOUND_EACH: usize = 6;
+const MAX_INBOUND_PER_PEER: usize = 6;
 /// Batches of messages that may wait for a link.
-const QUEUED_BATCHES: usize = 1024;
+const MAX_QUEUED_BATCHES: usize = 1024;
 
 /// Sockets for talk with so many other controllers.
-pub fn sockets(others: usize) -> usize {
+pub fn max_sockets(others: usize) -> usize {
     // To each, from each, the listening one, and one that is refused.
-    others * (2 + INBOUND_EACH) + 2
+    others * (2 + MAX_INBOUND_PER_PEER) + 2
 }
 
 /// What comes of the talk with other controllers.
-pub enum FromPeers {
+pub enum PeerEvent {
     /// With the moment at which it arrived, from which answers count: it may wait
     /// its turn for longer than they are good for.
-    Msg(Time, PeerMsg),
+    Message(Time, PeerMsg),
     /// The process of that label has ended, or the link by which it was heard:
     /// what it was asked will not be answered.
-    Gone(Label),
+    Disconnected(Label),
 }
 
 /// How many workers report to a controller, and how many it can hold.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Load {
+pub struct PeerLoad {
     pub label: Label,
     pub workers: u32,
-    pub most: Option<u32>,
+    pub max_workers: Option<u32>,
 }
 
 /// The way to one other controller.
@@ -54,58 +54,64 @@
     queue: Sender<Vec<PeerMsg>>,
     /// Counts the processes that have taken up its label: a connection to an
     /// earlier one is of no use, but may not say so for a while.
-    process: AtomicU64,
+    process_count: AtomicU64,
 }
 
 /// Who this process is.
-pub struct Own {
+pub struct LocalController {
     pub label: Label,
     pub instance: Instance,
     /// How many workers it can hold.
-    pub most: u32,
+    pub max_workers: u32,
 }
 
 /// Shared by the threads of this module and whoever sends.
 pub struct Peers {
-    me: Own,
+    local: LocalController,
     clock: Clock,
     links: HashMap<Label, Link>,
-    members: Mutex<Membership>,
-    next_link: AtomicU64,
-    workers: AtomicU32,
+    membership: Mutex<Membership>,
+    next_link_id: AtomicU64,
+    worker_count: AtomicU32,
 }
 
 impl Peers {
     /// Starts the threads; what arrives for this controller goes to `inbox`. The
     /// listening socket is held as long as the process lives.
     pub fn start<F>(
-        me: Own,
+        me: LocalController,
         clock: Clock,
         listen: SocketAddr,
         seeds: &[Seed],
         inbox: F,
     ) -> std::io::Result<Arc<Peers>>
     where
-        F: Fn(FromPeers) -> bool + Send + Clone + 'static,
+        F: Fn(PeerEvent) -> bool + Send + Clone + 'static,
     {
         let listener = TcpListener::bind(listen)?;
         let mut links = HashMap::new();
         let mut queues = vec![];
         for s in seeds {
-            let (queue, rx) = bounded(QUEUED_BATCHES);
+            let (queue, rx) = bounded(MAX_QUEUED_BATCHES);
             let process = AtomicU64::new(0);
-            links.insert(s.label.clone(), Link { queue, process });
+            links.insert(
+                s.label.clone(),
+                Link {
+                    queue,
+                    process_count: process,
+                },
+            );
             queues.push((s.label.clone(), s.peer_addr, rx));
         }
         let others = seeds.iter().map(|s| s.label.clone()).collect();
         let members = Membership::new(me.label.clone(), others, SUSPECT_AFTER);
         let peers = Arc::new(Peers {
-            me,
+            local: me,
             clock,
             links,
-            members: Mutex::new(members),
-            next_link: AtomicU64::new(1),
-            workers: AtomicU32::new(0),
+            membership: Mutex::new(members),
+            next_link_id: AtomicU64::new(1),
+            worker_count: AtomicU32::new(0),
         });
         for (to, addr, queue) in queues {
             let p = peers.clone();
@@ -116,8 +122,8 @@
         Ok(peers)
     }
 
-    fn members(&self) -> MutexGuard<'_, Membership> {
-        self.members.lock().unwrap_or_else(|e| e.into_inner())
+    fn membership(&self) -> MutexGuard<'_, Membership> {
+        self.membership.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     fn now(&self) -> Time {
@@ -126,12 +132,12 @@
 
     fn ping(&self) -> PeerMsg {
         let now = self.now();
-        let m = self.members();
+        let m = self.membership();
         PeerMsg::Ping {
-            from: self.me.label.to_string(),
+            from: self.local.label.to_string(),
             leader: m.announced_leader().map(|(l, e)| (l.to_string(), e.0)),
             hears: m.live_peers(now).map(Label::to_string).collect(),
-            workers: self.workers.load(Ordering::Relaxed),
+            workers: self.worker_count.load(Ordering::Relaxed),
         }
     }
 
@@ -143,33 +149,33 @@
     }
 
     /// How many workers this controller can hold; told to the others.
-    pub fn most(&self) -> u32 {
-        self.me.most
+    pub fn max_workers(&self) -> u32 {
+        self.local.max_workers
     }
 
     fn ping_extension(&self) -> (PingMore, PingSelf) {
         let more = PingMore {
-            workers_most: Some(self.me.most),
+            workers_most: Some(self.local.max_workers),
             speaks: versions::OWN.0,
         };
-        let instance = self.me.instance.0;
+        let instance = self.local.instance.0;
         (more, PingSelf { instance })
     }
 
     /// How many workers report to this controller; told to the others.
-    pub fn set_workers(&self, n: u32) {
-        self.workers.store(n, Ordering::Relaxed);
+    pub fn set_worker_count(&self, n: u32) {
+        self.worker_count.store(n, Ordering::Relaxed);
     }
 
     /// How many workers report to each controller that can be talked to.
-    pub fn workers(&self) -> Vec<Load> {
+    pub fn worker_loads(&self) -> Vec<PeerLoad> {
         let now = self.now();
-        let m = self.members();
+        let m = self.membership();
         let load = |l: &Label| {
-            m.status(now, l).map(|t| Load {
+            m.status(now, l).map(|t| PeerLoad {
                 label: l.clone(),
                 workers: t.workers,
-                most: t.workers_most,
+                max_workers: t.workers_most,
             })
         };
         m.others().filter_map(load).collect()
@@ -177,47 +183,47 @@
 
     /// What this controller believes; told to the others.
     pub fn set_leader(&self, l: Option<(Label, Epoch)>) {
-        if self.members().set_leader(l) {
+        if self.membership().set_leader(l) {
             self.ping_all();
         }
     }
 
     /// The latest leader that any controller in touch speaks of.
     pub fn best_leader(&self) -> Option<(Label, Epoch)> {
-        self.members().latest_leader(self.now())
+        self.membership().latest_leader(self.now())
     }
 
     /// The epoch that a controller in touch says it leads itself.
     pub fn claimed_epoch(&self, label: &Label) -> Option<Epoch> {
-        let members = self.members();
+        let members = self.membership();
         let claim = members.status(self.now(), label)?.leader.as_ref();
         claim.filter(|l| l.0 == *label).map(|l| l.1)
     }
 
     /// Any other controller can be talked to.
-    pub fn any(&self) -> bool {
-        self.members().any_reachable(self.now())
+    pub fn any_reachable(&self) -> bool {
+        self.membership().any_reachable(self.now())
     }
 
     /// Controllers that can't be talked to directly.
-    pub fn out_of_reach(&self) -> Vec<Label> {
-        self.members().unreachable(self.now())
+    pub fn unreachable_peers(&self) -> Vec<Label> {
+        self.membership().unreachable(self.now())
     }
 
     /// The version of each controller that was ever heard, in touch or not.
     pub fn versions(&self) -> Vec<(Label, ReportedVersion)> {
-        let members = self.members();
+        let members = self.membership();
         let owned = |(label, reported): (&Label, _)| (label.clone(), reported);
         members.versions().map(owned).collect()
     }
 
     pub fn reachable(&self, to: &Label) -> bool {
-        self.members().route(self.now(), to).is_some()
+        self.membership().route(self.now(), to).is_some()
     }
 
     /// False if there is no way at the moment; nothing is sent then.
     pub fn send(&self, to: &Label, msgs: Vec<PeerMsg>) -> bool {
-        let via = self.members().route(self.now(), to).cloned();
+        let via = self.membership().route(self.now(), to).cloned();
         let link = via.and_then(|l| self.links.get(&l));
         link.is_some_and(|l| l.queue.try_send(msgs).is_ok())
     }
--- a/src/peer/inbound.rs
+++ b/src/peer/inbound.rs
@@ -1,7 +1,7 @@
 //! Connections of the other controllers: pings go to the membership, messages for this
 //! controller to the main loop, and those for the third are passed on.
 
-use super::{FromPeers, INBOUND_EACH, Peers};
+use super::{MAX_INBOUND_PER_PEER, PeerEvent, Peers};
 use crate::ids::{ControllerVersion, Epoch, Instance, Label};
 use crate::wire::peer::{PeerMsg, PingMore, PingSelf};
 use crate::wire::peer_frame;
@@ -22,7 +22,7 @@
     /// Accepts connections, with a thread for each.
     pub(super) fn accept<F>(self: Arc<Self>, listener: &TcpListener, inbox: &F)
     where
-        F: Fn(FromPeers) -> bool + Send + Clone + 'static,
+        F: Fn(PeerEvent) -> bool + Send + Clone + 'static,
     {
         let open = Arc::new(AtomicUsize::new(0));
         for stream in listener.incoming() {
@@ -30,12 +30,12 @@
                 std::thread::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             };
-            if open.fetch_add(1, Ordering::SeqCst) >= INBOUND_EACH * self.links.len() {
+            if open.fetch_add(1, Ordering::SeqCst) >= MAX_INBOUND_PER_PEER * self.links.len() {
                 open.fetch_sub(1, Ordering::SeqCst);
                 continue;
             }
             // Numbered here: threads may begin in another order.
-            let link = LinkId(self.next_link.fetch_add(1, Ordering::Relaxed));
+            let link = LinkId(self.next_link_id.fetch_add(1, Ordering::Relaxed));
             let (peers, inbox, now_open) = (self.clone(), inbox.clone(), open.clone());
             let started = crate::node::spawn("peer-in", move || {
                 peers.listen_to(stream, link, &inbox);
@@ -47,7 +47,7 @@
         }
     }
 
-    fn listen_to(&self, stream: TcpStream, link: LinkId, inbox: &impl Fn(FromPeers) -> bool) {
+    fn listen_to(&self, stream: TcpStream, link: LinkId, inbox: &impl Fn(PeerEvent) -> bool) {
         let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
         let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
         while let Ok((message, (more, sender))) = peer_frame::read(&mut stream) {
@@ -62,26 +62,26 @@
                 break;
             }
         }
-        let gone = self.members().link_closed(link);
+        let gone = self.membership().link_closed(link);
         if let Some(label) = gone {
             tracing::debug!(%label, "its link has ended");
             self.ping_all();
-            inbox(FromPeers::Gone(label));
+            inbox(PeerEvent::Disconnected(label));
         }
     }
 
     /// Takes a message for this controller, or passes it on to where it belongs; false
     /// once nobody listens any more.
-    fn receive(&self, message: PeerMsg, inbox: &impl Fn(FromPeers) -> bool) -> bool {
+    fn receive(&self, message: PeerMsg, inbox: &impl Fn(PeerEvent) -> bool) -> bool {
         let to = match &message {
             PeerMsg::Ask { to, .. } | PeerMsg::Tell { to, .. } => Label::from(to.as_str()),
             PeerMsg::Ping { .. } => return true,
         };
-        if to == self.me.label {
-            return inbox(FromPeers::Msg(self.now(), message));
+        if to == self.local.label {
+            return inbox(PeerEvent::Message(self.now(), message));
         }
         // Passed on once, straight to where it belongs.
-        if self.members().reachable(self.now(), &to)
+        if self.membership().reachable(self.now(), &to)
             && let Some(link) = self.links.get(&to)
         {
             let _ = link.queue.try_send(vec![message]);
@@ -95,12 +95,12 @@
         from: Label,
         by: LinkId,
         status: PeerStatus,
-        inbox: &impl Fn(FromPeers) -> bool,
+        inbox: &impl Fn(PeerEvent) -> bool,
     ) -> bool {
         let Some(link) = self.links.get(&from) else {
             return true;
         };
-        let outcome = self.members().record_ping(self.now(), &from, by, status);
+        let outcome = self.membership().record_ping(self.now(), &from, by, status);
         match outcome {
             PingOutcome::Unchanged | PingOutcome::Stale => true,
             PingOutcome::Joined => {
@@ -110,9 +110,9 @@
             }
             PingOutcome::Restarted => {
                 tracing::info!(label = %from, "another process has taken up that label");
-                link.process.fetch_add(1, Ordering::SeqCst);
+                link.process_count.fetch_add(1, Ordering::SeqCst);
                 self.ping_all();
-                inbox(FromPeers::Gone(from))
+                inbox(PeerEvent::Disconnected(from))
             }
         }
     }
--- a/src/peer/outbound.rs
+++ b/src/peer/outbound.rs
@@ -41,7 +41,7 @@
         };
         let mut failed_attempts = 0;
         loop {
-            let process = link.process.load(Ordering::SeqCst);
+            let process = link.process_count.load(Ordering::SeqCst);
             let Ok(mut stream) = TcpStream::connect_timeout(&addr, CALL_TIMEOUT) else {
                 while queue.try_recv().is_ok() {}
                 std::thread::sleep(match failed_attempts < FIRST_RECONNECTS {
@@ -54,7 +54,7 @@
             failed_attempts = 0;
             let _ = stream.set_nodelay(true);
             let _ = stream.set_write_timeout(Some(CALL_TIMEOUT));
-            let is_current = || is_process(&link.process, process);
+            let is_current = || is_process(&link.process_count, process);
             if self.serve_link(&mut stream, to, queue, is_current) == ConnectionEnd::Closed {
                 return;
             }
@@ -76,7 +76,7 @@
         // A peer that came back after a crash may leave the old connection
         // unanswered for long; only its own word says that we are heard.
         let is_heard =
-            || connected.elapsed() < UNHEARD_TIMEOUT || self.members().reachable(self.now(), to);
+            || connected.elapsed() < UNHEARD_TIMEOUT || self.membership().reachable(self.now(), to);
         while ok && is_current() && is_heard() {
             match queue.recv_timeout(PING_INTERVAL.saturating_sub(pinged.elapsed())) {
                 Ok(_) if !is_current() => break,
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -142,9 +142,9 @@
         address: None,
     };
     match Elector::new(s.clone(), me, Span::secs(2.0)).step(|| Time(0)) {
-        ElectionOutcome::Elected { stamp, .. } => {
-            Committer::new(stamp, &settings("x").platform.params.state)
-        }
+        ElectionOutcome::Elected {
+            revision: stamp, ..
+        } => Committer::new(stamp, &settings("x").platform.params.state),
         e => panic!("{e:?}"),
     }
 }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -192,7 +192,9 @@
 fn what_a_replaced_process_sent_is_not_applied_any_more() {
     let s = Handle::default();
     let at = || Some(bound_address("10.0.0.1:81", None));
-    let ElectionOutcome::Elected { stamp, .. } = candidate(&s, "a", 1, at()).step(|| Time(0))
+    let ElectionOutcome::Elected {
+        revision: stamp, ..
+    } = candidate(&s, "a", 1, at()).step(|| Time(0))
     else {
         panic!()
     };
@@ -239,7 +241,10 @@
 fn a_deposed_leader_writes_nothing() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected {
+        revision: stamp, ..
+    } = a.step(|| Time(0))
+    else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
@@ -260,7 +265,10 @@
 fn a_write_whose_answer_is_lost_is_read_back_not_taken_for_granted() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected {
+        revision: stamp, ..
+    } = a.step(|| Time(0))
+    else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
@@ -435,7 +443,12 @@
             let mut second = Elector::new(store, me(2), Span::secs(2.0));
             let won = matches!(second.step(|| Time(0)), ElectionOutcome::Elected { .. });
             let mut third = candidate(&s, "a", 3, at());
-            let ElectionOutcome::Elected { epoch, stamp, .. } = third.step(|| Time(0)) else {
+            let ElectionOutcome::Elected {
+                epoch,
+                revision: stamp,
+                ..
+            } = third.step(|| Time(0))
+            else {
                 panic!("not at once: {left} {carried_out}");
             };
             let key = s.read(LEADER).unwrap().unwrap();
@@ -454,7 +467,10 @@
 fn a_job_that_ends_while_its_first_write_is_unclear_leaves_no_record() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected {
+        revision: stamp, ..
+    } = a.step(|| Time(0))
+    else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -4,7 +4,7 @@
 
 use hookworks::election::{Candidate, ElectionOutcome, Elector};
 use hookworks::ids::*;
-use hookworks::node::load::load;
+use hookworks::node::state_loading::load_state;
 use hookworks::sched::{DirectResult, Event, Purpose};
 use hookworks::store::client::State;
 use hookworks::store::commit::{Committer, Step};
@@ -28,7 +28,9 @@
         address: None,
     };
     match Elector::new(s.clone(), me, Span::secs(2.0)).step(|| Time(0)) {
-        ElectionOutcome::Elected { stamp, .. } => stamp,
+        ElectionOutcome::Elected {
+            revision: stamp, ..
+        } => stamp,
         e => panic!("{e:?}"),
     }
 }
@@ -64,7 +66,7 @@
     let s = Handle::default();
     let leader = led(&s);
     s.put(PART, serde_json::json!({"left": "by an earlier leader"}));
-    let l = load(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
+    let l = load_state(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
     for (key, stamp) in l.litter {
         c.add_litter(key, stamp);
@@ -92,7 +94,7 @@
     let s = Handle::default();
     let leader = led(&s);
     s.put(PART, serde_json::json!({}));
-    let l = load(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
+    let l = load_state(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
     for (key, stamp) in l.litter {
         c.add_litter(key, stamp);
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -2,9 +2,9 @@
 
 mod world;
 
-use hookworks::api::{Notice, Published};
+use hookworks::api::{PublishedJobs, SharedStatus};
 use hookworks::ids::*;
-use hookworks::node::lists::finished;
+use hookworks::node::job_lists::finished_page;
 use hookworks::sched::job::Final;
 use hookworks::store::budget::Budget;
 use hookworks::store::final_key;
@@ -91,10 +91,10 @@
         ..Default::default()
     };
     board.put(line, 0);
-    let notice = Notice::default();
-    let published = |until| Published {
+    let notice = SharedStatus::default();
+    let published = |until| PublishedJobs {
         jobs: board.publish(),
-        until,
+        valid_until: until,
     };
     assert!(notice.page(&query("")).is_none());
     let now = Instant::now();
@@ -134,7 +134,7 @@
     }
     let mut rich = Budget::new(1e6, 1e6);
     let mut read = |q: &Query| -> Page {
-        let a = finished(&store, &mut rich, clock, q);
+        let a = finished_page(&store, &mut rich, clock, q);
         serde_json::from_str(&a.body).unwrap()
     };
     let (mut all, mut q, mut pages) = (vec![], query("state=finished&page=150"), 0);
@@ -155,9 +155,9 @@
     assert_eq!(page.next, Some(Position::Finished("job-000020".into())));
     // Without budget it says so, and the state service is left alone.
     let mut poor = Budget::new(0.0, 0.0);
-    let a = finished(&store, &mut poor, clock, &query("state=done"));
+    let a = finished_page(&store, &mut poor, clock, &query("state=done"));
     assert_eq!((a.status, a.retry_after), (503, Some(1)));
     store.down(true);
-    let a = finished(&store, &mut rich, clock, &query("state=done"));
+    let a = finished_page(&store, &mut rich, clock, &query("state=done"));
     assert_eq!(a.status, 503);
 }
--- a/tests/record_limits.rs
+++ b/tests/record_limits.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::node::load::load;
+use hookworks::node::state_loading::load_state;
 use hookworks::sched::job::{Job, Live, compact_part_size};
 use hookworks::sched::{DirectResult, Event, FenceRecord, Sched};
 use hookworks::settings::{Platform, StateLimits};
@@ -264,9 +264,9 @@
 
 impl Limited {
     /// What the next leader finds.
-    fn load(&self) -> hookworks::node::load::Loaded {
+    fn load(&self) -> hookworks::node::state_loading::LoadedState {
         let reader = Reader(self.keys.clone());
-        load(&reader, Epoch(2), self.stamp(LEADER), Time(1), WALL).expect("it answers")
+        load_state(&reader, Epoch(2), self.stamp(LEADER), Time(1), WALL).expect("it answers")
     }
 }
 
@@ -404,7 +404,7 @@
     }
 }
 
-fn load_of(all: &BTreeMap<String, Value>) -> hookworks::node::load::Loaded {
+fn load_of(all: &BTreeMap<String, Value>) -> hookworks::node::state_loading::LoadedState {
     let mut s = Limited::new();
     for (key, value) in all {
         s.put(key, value.clone());
@@ -440,9 +440,9 @@
                 },
             );
             let loaded = load_of(&all);
-            assert!(loaded.unreadable.is_empty() && loaded.litter.is_empty());
+            assert!(loaded.unreadable.is_empty() && loaded.garbage.is_empty());
             assert_same(&j, &loaded.jobs[0]);
-            assert_eq!(loaded.stamps.len(), all.len());
+            assert_eq!(loaded.revisions.len(), all.len());
         }
     }
 }
@@ -532,7 +532,7 @@
                 // Known, left alone, and told as what it certainly is.
                 assert!(loaded.jobs.is_empty());
                 assert_eq!(loaded.unreadable[&id], JobState::Cancelled);
-                assert!(loaded.litter.is_empty(), "it may be mended");
+                assert!(loaded.garbage.is_empty(), "it may be mended");
             } else if missing && key.starts_with(PARTS) {
                 // As if nothing had been started there yet, as without any pieces.
                 assert!(!loaded.jobs[0].damaged);
@@ -623,7 +623,7 @@
     s.fall(2048, 4);
     let loaded = s.load();
     let mut t = Term::new(&announced(), RecordFormat::Compact, loaded.jobs);
-    for (key, stamp) in loaded.stamps {
+    for (key, stamp) in loaded.revisions {
         t.c.know(key, stamp);
     }
     t.s = s;
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -394,11 +394,12 @@
     s.put("hookworks/live/job-000001", serde_json::json!({"spec": 7}));
     s.put("hookworks/live/job-000002", good);
     s.put("hookworks/part/job-000009/000001", serde_json::json!({}));
-    let l = hookworks::node::load::load(&s, Epoch(2), Stamp(1), Time(1), Wall(1)).unwrap();
+    let l = hookworks::node::state_loading::load_state(&s, Epoch(2), Stamp(1), Time(1), Wall(1))
+        .unwrap();
     assert_eq!(l.jobs.len(), 1);
     assert_eq!(l.unreadable[&JobId::from(JOB)], JobState::Queued);
     let part = s.get("hookworks/part/job-000009/000001").unwrap().unwrap();
-    assert_eq!(l.litter, vec![(part.key, part.stamp)]);
+    assert_eq!(l.garbage, vec![(part.key, part.stamp)]);
     let mut d = Desk::new(2);
     let now = Time(d.now);
     d.s.load(now, l.jobs, l.unreadable);
@@ -418,7 +419,8 @@
     let s = Handle::default();
     let damaged = serde_json::json!({"spec": 7, "cancelled": true});
     s.put("hookworks/live/job-000001", damaged);
-    let l = hookworks::node::load::load(&s, Epoch(2), Stamp(1), Time(1), Wall(1)).unwrap();
+    let l = hookworks::node::state_loading::load_state(&s, Epoch(2), Stamp(1), Time(1), Wall(1))
+        .unwrap();
     let mut d = Desk::new(2);
     d.s.load(Time(d.now), l.jobs, l.unreadable);
     for ask in [Ask::Poll(JOB.into()), Ask::Cancel(JOB.into())] {
@@ -441,8 +443,9 @@
         "hookworks/part/job-000001/000001",
         serde_json::json!({"a": "x"}),
     );
-    let l = hookworks::node::load::load(&s, Epoch(2), Stamp(1), Time(1), Wall(1)).unwrap();
-    assert!(l.unreadable.is_empty() && l.stamps.len() == 2);
+    let l = hookworks::node::state_loading::load_state(&s, Epoch(2), Stamp(1), Time(1), Wall(1))
+        .unwrap();
+    assert!(l.unreadable.is_empty() && l.revisions.len() == 2);
     let mut d = Desk::new(2);
     d.refuses = true;
     let mut jobs = l.jobs;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::node::follow::{KnownLeader, Route, route};
+use hookworks::node::routing::{KnownLeader, Route, route};
 use hookworks::sched::FenceRecord;
 use hookworks::sched::job::{Job, Live};
 use hookworks::settings::Platform;
@@ -377,7 +377,7 @@
             label: leader.clone(),
             epoch: Epoch(3),
             reachable: true,
-            understands: t.understands(&leader, ask.needs()),
+            supports_request: t.understands(&leader, ask.needs()),
         };
         matches!(route(ask, Some(known)), Route::PassOn(..))
     };
--- a/tests/worker_balance.rs
+++ b/tests/worker_balance.rs
@@ -2,9 +2,9 @@
 
 use hookworks::ids::{Host, Label};
 use hookworks::node::balance::{
-    Capacity, ControllerLoad, MAX_REDIRECTS_PER_TICK, WorkerBalance, roomiest, shares,
+    Capacity, ControllerLoad, MAX_REDIRECTS_PER_TICK, WorkerBalance, most_free_controller, shares,
 };
-use hookworks::peer::Load;
+use hookworks::peer::PeerLoad;
 use hookworks::time::Time;
 
 fn capacity(weight: f64, max_workers: Option<u32>) -> Capacity {
@@ -46,20 +46,20 @@
 
 #[test]
 fn a_worker_without_a_seat_goes_where_most_are_free() {
-    let load = |l: &str, workers, most| Load {
+    let load = |l: &str, workers, most| PeerLoad {
         label: l.into(),
         workers,
-        most,
+        max_workers: most,
     };
     let near = [
         load("a", 500, Some(600)),
         load("b", 100, Some(150)),
         load("old", 0, None),
     ];
-    let e = roomiest(&near).unwrap();
+    let e = most_free_controller(&near).unwrap();
     assert!(format!("{e:?}").contains("a") && format!("{e:?}").contains("100"));
-    assert!(roomiest(&near[2..]).is_none());
-    assert!(roomiest(&[load("a", 600, Some(600))]).is_none());
+    assert!(most_free_controller(&near[2..]).is_none());
+    assert!(most_free_controller(&[load("a", 600, Some(600))]).is_none());
 }
 
 /// All workers may come to one controller, as after the end of another.
--- a/tests/world/followers.rs
+++ b/tests/world/followers.rs
@@ -4,7 +4,7 @@
 
 use super::{Ev, S, World};
 use hookworks::ids::*;
-use hookworks::node::follow::{KnownLeader, Route, answer_read, no_leader, route};
+use hookworks::node::routing::{KnownLeader, Route, answer_final_read, no_leader, route};
 use hookworks::sched::Event;
 use hookworks::sched::job::Final;
 use hookworks::store::final_key;
@@ -121,7 +121,7 @@
             }
             Leg::ReadBack(id, f) => {
                 self.questions.read_by_followers += u64::from(matches!(f, Ok(Some(_))));
-                self.go(i, q, Leg::Told(answer_read(&id, f)));
+                self.go(i, q, Leg::Told(answer_final_read(&id, f)));
             }
             Leg::Returned(_, a) => {
                 self.questions.passed_back += u64::from(a.status < 300);
@@ -174,7 +174,7 @@
             label: label(leader),
             epoch,
             reachable: self.in_touch(i, leader),
-            understands: self.leader_understands(i, leader, ask.needs()),
+            supports_request: self.leader_understands(i, leader, ask.needs()),
         })
     }
 
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -6,7 +6,7 @@
 use super::{Ev, S, Term, World, flavor, settings};
 use hookworks::election::ElectionOutcome;
 use hookworks::ids::*;
-use hookworks::node::load::load;
+use hookworks::node::state_loading::load_state;
 use hookworks::sched::{Config, Event, Sched};
 use hookworks::settings::{NextLimits, Settings};
 use hookworks::store::RecordFormat;
@@ -29,7 +29,7 @@
             match self.ctls[i].elector.step(|| now) {
                 ElectionOutcome::Elected {
                     epoch,
-                    stamp,
+                    revision: stamp,
                     proven,
                 } => self.won(i, epoch, stamp, proven),
                 ElectionOutcome::Renewed(t) => self.event(i, Event::Proven(t)),
@@ -52,8 +52,8 @@
         let service = self.store.of(i);
         self.take_up_version(i);
         let loaded = match self.is_new(i) {
-            true => load(&service, epoch, stamp, now, wall),
-            false => load(&ProductionView(service), epoch, stamp, now, wall),
+            true => load_state(&service, epoch, stamp, now, wall),
+            false => load_state(&ProductionView(service), epoch, stamp, now, wall),
         };
         let Ok(l) = loaded else {
             return self.load_again(i, epoch, stamp, proven);
@@ -62,11 +62,11 @@
         let format = l.record_format();
         let takes_format = self.note_term(i, epoch, Switch::new(stamp, format));
         let mut commit = Committer::new(stamp, &s.platform.params.state);
-        for (k, st) in l.stamps {
+        for (k, st) in l.revisions {
             commit.know(k, st);
         }
         if format == RecordFormat::Compact {
-            for (k, st) in l.litter {
+            for (k, st) in l.garbage {
                 commit.add_litter(k, st);
             }
         }
