--- a/tests/worker_balance.rs
+++ b/tests/worker_balance.rs
@@ -58,8 +58,8 @@
     ];
     let e = most_free_controller(&near).unwrap();
     assert!(format!("{e:?}").contains("a") && format!("{e:?}").contains("100"));
-    assert!(roomiest(&near[2..]).is_none());
-    assert!(roomiest(&[load("a", 600, Some(600))]).is_none());
+    assert!(most_free_controller(&near[2..]).is_none());
+    assert!(most_free_controller(&[load("a", 600, Some(600))]).is_none());
 }
 
 /// All workers may come to one controller, as after the end of another.
