--- a/crates/fairness/src/largest_jobs.rs
+++ b/crates/fairness/src/largest_jobs.rs
@@ -9,13 +9,13 @@
 use serde::Serialize;
 
 /// Most tasks of a job, by the protocol.
-const MOST_TASKS: u64 = 100_000;
+const MAX_TASKS: u64 = 100_000;
 
 /// The largest jobs of one class.
 #[derive(Clone, Debug)]
 pub struct LargestJobs {
     sizes: Histogram<u64>,
-    figures: LargestJobsMetrics,
+    metrics: LargestJobsMetrics,
 }
 
 /// GroupMetrics of the largest jobs of one class.
@@ -37,42 +37,42 @@
     fn default() -> Self {
         LargestJobs {
             // Bounds that the library takes.
-            sizes: Histogram::new_with_max(MOST_TASKS, 1).expect("valid bounds"),
-            figures: LargestJobsMetrics::default(),
+            sizes: Histogram::new_with_max(MAX_TASKS, 1).expect("valid bounds"),
+            metrics: LargestJobsMetrics::default(),
         }
     }
 }
 
 impl LargestJobs {
     /// A job of so many tasks came, or was found by a new leader.
-    pub fn came(&mut self, tasks: u64) {
+    pub fn record_size(&mut self, tasks: u64) {
         self.sizes.saturating_record(tasks);
     }
 
     /// Whether a job of so many tasks counts among the largest.
-    pub fn counts(&self, tasks: u64) -> bool {
-        tasks >= self.tasks_from()
+    pub fn is_among_largest(&self, tasks: u64) -> bool {
+        tasks >= self.min_tasks()
     }
 
-    fn tasks_from(&self) -> u64 {
+    fn min_tasks(&self) -> u64 {
         let at = self.sizes.value_at_quantile(0.9);
         self.sizes.lowest_equivalent(at)
     }
 
     /// The first task of a job of so many runs, so long after it came.
-    pub fn begun(&mut self, tasks: u64, waited: Span) {
-        if self.counts(tasks) {
-            self.figures.begun += 1;
-            self.figures.longest_s = self.figures.longest_s.max(waited.as_secs());
+    pub fn record_start(&mut self, tasks: u64, waited: Span) {
+        if self.is_among_largest(tasks) {
+            self.metrics.begun += 1;
+            self.metrics.longest_s = self.metrics.longest_s.max(waited.as_secs());
         }
     }
 
     /// The figures, given what waits for its first start now: tasks and for how long.
-    pub fn figures(&self, waiting: impl Iterator<Item = (u64, Span)>) -> LargestJobsMetrics {
-        let tasks_from = self.tasks_from();
+    pub fn metrics(&self, waiting: impl Iterator<Item = (u64, Span)>) -> LargestJobsMetrics {
+        let tasks_from = self.min_tasks();
         let start = LargestJobsMetrics {
             tasks_from,
-            ..self.figures
+            ..self.metrics
         };
         waiting
             .filter(|(n, _)| *n >= tasks_from)
--- a/crates/fairness/src/lib.rs
+++ b/crates/fairness/src/lib.rs
@@ -23,15 +23,15 @@
 /// Shares are of what happened within so long.
 pub const WINDOW: Span = Span(300_000_000);
 /// Events within so long are counted together.
-const STEP: Span = Span(10_000_000);
+const BUCKET: Span = Span(10_000_000);
 
 /// What happened to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobEvent {
     /// It was accepted, or loaded by a new leader.
-    Came,
+    Accepted,
     /// The first of its tasks has started.
-    Begun,
+    Started,
     /// All its tasks are done.
     Done,
     /// It was cancelled.
@@ -56,10 +56,10 @@
 }
 
 impl Counts {
-    fn note(&mut self, what: JobEvent) {
+    fn record(&mut self, what: JobEvent) {
         let n = match what {
-            JobEvent::Came => &mut self.came,
-            JobEvent::Begun => &mut self.begun,
+            JobEvent::Accepted => &mut self.came,
+            JobEvent::Started => &mut self.begun,
             JobEvent::Done => &mut self.done,
             JobEvent::Cancelled => &mut self.cancelled,
             JobEvent::Refused => &mut self.refused,
@@ -94,7 +94,7 @@
 impl WaitingJobs {
     /// A job with so many waiting tasks, that came so long ago and has waited for
     /// a start since then; `patience` is what its class may wait.
-    pub fn note(&mut self, tasks: u64, came: Span, waited: Span, patience: Span) {
+    pub fn add(&mut self, tasks: u64, came: Span, waited: Span, patience: Span) {
         self.jobs += 1;
         self.late += (came > patience) as u64;
         self.tasks += tasks;
@@ -143,35 +143,35 @@
 
 impl<K: Ord + Clone> ShareTracker<K> {
     /// Counts an event.
-    pub fn note(&mut self, now: Time, group: &K, what: JobEvent) {
+    pub fn record(&mut self, now: Time, group: &K, what: JobEvent) {
         if !self.0.contains_key(group) {
             self.0.insert(group.clone(), Group::default());
         }
         let Some(g) = self.0.get_mut(group) else {
             return;
         };
-        g.total.note(what);
-        let step = now.0 / STEP.0;
-        g.forget(step);
+        g.total.record(what);
+        let step = now.0 / BUCKET.0;
+        g.drop_expired(step);
         match g.recent.back_mut().filter(|(s, _)| *s == step) {
-            Some((_, c)) => c.note(what),
+            Some((_, c)) => c.record(what),
             None => {
                 let mut c = Counts::default();
-                c.note(what);
+                c.record(what);
                 g.recent.push_back((step, c));
             }
         }
     }
 
     /// The metrics of every group that ever had any, or waits now.
-    pub fn figures(
+    pub fn metrics(
         &mut self,
         now: Time,
         waits: &BTreeMap<K, WaitingJobs>,
     ) -> BTreeMap<K, GroupMetrics> {
         let mut all: BTreeMap<K, GroupMetrics> = BTreeMap::new();
         for (k, g) in &mut self.0 {
-            g.forget(now.0 / STEP.0);
+            g.drop_expired(now.0 / BUCKET.0);
             all.insert(k.clone(), GroupMetrics::of(g, waits.get(k)));
         }
         for (k, w) in waits {
@@ -183,8 +183,8 @@
 }
 
 impl Group {
-    fn forget(&mut self, step: u64) {
-        let steps = WINDOW.0 / STEP.0;
+    fn drop_expired(&mut self, step: u64) {
+        let steps = WINDOW.0 / BUCKET.0;
         while self.recent.front().is_some_and(|(s, _)| s + steps < step) {
             self.recent.pop_front();
         }
@@ -230,13 +230,13 @@
 }
 
 /// Of a job that was overtaken for so long, one in so many tasks starts.
-const PORTION: u64 = 10;
+const TASKS_PER_BOOSTED_TASK: u64 = 10;
 
 impl FairnessPolicy {
     /// Whether a group is below the minimum share: jobs of it are overdue, and too few
     /// began meanwhile. One that was stays so until none of its jobs is late: the
     /// first start alone would leave the rest to wait as long again.
-    pub fn is_below(&self, was: bool, f: &GroupMetrics) -> bool {
+    pub fn is_below_minimum(&self, was: bool, f: &GroupMetrics) -> bool {
         let falls = f.overdue_jobs > 0 && f.share < self.min_share;
         self.reserved_share > 0.0 && (falls || was && f.late_jobs > 0)
     }
@@ -244,9 +244,9 @@
     /// How many tasks of a job go ahead of others, of which so many wait and none
     /// has begun for so long. A part only: jobs of thousands of tasks would stop
     /// everyone else's.
-    pub fn goes_ahead(&self, tasks: u64, waiting: u64, waited: Span) -> u64 {
+    pub fn boosted_tasks(&self, tasks: u64, waiting: u64, waited: Span) -> u64 {
         match self.max_overtaken {
-            Some(most) if waited >= most => tasks.div_ceil(PORTION).min(waiting),
+            Some(most) if waited >= most => tasks.div_ceil(TASKS_PER_BOOSTED_TASK).min(waiting),
             _ => 0,
         }
     }
--- a/crates/fairness/tests/largest_jobs.rs
+++ b/crates/fairness/tests/largest_jobs.rs
@@ -8,14 +8,14 @@
 fn only_the_largest_tenth_counts() {
     let mut l = LargestJobs::default();
     for n in 1..=19 {
-        l.came(n);
-        l.begun(1, Span::secs(500.0));
+        l.record_size(n);
+        l.record_start(1, Span::secs(500.0));
     }
-    l.came(3000);
-    assert!(l.counts(3000) && !l.counts(9));
-    l.begun(3000, Span::secs(70.0));
+    l.record_size(3000);
+    assert!(l.is_among_largest(3000) && !l.is_among_largest(9));
+    l.record_start(3000, Span::secs(70.0));
     let waiting = [(3000, Span::secs(9.0)), (2, Span::secs(99.0))];
-    let f = l.figures(waiting.into_iter());
+    let f = l.metrics(waiting.into_iter());
     assert_eq!((f.waiting, f.oldest_s), (1, 9.0));
     assert!(f.tasks_from > 10 && f.tasks_from <= 19);
     // The first of a class is its largest until others come.
--- a/crates/fairness/tests/shares.rs
+++ b/crates/fairness/tests/shares.rs
@@ -12,27 +12,27 @@
     let mut w = WaitingJobs::default();
     for (tasks, waited, patience) in jobs {
         let waited = Span::secs(*waited);
-        w.note(*tasks, waited, waited, Span::secs(*patience));
+        w.add(*tasks, waited, waited, Span::secs(*patience));
     }
     w
 }
 
 fn share(s: &mut ShareTracker<&'static str>, now: Time, w: WaitingJobs) -> f64 {
-    s.figures(now, &BTreeMap::from([("a", w)]))["a"].share
+    s.metrics(now, &BTreeMap::from([("a", w)]))["a"].share
 }
 
 #[test]
 fn share_counts_started_and_overdue_jobs() {
     let mut s = ShareTracker::default();
     for n in 0..6 {
-        s.note(at(n), &"a", JobEvent::Came);
+        s.record(at(n), &"a", JobEvent::Accepted);
     }
     assert_eq!(share(&mut s, at(10), waits(&[(3, 5.0, 60.0)])), 1.0);
-    s.note(at(11), &"a", JobEvent::Begun);
+    s.record(at(11), &"a", JobEvent::Started);
     // Two of them should have begun; one has come just now.
     let w = waits(&[(3, 61.0, 60.0), (1, 90.0, 60.0), (9, 2.0, 60.0)]);
     assert_eq!(share(&mut s, at(12), w), 1.0 / 3.0);
-    let f = s.figures(at(12), &BTreeMap::from([("a", w)]))["a"];
+    let f = s.metrics(at(12), &BTreeMap::from([("a", w)]))["a"];
     assert_eq!(
         (f.waiting_jobs, f.waiting_tasks, f.overdue_jobs),
         (3, 13, 2)
@@ -45,15 +45,15 @@
 fn old_starts_do_not_count() {
     let mut s = ShareTracker::default();
     for n in 0..100 {
-        s.note(at(n), &"a", JobEvent::Begun);
+        s.record(at(n), &"a", JobEvent::Started);
     }
     let w = waits(&[(1, 90.0, 60.0)]);
     assert!(share(&mut s, at(100), w) > 0.99);
     assert_eq!(share(&mut s, at(500), w), 0.0);
-    let f = s.figures(at(500), &BTreeMap::new())["a"];
+    let f = s.metrics(at(500), &BTreeMap::new())["a"];
     assert_eq!((f.total.begun, f.recent.begun, f.share), (100, 0, 1.0));
     // A group of which nothing was ever heard but that it waits is shown.
-    let all = s.figures(at(500), &BTreeMap::from([("b", w)]));
+    let all = s.metrics(at(500), &BTreeMap::from([("b", w)]));
     assert_eq!(all["b"].share, 0.0);
 }
 
@@ -69,19 +69,19 @@
         share,
         ..GroupMetrics::default()
     };
-    assert!(policy.is_below(false, &of(3, 0.5)));
-    assert!(!policy.is_below(false, &of(3, 0.9)));
-    assert!(!policy.is_below(false, &of(0, 0.0)));
+    assert!(policy.is_below_minimum(false, &of(3, 0.5)));
+    assert!(!policy.is_below_minimum(false, &of(3, 0.9)));
+    assert!(!policy.is_below_minimum(false, &of(0, 0.0)));
     let late = GroupMetrics {
         late_jobs: 1,
         ..of(0, 0.5)
     };
-    assert!(policy.is_below(true, &late) && !policy.is_below(false, &late));
+    assert!(policy.is_below_minimum(true, &late) && !policy.is_below_minimum(false, &late));
     let off = FairnessPolicy {
         reserved_share: 0.0,
         ..policy
     };
-    assert!(!off.is_below(true, &of(3, 0.5)));
+    assert!(!off.is_below_minimum(true, &of(3, 0.5)));
 }
 
 /// The largest jobs were overtaken for ever by a flood of small ones.
@@ -92,7 +92,7 @@
         min_share: 0.7,
         max_overtaken: Some(Span::secs(100.0)),
     };
-    let ahead = |tasks, waiting, s| policy.goes_ahead(tasks, waiting, Span::secs(s));
+    let ahead = |tasks, waiting, s| policy.boosted_tasks(tasks, waiting, Span::secs(s));
     assert_eq!(ahead(3000, 3000, 99.0), 0);
     assert_eq!((ahead(3000, 3000, 100.0), ahead(1, 1, 100.0)), (300, 1));
     assert_eq!(ahead(3000, 7, 500.0), 7);
@@ -100,7 +100,7 @@
         max_overtaken: None,
         ..policy
     };
-    assert_eq!(never.goes_ahead(3000, 3000, Span::secs(1e6)), 0);
+    assert_eq!(never.boosted_tasks(3000, 3000, Span::secs(1e6)), 0);
 }
 
 /// A class floods the fleet, is served by less than half for that, and is not
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -1,8 +1,8 @@
 //! Whether a submission can be taken: what is refused, and as what.
 
+use super::dependency_ids::DependencyIds;
 use super::job::{Job, LATER, LEAST_PART, compact_part_size, part_size};
-use super::needs::Needs;
-use super::{Room, Sched};
+use super::{Resources, Sched};
 use crate::ids::Zone;
 use crate::store::RecordFormat;
 use crate::store::limits::VALUE_MARGIN;
@@ -23,12 +23,12 @@
         let Some(limit) = self.teams.limit(&s.team) else {
             return Ok(Some(format!("Crew: no team {}", s.team)));
         };
-        let need = Room::of_task(s);
+        let need = Resources::of_task(s);
         let at_once = match s.kind {
             Kind::Array => 1,
             Kind::Gang | Kind::Service => s.tasks as i64,
         };
-        if let Some(part) = limit.lacks(&need.scaled(at_once)) {
+        if let Some(part) = limit.first_lacking(&need.scaled(at_once)) {
             return Ok(Some(format!("{part}: more than the team's limit")));
         }
         if self.flavors.is_empty() {
@@ -41,13 +41,15 @@
         }
         let lacks: Vec<_> = types
             .iter()
-            .map(|f| Room::of_flavor(f).lacks(&need))
+            .map(|f| Resources::of_machine_type(f).first_lacking(&need))
             .collect();
         if lacks.iter().all(Option::is_some) {
             let part = lacks.into_iter().flatten().next().unwrap_or("Vcpus");
             return Ok(Some(format!("{part}: more than any allowed machine has")));
         }
-        let fitting = types.iter().filter(|f| Room::of_flavor(f).fits(&need));
+        let fitting = types
+            .iter()
+            .filter(|f| Resources::of_machine_type(f).fits(&need));
         let mut zones: Vec<Option<&Zone>> = vec![];
         for f in fitting {
             match f.zones.is_empty() {
@@ -120,7 +122,7 @@
             return false;
         }
         let mut without = job.clone();
-        without.needs = Needs::default();
+        without.needs = DependencyIds::default();
         !self.too_large(&without)
     }
 
--- a/src/sched/allowed_zones.rs
+++ b/src/sched/allowed_zones.rs
@@ -17,7 +17,7 @@
     /// All but those that hold as many of its tasks as they may.
     AllBut(BTreeSet<Zone>),
     /// None: a task of it may be in any zone.
-    Undecided,
+    Unknown,
 }
 
 impl AllowedZones {
@@ -31,7 +31,7 @@
         for live in job.live.values() {
             match s.machines.get(&live.host) {
                 Some(m) if !m.zone.as_str().is_empty() => *counts.entry(&m.zone).or_default() += 1,
-                _ => return AllowedZones::Undecided,
+                _ => return AllowedZones::Unknown,
             }
         }
         let most = spec.tasks.div_ceil(2);
@@ -44,7 +44,7 @@
         match (zones.next(), zones.next()) {
             (None, _) => AllowedZones::All,
             (Some((zone, count)), None) if !full(*count) => AllowedZones::Only((*zone).clone()),
-            _ => AllowedZones::Undecided,
+            _ => AllowedZones::Unknown,
         }
     }
 
@@ -54,7 +54,7 @@
             AllowedZones::All => true,
             AllowedZones::Only(only) => only == zone,
             AllowedZones::AllBut(closed) => !closed.contains(zone),
-            AllowedZones::Undecided => false,
+            AllowedZones::Unknown => false,
         }
     }
 }
--- a/src/sched/places.rs
+++ b/src/sched/attempt_places.rs
@@ -12,7 +12,7 @@
 
 /// A machine's place and kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct AttemptPlace {
     /// The zone.
     pub zone: Zone,
     /// The machine type.
@@ -23,19 +23,19 @@
 
 /// The places of a record's attempts, in their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Places {
+pub struct AttemptPlaces {
     /// The different ones.
     #[serde(rename = "k")]
     kinds: Vec<(Zone, Build, bool)>,
     /// Which of them each attempt has: a digit each.
     #[serde(rename = "i")]
-    each: String,
+    kind_indexes: String,
     #[serde(rename = "c")]
     checksum: u32,
 }
 
 /// As many as digits.
-const MOST_KINDS: usize = 36;
+const MAX_KINDS: usize = 36;
 
 /// An attempt as its record has it: task, attempt, machine, time.
 type Entry = (u32, u64, Host, u64);
@@ -49,10 +49,13 @@
     h.finalize()
 }
 
-impl Places {
+impl AttemptPlaces {
     /// None if not all are known, or if they don't fit into so many bytes.
-    pub fn of<'a>(live: impl Iterator<Item = &'a Live> + Clone, room: usize) -> Option<Places> {
-        let mut kinds: Vec<&Place> = vec![];
+    pub fn of<'a>(
+        live: impl Iterator<Item = &'a Live> + Clone,
+        room: usize,
+    ) -> Option<AttemptPlaces> {
+        let mut kinds: Vec<&AttemptPlace> = vec![];
         let mut each = String::new();
         for l in live.clone() {
             let place = l.place.as_ref()?;
@@ -61,38 +64,38 @@
                 kinds.push(place);
                 kinds.len() - 1
             });
-            if ix >= MOST_KINDS {
+            if ix >= MAX_KINDS {
                 return None;
             }
             each.push(char::from_digit(ix as u32, 36)?);
         }
-        let kind = |p: &Place| (p.zone.clone(), p.build.clone(), p.spot);
-        let p = Places {
+        let kind = |p: &AttemptPlace| (p.zone.clone(), p.build.clone(), p.spot);
+        let p = AttemptPlaces {
             kinds: kinds.into_iter().map(kind).collect(),
-            each,
+            kind_indexes: each,
             checksum: checksum(live.map(|l| (l.attempt.0, &l.host))),
         };
-        (!p.each.is_empty() && p.size() <= room).then_some(p)
+        (!p.kind_indexes.is_empty() && p.max_encoded_bytes() <= room).then_some(p)
     }
 
     /// Bytes that it takes in a record, at the most.
-    pub fn size(&self) -> usize {
+    pub fn max_encoded_bytes(&self) -> usize {
         let names = self.kinds.iter();
         let names: usize = names
             .map(|k| k.0.as_str().len() + k.1.as_str().len() + 14)
             .sum();
-        names + self.each.len() + 50
+        names + self.kind_indexes.len() + 50
     }
 
     /// The place of each entry; nothing if these are others.
-    pub fn of_each(&self, entries: &[Entry]) -> Vec<Place> {
-        let fits = self.each.len() == entries.len()
+    pub fn for_entries(&self, entries: &[Entry]) -> Vec<AttemptPlace> {
+        let fits = self.kind_indexes.len() == entries.len()
             && self.checksum == checksum(entries.iter().map(|e| (e.1, &e.2)));
         let place = |c: char| {
             let (zone, build, spot) = self.kinds.get(c.to_digit(36)? as usize)?.clone();
-            Some(Place { zone, build, spot })
+            Some(AttemptPlace { zone, build, spot })
         };
-        let all: Option<Vec<Place>> = self.each.chars().map(place).collect();
+        let all: Option<Vec<AttemptPlace>> = self.kind_indexes.chars().map(place).collect();
         all.filter(|_| fits).unwrap_or_default()
     }
 }
--- a/src/sched/audit.rs
+++ b/src/sched/audit.rs
@@ -1,6 +1,6 @@
 //! Sums that are kept up as things happen, held against the plain computation.
 
-use super::{Room, Sched};
+use super::{Resources, Sched};
 use crate::ids::Team;
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
     /// What does not add up; nothing, unless there is a mistake in the code.
     pub fn audit(&self) -> Vec<String> {
         let mut wrong = vec![];
-        let mut by_team: BTreeMap<&Team, Room> = BTreeMap::new();
+        let mut by_team: BTreeMap<&Team, Resources> = BTreeMap::new();
         let mut lives = 0;
         for j in self.jobs.values() {
             for (t, l) in &j.live {
@@ -30,7 +30,7 @@
         }
         let mut slots = 0;
         for m in self.machines.values() {
-            let mut used = Room::default();
+            let mut used = Resources::default();
             for s in m.slots.values() {
                 used += s.need;
             }
--- a/src/sched/beats.rs
+++ b/src/sched/beats.rs
@@ -34,7 +34,7 @@
             Ok(report) => report,
             Err(e) => return self.answer(req, Answer::error(400, &e.to_string())),
         };
-        if !self.may_report(now) || self.fleet.is_gone(&report.host) {
+        if !self.may_report(now) || self.fleet.is_returned(&report.host) {
             self.reports_refused += 1;
             return self.answer(req, Answer::later("not entitled to answer", 1));
         }
@@ -148,7 +148,7 @@
             return false;
         }
         let able = |machine: &Machine| machine.life == Life::Up && machine.direct.is_none();
-        let waits = self.unsent.contains(host) || freed && !self.fleet.short.is_empty();
+        let waits = self.unsent.contains(host) || freed && !self.fleet.shortages.is_empty();
         waits && self.machines.get(host).is_some_and(able)
     }
 
--- a/src/sched/catchup.rs
+++ b/src/sched/catchup.rs
@@ -15,7 +15,7 @@
 
 use super::job::Phase;
 use super::machine::Life;
-use super::place::allowed;
+use super::place::may_run_on;
 use super::{Effect, Sched};
 use crate::ids::{CallId, Host, Session, TaskId, Token};
 use crate::time::{Span, Time};
@@ -159,7 +159,7 @@
     }
 
     fn may_resume(&self, now: Time, host: &Host, task: &TaskId) -> bool {
-        let fresh = self.heard_within();
+        let fresh = self.max_heartbeat_age();
         let machine = self.machines.get(host).filter(|m| m.open(now, fresh));
         let (Some(machine), Some(job)) = (machine, self.jobs.get(&task.job)) else {
             return false;
@@ -167,9 +167,9 @@
         let spec = &job.spec;
         let stopped = job.cancelled || job.closing.is_some() || job.held() || job.blocked();
         let anywhere = spec.kind == Kind::Array && !spec.one_zone && !spec.spread;
-        let left = self.teams.left(&spec.team);
+        let left = self.teams.remaining(&spec.team);
         let fits = machine.capacity.covers(&machine.used) && left.at_least_zero() == left;
-        !stopped && anywhere && fits && now >= job.backoff_until && allowed(spec, machine)
+        !stopped && anywhere && fits && now >= job.backoff_until && may_run_on(spec, machine)
     }
 
     /// Logs the progress once a second until all is as it was.
--- a/src/sched/dependencies.rs
+++ b/src/sched/dependencies.rs
@@ -400,12 +400,12 @@
         let Some(j) = self.jobs.get(id) else { return };
         let quick = self.is_quick(&j.spec.class);
         if quick && j.spec.kind != Kind::Gang {
-            self.arrivals.note(now, j);
+            self.arrivals.record(now, j);
         }
         if quick {
             self.pass_at = now;
         }
-        self.book(now, id, JobEvent::Came);
+        self.record_job_event(now, id, JobEvent::Accepted);
     }
 
     /// A job that it needs was cancelled, on record: it is cancelled with it. Nothing
--- a/src/sched/needs.rs
+++ b/src/sched/dependency_ids.rs
@@ -17,17 +17,17 @@
 
 /// Five bits a character; the second half says that more follow.
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-const BITS: u32 = 5;
-const MORE: usize = 1 << BITS;
+const BITS_PER_DIGIT: u32 = 5;
+const CONTINUATION_BIT: usize = 1 << BITS_PER_DIGIT;
 /// The most digits that any number of so many fits into `u128`.
 const MAX_DIGITS: usize = 38;
 const PREFIX: &str = "job-";
 
 /// Names of the jobs that are not known to be done yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Needs(BTreeSet<JobId>);
+pub struct DependencyIds(BTreeSet<JobId>);
 
-impl Needs {
+impl DependencyIds {
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -71,11 +71,11 @@
     }
 
     /// Reads what [`Needs::encode`] wrote.
-    pub fn decode(text: &str) -> Option<Needs> {
+    pub fn decode(text: &str) -> Option<DependencyIds> {
         let mut ids = BTreeSet::new();
         for segment in text.split(',').filter(|s| !s.is_empty()) {
             if let Some(digits) = segment.strip_prefix('=') {
-                ids.insert(well_formed(format!("{PREFIX}{digits}"))?);
+                ids.insert(parse_job_id(format!("{PREFIX}{digits}"))?);
                 continue;
             }
             let (width, numbers) = segment.split_once(':')?;
@@ -83,46 +83,46 @@
             let mut previous = 0u128;
             for difference in read_numbers(numbers)? {
                 previous = previous.checked_add(difference)?;
-                let id = well_formed(format!("{PREFIX}{previous:0width$}"))?;
+                let id = parse_job_id(format!("{PREFIX}{previous:0width$}"))?;
                 if id.as_str().len() != PREFIX.len() + width {
                     return None;
                 }
                 ids.insert(id);
             }
         }
-        Some(Needs(ids))
+        Some(DependencyIds(ids))
     }
 }
 
-impl FromIterator<JobId> for Needs {
-    fn from_iter<I: IntoIterator<Item = JobId>>(ids: I) -> Needs {
-        Needs(ids.into_iter().collect())
+impl FromIterator<JobId> for DependencyIds {
+    fn from_iter<I: IntoIterator<Item = JobId>>(ids: I) -> DependencyIds {
+        DependencyIds(ids.into_iter().collect())
     }
 }
 
-impl Serialize for Needs {
+impl Serialize for DependencyIds {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         s.serialize_str(&self.encode())
     }
 }
 
-impl<'de> Deserialize<'de> for Needs {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Needs, D::Error> {
+impl<'de> Deserialize<'de> for DependencyIds {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<DependencyIds, D::Error> {
         let text = String::deserialize(d)?;
-        Needs::decode(&text).ok_or_else(|| de::Error::custom("not a list of jobs"))
+        DependencyIds::decode(&text).ok_or_else(|| de::Error::custom("not a list of jobs"))
     }
 }
 
-fn well_formed(id: String) -> Option<JobId> {
+fn parse_job_id(id: String) -> Option<JobId> {
     JobId::well_formed(&id).then(|| JobId::from(id.as_str()))
 }
 
 /// The lowest bits first.
 fn push_number(text: &mut String, mut n: u128) {
     loop {
-        let group = n as usize % MORE;
-        n >>= BITS;
-        let more = if n > 0 { MORE } else { 0 };
+        let group = n as usize % CONTINUATION_BIT;
+        n >>= BITS_PER_DIGIT;
+        let more = if n > 0 { CONTINUATION_BIT } else { 0 };
         text.push(DIGITS[group + more] as char);
         if n == 0 {
             return;
@@ -135,13 +135,13 @@
     let (mut n, mut shift) = (0u128, 0u32);
     for c in text.bytes() {
         let group = DIGITS.iter().position(|d| *d == c)?;
-        let bits = (group % MORE) as u128;
+        let bits = (group % CONTINUATION_BIT) as u128;
         if shift >= u128::BITS || bits << shift >> shift != bits {
             return None;
         }
         n |= bits << shift;
-        if group >= MORE {
-            shift += BITS;
+        if group >= CONTINUATION_BIT {
+            shift += BITS_PER_DIGIT;
         } else {
             numbers.push(n);
             (n, shift) = (0, 0);
--- a/src/sched/estimate.rs
+++ b/src/sched/estimate.rs
@@ -7,7 +7,7 @@
 use crate::wire::user::Kind;
 
 /// This many finished tasks replace the owner's estimate.
-pub const ENOUGH: usize = 3;
+pub const MIN_FINISHED_TASKS: usize = 3;
 
 pub fn of(job: &Job) -> Span {
     if job.spec.kind == Kind::Service {
@@ -20,10 +20,10 @@
 pub fn median(runtimes: &[f64]) -> Option<f64> {
     let mut v = runtimes.to_vec();
     v.sort_by(f64::total_cmp);
-    (v.len() >= ENOUGH).then(|| v[v.len() / 2])
+    (v.len() >= MIN_FINISHED_TASKS).then(|| v[v.len() / 2])
 }
 
 /// δ: how far apart the remaining runtimes on a machine may be.
-pub fn delta(estimate: Span, factor: f64, floor_s: f64) -> Span {
+pub fn max_runtime_spread(estimate: Span, factor: f64, floor_s: f64) -> Span {
     Span::secs((estimate.as_secs() * factor).max(floor_s))
 }
--- a/src/sched/served.rs
+++ b/src/sched/fair_share.rs
@@ -8,126 +8,126 @@
 //! room for them is found by other rules.
 
 use super::job::Job;
-use super::place::by_itself;
-use super::{Room, Sched};
+use super::place::is_placed_individually;
+use super::{Resources, Sched};
 use crate::ids::{Class, JobId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use hookworks_fairness::{
-    FairnessPolicy as Floor, GroupMetrics as Figures, JobEvent as What, LargestJobs as Largest,
-    LargestJobsMetrics as LargestFigures, ShareTracker as Served, WaitingJobs as Waits,
+    FairnessPolicy, GroupMetrics, JobEvent, LargestJobs, LargestJobsMetrics, ShareTracker,
+    WaitingJobs,
 };
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Figures are made up so often.
-const LOOK_EVERY: Span = Span(1_000_000);
+/// GroupMetrics are made up so often.
+const UPDATE_INTERVAL: Span = Span(1_000_000);
 /// Share of the fleet that goes ahead at a look to jobs that were overtaken for long.
-const AHEAD: f64 = 0.01;
+const MAX_OVERTAKEN_SHARE: f64 = 0.01;
 /// A class without aims may wait so long.
-const PATIENCE_S: f64 = 120.0;
+const DEFAULT_MAX_WAIT_S: f64 = 120.0;
 
-/// Figures by class and by team.
+/// GroupMetrics by class and by team.
 #[derive(Default, Serialize)]
-pub struct View {
-    pub classes: BTreeMap<String, Figures>,
-    pub teams: BTreeMap<String, Figures>,
+pub struct FairnessOverview {
+    pub classes: BTreeMap<String, GroupMetrics>,
+    pub teams: BTreeMap<String, GroupMetrics>,
     /// The largest jobs of each class, until they begin.
-    pub largest: BTreeMap<String, LargestFigures>,
+    pub largest: BTreeMap<String, LargestJobsMetrics>,
 }
 
-pub struct Books {
-    floor: Floor,
-    classes: Served<Class>,
-    teams: Served<Team>,
-    figures: (BTreeMap<Class, Figures>, BTreeMap<Team, Figures>),
-    largest: BTreeMap<Class, Largest>,
-    largest_figures: BTreeMap<Class, LargestFigures>,
-    look_at: Time,
+pub struct FairnessState {
+    policy: FairnessPolicy,
+    classes: ShareTracker<Class>,
+    teams: ShareTracker<Team>,
+    metrics: (BTreeMap<Class, GroupMetrics>, BTreeMap<Team, GroupMetrics>),
+    largest: BTreeMap<Class, LargestJobs>,
+    largest_metrics: BTreeMap<Class, LargestJobsMetrics>,
+    update_at: Time,
     /// Tasks that may start ahead of others until the next look.
-    lifted: BTreeMap<JobId, i64>,
+    boosted: BTreeMap<JobId, i64>,
     /// Jobs that go first as a whole, as no part of them can start by itself.
-    first: BTreeSet<JobId>,
+    starved: BTreeSet<JobId>,
     /// Who is below the floor.
-    low: (BTreeSet<Class>, BTreeSet<Team>),
+    below_minimum: (BTreeSet<Class>, BTreeSet<Team>),
     /// Tasks that were started so, until they are gone.
-    kept: BTreeSet<TaskId>,
+    protected: BTreeSet<TaskId>,
 }
 
-impl Books {
-    pub fn new(floor: Floor) -> Books {
-        Books {
-            floor,
-            classes: Served::default(),
-            teams: Served::default(),
-            figures: Default::default(),
+impl FairnessState {
+    pub fn new(floor: FairnessPolicy) -> FairnessState {
+        FairnessState {
+            policy: floor,
+            classes: ShareTracker::default(),
+            teams: ShareTracker::default(),
+            metrics: Default::default(),
             largest: BTreeMap::new(),
-            largest_figures: BTreeMap::new(),
-            look_at: Time::default(),
-            lifted: BTreeMap::new(),
-            first: BTreeSet::new(),
-            low: Default::default(),
-            kept: BTreeSet::new(),
+            largest_metrics: BTreeMap::new(),
+            update_at: Time::default(),
+            boosted: BTreeMap::new(),
+            starved: BTreeSet::new(),
+            below_minimum: Default::default(),
+            protected: BTreeSet::new(),
         }
     }
 
-    pub fn note(&mut self, now: Time, class: &Class, team: &Team, what: What) {
-        self.classes.note(now, class, what);
-        self.teams.note(now, team, what);
+    pub fn record(&mut self, now: Time, class: &Class, team: &Team, what: JobEvent) {
+        self.classes.record(now, class, what);
+        self.teams.record(now, team, what);
     }
 
-    fn came(&mut self, class: &Class, tasks: u32) {
+    fn record_size(&mut self, class: &Class, tasks: u32) {
         if !self.largest.contains_key(class) {
-            self.largest.insert(class.clone(), Largest::default());
+            self.largest.insert(class.clone(), LargestJobs::default());
         }
         if let Some(l) = self.largest.get_mut(class) {
-            l.came(tasks as u64);
+            l.record_size(tasks as u64);
         }
     }
 
     /// So many of its tasks may start ahead of others.
-    pub fn lift(&self, id: &JobId) -> Option<i64> {
-        self.lifted.get(id).copied().filter(|n| *n > 0)
+    pub fn boosted_tasks(&self, id: &JobId) -> Option<i64> {
+        self.boosted.get(id).copied().filter(|n| *n > 0)
     }
 
     /// It has been overtaken for as long as it may be, and goes first.
-    pub fn goes_first(&self, id: &JobId) -> bool {
-        self.first.contains(id)
+    pub fn is_starved(&self, id: &JobId) -> bool {
+        self.starved.contains(id)
     }
 
-    pub fn lifted(&self) -> impl Iterator<Item = &JobId> {
-        self.lifted
+    pub fn boosted_jobs(&self) -> impl Iterator<Item = &JobId> {
+        self.boosted
             .iter()
             .filter(|(_, n)| **n > 0)
             .map(|(id, _)| id)
     }
 
     /// One of its tasks starts.
-    pub fn started(&mut self, id: &JobId, ix: TaskIx) {
-        if let Some(n) = self.lifted.get_mut(id).filter(|n| **n > 0) {
+    pub fn task_started(&mut self, id: &JobId, ix: TaskIx) {
+        if let Some(n) = self.boosted.get_mut(id).filter(|n| **n > 0) {
             *n -= 1;
             let job = id.clone();
-            self.kept.insert(TaskId { job, ix });
+            self.protected.insert(TaskId { job, ix });
         }
     }
 
-    pub fn gone(&mut self, t: &TaskId) {
-        self.kept.remove(t);
+    pub fn task_ended(&mut self, t: &TaskId) {
+        self.protected.remove(t);
     }
 
     /// It is not stopped for others: its room was set aside for it.
-    pub fn guards(&self, t: &TaskId) -> bool {
-        self.kept.contains(t)
+    pub fn is_protected(&self, t: &TaskId) -> bool {
+        self.protected.contains(t)
     }
 
-    pub fn view(&self) -> View {
-        let (classes, teams) = &self.figures;
-        let names = |(k, f): (&Class, &Figures)| (k.to_string(), *f);
+    pub fn overview(&self) -> FairnessOverview {
+        let (classes, teams) = &self.metrics;
+        let names = |(k, f): (&Class, &GroupMetrics)| (k.to_string(), *f);
         let teams = teams.iter().map(|(k, f)| (k.to_string(), *f));
-        View {
+        FairnessOverview {
             classes: classes.iter().map(names).collect(),
             teams: teams.collect(),
             largest: self
-                .largest_figures
+                .largest_metrics
                 .iter()
                 .map(|(k, f)| (k.to_string(), *f))
                 .collect(),
@@ -136,14 +136,14 @@
 }
 
 /// Since when a job has waited for a start of the tasks that it still has.
-fn waits_since(j: &Job) -> Time {
+fn waiting_for_start_since(j: &Job) -> Time {
     let latest = j.live.values().map(|l| l.placed).max();
     latest.map_or(j.ready, |t| t.max(j.ready))
 }
 
 impl Sched {
-    /// What a class may wait: the longest of its aims.
-    fn patience(&self) -> BTreeMap<Class, Span> {
+    /// JobEvent a class may wait: the longest of its aims.
+    fn max_wait_by_class(&self) -> BTreeMap<Class, Span> {
         let mut all: BTreeMap<Class, f64> = BTreeMap::new();
         for o in &self.cfg.objectives {
             if let (Some(c), Some(s)) = (&o.class, o.within_s) {
@@ -155,26 +155,26 @@
     }
 
     /// Jobs that a new leader finds on record.
-    pub(super) fn book_loaded(&mut self, now: Time) {
+    pub(super) fn record_loaded_jobs(&mut self, now: Time) {
         for j in self.jobs.values().filter(|j| j.needs.is_empty()) {
             let (class, team) = (&j.spec.class, &j.spec.team);
-            self.books.note(now, class, team, What::Came);
-            self.books.came(class, j.spec.tasks);
+            self.books.record(now, class, team, JobEvent::Accepted);
+            self.books.record_size(class, j.spec.tasks);
             if j.history.first_start().is_some() {
-                self.books.note(now, class, team, What::Begun);
+                self.books.record(now, class, team, JobEvent::Started);
             }
         }
     }
 
-    pub(super) fn book(&mut self, now: Time, id: &JobId, what: What) {
+    pub(super) fn record_job_event(&mut self, now: Time, id: &JobId, what: JobEvent) {
         if let Some(j) = self.jobs.get(id) {
-            self.books.note(now, &j.spec.class, &j.spec.team, what);
+            self.books.record(now, &j.spec.class, &j.spec.team, what);
             let class = &j.spec.class;
             match what {
-                What::Came => self.books.came(class, j.spec.tasks),
-                What::Begun => {
+                JobEvent::Accepted => self.books.record_size(class, j.spec.tasks),
+                JobEvent::Started => {
                     if let Some(l) = self.books.largest.get_mut(class) {
-                        l.begun(j.spec.tasks as u64, now - j.ready);
+                        l.record_start(j.spec.tasks as u64, now - j.ready);
                     }
                 }
                 _ => {}
@@ -183,43 +183,43 @@
     }
 
     /// Makes the figures up, and decides who is below the floor.
-    pub(super) fn look_at_shares(&mut self, now: Time) {
-        if now < self.books.look_at {
+    pub(super) fn update_fairness(&mut self, now: Time) {
+        if now < self.books.update_at {
             return;
         }
-        self.books.look_at = now + LOOK_EVERY;
-        let patience = self.patience();
-        let usual = Span::secs(PATIENCE_S);
-        let mut by_class: BTreeMap<Class, Waits> = BTreeMap::new();
-        let mut by_team: BTreeMap<Team, Waits> = BTreeMap::new();
+        self.books.update_at = now + UPDATE_INTERVAL;
+        let patience = self.max_wait_by_class();
+        let usual = Span::secs(DEFAULT_MAX_WAIT_S);
+        let mut by_class: BTreeMap<Class, WaitingJobs> = BTreeMap::new();
+        let mut by_team: BTreeMap<Team, WaitingJobs> = BTreeMap::new();
         let mut unbegun: BTreeMap<Class, Vec<(u64, Span)>> = BTreeMap::new();
         // One that fails everywhere waits for its user, not for room.
         let waits = |j: &&Job| j.pending() > 0 && !j.fails_everywhere();
         for j in self.jobs.values().filter(waits) {
-            let (tasks, waited) = (j.pending() as u64, now - waits_since(j));
+            let (tasks, waited) = (j.pending() as u64, now - waiting_for_start_since(j));
             let came = now - j.ready;
             let p = patience.get(&j.spec.class).copied().unwrap_or(usual);
             let class = by_class.entry(j.spec.class.clone()).or_default();
-            class.note(tasks, came, waited, p);
+            class.add(tasks, came, waited, p);
             let team = by_team.entry(j.spec.team.clone()).or_default();
-            team.note(tasks, came, waited, p);
+            team.add(tasks, came, waited, p);
             if j.history.first_start().is_none() {
                 let class = unbegun.entry(j.spec.class.clone()).or_default();
                 class.push((j.spec.tasks as u64, came));
             }
         }
         let b = &mut self.books;
-        b.figures = (
-            b.classes.figures(now, &by_class),
-            b.teams.figures(now, &by_team),
+        b.metrics = (
+            b.classes.metrics(now, &by_class),
+            b.teams.metrics(now, &by_team),
         );
-        let figures = |(class, l): (&Class, &Largest)| {
+        let figures = |(class, l): (&Class, &LargestJobs)| {
             let waiting = unbegun.get(class).into_iter().flatten().copied();
-            (class.clone(), l.figures(waiting))
+            (class.clone(), l.metrics(waiting))
         };
-        b.largest_figures = b.largest.iter().map(figures).collect();
-        self.set_room_aside();
-        self.put_ahead(now);
+        b.largest_metrics = b.largest.iter().map(figures).collect();
+        self.boost_below_minimum();
+        self.boost_overtaken(now);
     }
 
     /// Jobs that have been overtaken for as long as they may be without any start.
@@ -227,15 +227,15 @@
     /// never began. A little at a time, the longest waiting first: under a flood with
     /// hundreds of them, a part of each at once took all writes there were, and the
     /// leader could not keep up.
-    fn put_ahead(&mut self, now: Time) {
-        let floor = self.books.floor;
+    fn boost_overtaken(&mut self, now: Time) {
+        let floor = self.books.policy;
         let waits = |j: &&Job| {
             let begun = j.history.first_start().is_some() || !j.live.is_empty();
             j.pending() > 0 && !begun && now >= j.backoff_until && !j.fails_everywhere()
         };
         let ahead = |j: &Job| {
             let waiting = j.pending() as u64;
-            floor.goes_ahead(j.spec.tasks as u64, waiting, now - j.ready) as i64
+            floor.boosted_tasks(j.spec.tasks as u64, waiting, now - j.ready) as i64
         };
         let mut late: Vec<(&Job, i64)> = self
             .jobs
@@ -246,14 +246,14 @@
             .collect();
         late.sort_by_key(|(j, _)| (j.ready, j.seq));
         let fleet: i64 = self.machines.values().map(|m| m.capacity.cpu).sum();
-        let mut left = (fleet as f64 * AHEAD) as i64;
+        let mut left = (fleet as f64 * MAX_OVERTAKEN_SHARE) as i64;
         let mut first = BTreeSet::new();
         for (j, n) in late {
-            if by_itself(j) {
+            if is_placed_individually(j) {
                 first.insert(j.id().clone());
                 left -= j.need.cpu * j.pending() as i64;
             } else {
-                let lifted = self.books.lifted.entry(j.id().clone()).or_default();
+                let lifted = self.books.boosted.entry(j.id().clone()).or_default();
                 *lifted = n.max(*lifted);
                 left -= j.need.cpu * n;
             }
@@ -261,22 +261,24 @@
                 break;
             }
         }
-        self.books.first = first;
+        self.books.starved = first;
     }
 
     /// Room for the classes and teams below the floor, job by job.
-    fn set_room_aside(&mut self) {
-        let floor = self.books.floor;
-        let (classes, teams) = &self.books.figures;
-        let mut classes: BTreeMap<Class, i64> = below(classes, &self.books.low.0, &floor);
-        let mut teams: BTreeMap<Team, i64> = below(teams, &self.books.low.1, &floor);
-        self.books.low.0 = classes.keys().cloned().collect();
-        self.books.low.1 = teams.keys().cloned().collect();
-        self.books.lifted.clear();
+    fn boost_below_minimum(&mut self) {
+        let floor = self.books.policy;
+        let (classes, teams) = &self.books.metrics;
+        let mut classes: BTreeMap<Class, i64> =
+            groups_below_minimum(classes, &self.books.below_minimum.0, &floor);
+        let mut teams: BTreeMap<Team, i64> =
+            groups_below_minimum(teams, &self.books.below_minimum.1, &floor);
+        self.books.below_minimum.0 = classes.keys().cloned().collect();
+        self.books.below_minimum.1 = teams.keys().cloned().collect();
+        self.books.boosted.clear();
         if classes.is_empty() && teams.is_empty() {
             return;
         }
-        let mut fleet = Room::default();
+        let mut fleet = Resources::default();
         for m in self.machines.values() {
             fleet += m.capacity;
         }
@@ -298,9 +300,10 @@
         let mut classes = floor.budgets(part(c, t), &classes);
         let mut teams = floor.budgets(part(t, c), &teams);
         // Those that have waited for longest first.
-        let waits = |j: &&Job| j.pending() > 0 && !by_itself(j) && !j.fails_everywhere();
+        let waits =
+            |j: &&Job| j.pending() > 0 && !is_placed_individually(j) && !j.fails_everywhere();
         let mut waiting: Vec<&Job> = self.jobs.values().filter(waits).collect();
-        waiting.sort_by_key(|j| (waits_since(j), j.seq));
+        waiting.sort_by_key(|j| (waiting_for_start_since(j), j.seq));
         let mut lifted = BTreeMap::new();
         for j in waiting {
             let class = classes.get_mut(&j.spec.class).filter(|n| **n > 0);
@@ -314,19 +317,19 @@
             *left -= tasks * need;
             lifted.insert(j.id().clone(), tasks);
         }
-        self.books.lifted = lifted;
+        self.books.boosted = lifted;
     }
 
     /// CPUs that a team's attempts take, all that are not proven gone.
-    pub fn team_use(&self, t: &Team) -> f64 {
+    pub fn team_cpus_used(&self, t: &Team) -> f64 {
         let used = self.teams.used(t).unwrap_or_default();
         used.cpu as f64 / 1000.0
     }
 
     /// One line for whoever reads the log.
-    pub(super) fn tell_shares(&self) {
-        let line = |all: BTreeMap<String, Figures>| {
-            let one = |(k, f): (String, Figures)| {
+    pub(super) fn log_fairness(&self) {
+        let line = |all: BTreeMap<String, GroupMetrics>| {
+            let one = |(k, f): (String, GroupMetrics)| {
                 let (r, w) = (f.recent, f.waiting_jobs);
                 let (oldest, share) = (f.oldest_wait_s, f.share);
                 format!(
@@ -337,9 +340,9 @@
             let all: Vec<String> = all.into_iter().map(one).collect();
             all.join("; ")
         };
-        let v = self.books.view();
-        let below = self.books.lifted().count();
-        let one = |(k, f): (&String, &LargestFigures)| {
+        let v = self.books.overview();
+        let below = self.books.boosted_jobs().count();
+        let one = |(k, f): (&String, &LargestJobsMetrics)| {
             let (from, begun, waiting) = (f.tasks_from, f.begun, f.waiting);
             let (longest, oldest) = (f.longest_s, f.oldest_s);
             format!(
@@ -352,13 +355,13 @@
 }
 
 /// Groups below the floor; what they use is yet to be added up.
-fn below<K: Ord + Clone>(
-    all: &BTreeMap<K, Figures>,
+fn groups_below_minimum<K: Ord + Clone>(
+    all: &BTreeMap<K, GroupMetrics>,
     were: &BTreeSet<K>,
-    floor: &Floor,
+    floor: &FairnessPolicy,
 ) -> BTreeMap<K, i64> {
     let low = all
         .iter()
-        .filter(|(k, f)| floor.is_below(were.contains(k), f));
+        .filter(|(k, f)| floor.is_below_minimum(were.contains(k), f));
     low.map(|(k, _)| (k.clone(), 0)).collect()
 }
--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -4,7 +4,7 @@
 
 use super::job::Phase;
 use super::machine::{Life, Machine};
-use super::place::allowed;
+use super::place::may_run_on;
 use super::{Effect, Sched};
 use crate::ids::{Build, Epoch, Host, JobId, Label, TaskId, Zone};
 use crate::time::{Span, Time};
@@ -19,7 +19,7 @@
 /// matter of the network.
 const UNREACHABLE_RETURN_INTERVAL: Span = Span(2_000_000);
 /// A worker whose controller has lost the leader reports elsewhere after so long.
-const REROUTE_TIME: Span = Span(8_000_000);
+const REROUTE_TIMEOUT: Span = Span(8_000_000);
 /// Errors in a row that quarantine a machine.
 const MAX_ERRORS_IN_A_ROW: u32 = 2;
 /// A machine whose task failed gets no new one for so long.
@@ -31,7 +31,7 @@
 const ERRORS_PER_DOUBLING: u32 = 3;
 const MAX_DOUBLINGS: u32 = 3;
 /// A machine that was to be taken and has been silent for so long has been taken.
-const TAKEN_AFTER_SILENCE: Span = Span(4_500_000);
+const RECLAIMED_AFTER_SILENCE: Span = Span(4_500_000);
 /// A machine of an unknown type boots for so long.
 const DEFAULT_BOOT_S: f64 = 60.0;
 /// Machines returned in one request.
@@ -67,16 +67,16 @@
 
 /// Tasks of a job that found no room.
 #[derive(Clone, Debug)]
-pub struct Short {
+pub struct Shortage {
     pub job: JobId,
     pub tasks: i64,
     /// The only zone in which room is of use.
     pub zone: Option<Zone>,
 }
 
-impl Short {
-    pub fn anywhere(job: &JobId, tasks: i64) -> Short {
-        Short {
+impl Shortage {
+    pub fn anywhere(job: &JobId, tasks: i64) -> Shortage {
+        Shortage {
             job: job.clone(),
             tasks,
             zone: None,
@@ -85,30 +85,30 @@
 }
 
 /// A rental request that has no final answer yet.
-struct RentalRequest {
+struct PendingRental {
     hire: Hire,
     /// When to send it again; none while it is under way.
-    repeat_at: Option<Time>,
-    repeats: u32,
+    retry_at: Option<Time>,
+    retries: u32,
 }
 
 /// What is known of the fleet besides its machines.
 pub struct Fleet {
     epoch: Epoch,
-    counter: u64,
+    last_request_number: u64,
     /// Jobs with tasks that found no room though their team may run them.
-    pub short: Vec<Short>,
+    pub shortages: Vec<Shortage>,
     /// Rental requests by name.
-    requests: BTreeMap<String, RentalRequest>,
+    requests: BTreeMap<String, PendingRental>,
     /// When each kind of machine was last refused.
     refused: HashMap<MachineKind, Time>,
     /// Machines that were returned for certain.
-    gone: HashSet<Host>,
+    returned: HashSet<Host>,
     /// When other controllers were last found out of reach.
-    pub out_of_reach: HashMap<Label, Time>,
+    pub unreachable_controllers: HashMap<Label, Time>,
     /// The sequence number of the first job that came in this term; those before it
     /// were loaded.
-    pub first_own: u64,
+    pub first_submitted_seq: u64,
     /// The next unreachable machine may be returned then.
     return_unreachable_at: Time,
 }
@@ -117,40 +117,42 @@
     pub fn new(epoch: Epoch) -> Fleet {
         Fleet {
             epoch,
-            counter: 0,
-            short: vec![],
+            last_request_number: 0,
+            shortages: vec![],
             requests: BTreeMap::new(),
             refused: HashMap::new(),
-            gone: HashSet::new(),
-            out_of_reach: HashMap::new(),
-            first_own: 0,
+            returned: HashSet::new(),
+            unreachable_controllers: HashMap::new(),
+            first_submitted_seq: 0,
             return_unreachable_at: Time::default(),
         }
     }
 
     /// Heartbeats by way of that controller may not have come through.
-    fn cut_off(&self, now: Time, via: &Option<Label>) -> bool {
-        let since = via.as_ref().and_then(|label| self.out_of_reach.get(label));
-        since.is_some_and(|since| now - *since < REROUTE_TIME)
+    fn route_may_be_lost(&self, now: Time, via: &Option<Label>) -> bool {
+        let since = via
+            .as_ref()
+            .and_then(|label| self.unreachable_controllers.get(label));
+        since.is_some_and(|since| now - *since < REROUTE_TIMEOUT)
     }
 
     /// Returned for certain: whatever still arrives from there is late.
-    pub fn is_gone(&self, host: &Host) -> bool {
-        self.gone.contains(host)
+    pub fn is_returned(&self, host: &Host) -> bool {
+        self.returned.contains(host)
     }
 
     /// Rental requests without an answer yet.
-    pub fn under_way(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         self.requests.len()
     }
 
     /// Some kind of machine was not refused lately, or is on its way.
     pub fn can_rent(&self, now: Time) -> bool {
         let mut refused = self.refused.keys();
-        !self.requests.is_empty() || refused.all(|kind| !self.refused_lately(now, kind))
+        !self.requests.is_empty() || refused.all(|kind| !self.recently_refused(now, kind))
     }
 
-    fn refused_lately(&self, now: Time, kind: &MachineKind) -> bool {
+    fn recently_refused(&self, now: Time, kind: &MachineKind) -> bool {
         let refused = self.refused.get(kind);
         refused.is_some_and(|at| now - *at <= rent::REFUSED_KIND_BACKOFF)
     }
@@ -161,19 +163,19 @@
     /// Machines that are silent for longer have failed, as far as can be told.
     limit: Span,
     /// The same for those whose controller may not reach this one.
-    limit_cut_off: Span,
+    limit_route_lost: Span,
     /// What was not heard while this process was suspended is no silence of theirs.
-    awake: Time,
+    resumed_at: Time,
     /// This leader has been there for long enough to have heard all machines.
     settled: bool,
     /// It is long and of few enough machines to be no fault on our side.
-    is_theirs: bool,
+    is_machine_fault: bool,
 }
 
 impl Silence {
     fn limit_for(&self, cut_off: bool) -> Span {
         if cut_off {
-            self.limit_cut_off
+            self.limit_route_lost
         } else {
             self.limit
         }
@@ -181,7 +183,7 @@
 }
 
 /// A machine that has not come up by then will not.
-pub(super) fn late_boot(boot_s: f64) -> Span {
+pub(super) fn boot_timeout(boot_s: f64) -> Span {
     Span::secs(boot_s * 2.5 + 10.0)
 }
 
@@ -198,18 +200,18 @@
     }
 
     /// A page of the cloud's list of machines.
-    pub(super) fn listed(&mut self, now: Time, list: Vec<Listed>) {
+    pub(super) fn machines_listed(&mut self, now: Time, list: Vec<Listed>) {
         let mut unexpected = 0;
         let mut unreported = vec![];
         for listed in list {
-            if self.fleet.is_gone(&listed.host) {
+            if self.fleet.is_returned(&listed.host) {
                 continue;
             }
             if !self.machines.contains_key(&listed.host) {
                 unexpected += 1;
                 self.add_unexpected(now, &listed);
             }
-            if self.take_listed(now, &listed) {
+            if self.update_listed(now, &listed) {
                 unreported.push(listed.host);
             }
         }
@@ -225,12 +227,12 @@
         let rented = Time(now.0.saturating_sub(Span::secs(listed.age_s).0));
         let (host, build, zone) = (&listed.host, listed.build.clone(), listed.zone.clone());
         let mut machine = Machine::new(host.clone(), build, zone, listed.spot, rented, token);
-        machine.answered = self.maybe_renewed(now);
+        machine.answered = self.latest_lease_renewal(now);
         self.machines.insert(host.clone(), machine);
     }
 
     /// True if the machine runs and has not reported yet.
-    fn take_listed(&mut self, now: Time, listed: &Listed) -> bool {
+    fn update_listed(&mut self, now: Time, listed: &Listed) -> bool {
         let Some(machine) = self.machines.get_mut(&listed.host) else {
             return false;
         };
@@ -257,7 +259,7 @@
 
     /// Until when the lease of a worker that we have just met may have been
     /// renewed: an earlier leader may go on for a while after our beginning.
-    pub(super) fn maybe_renewed(&self, now: Time) -> Time {
+    pub(super) fn latest_lease_renewal(&self, now: Time) -> Time {
         now.max(self.began + self.cfg.report_grace())
     }
 
@@ -275,7 +277,7 @@
             match machine.life {
                 Life::Booting => {
                     let boot_s = self.flavors.get(&machine.build).map(|f| f.boot_s);
-                    let limit = late_boot(boot_s.unwrap_or(DEFAULT_BOOT_S));
+                    let limit = boot_timeout(boot_s.unwrap_or(DEFAULT_BOOT_S));
                     // A new leader has not heard from those that are up.
                     if now - machine.hired > limit && !zone_kept && silence.settled {
                         tracing::info!(host = %machine.host, "never came up, released");
@@ -286,11 +288,12 @@
                     machine.end_quarantine(now);
                     // One that comes back has as long as any other to report.
                     let returned = self.watch.zones.returned(&machine.zone);
-                    let heard = machine.heard.max(returned).max(silence.awake);
-                    let cut_off = self.fleet.cut_off(now, &machine.via);
-                    let silent = now - heard > silence.limit_for(cut_off) && silence.is_theirs;
+                    let heard = machine.heard.max(returned).max(silence.resumed_at);
+                    let cut_off = self.fleet.route_may_be_lost(now, &machine.via);
+                    let silent =
+                        now - heard > silence.limit_for(cut_off) && silence.is_machine_fault;
                     let taken = machine.notice_until.is_some_and(|until| now > until)
-                        && now - heard > TAKEN_AFTER_SILENCE;
+                        && now - heard > RECLAIMED_AFTER_SILENCE;
                     if (silent && !zone_kept) || taken {
                         tracing::info!(host = %machine.host, tasks = machine.slots.len(), "silent, released");
                         machine.life = Life::Leaving { next: now };
@@ -306,7 +309,7 @@
             }
         }
         for host in expired {
-            self.lease_over(now, &host);
+            self.worker_lease_expired(now, &host);
         }
         for task in evicted {
             self.evict(now, &task);
@@ -332,15 +335,15 @@
         let settled = now - self.began.max(awake) > limit;
         Silence {
             limit,
-            limit_cut_off: limit.max(Span::secs(workers.lease_s)),
-            awake,
+            limit_route_lost: limit.max(Span::secs(workers.lease_s)),
+            resumed_at: awake,
             settled,
-            is_theirs: settled && !is_ours,
+            is_machine_fault: settled && !is_ours,
         }
     }
 
     /// The worker's lease has expired by any clock, so its tasks are gone.
-    fn lease_over(&mut self, now: Time, host: &Host) {
+    fn worker_lease_expired(&mut self, now: Time, host: &Host) {
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
@@ -397,7 +400,7 @@
     }
 
     /// A task ended with an error: the machine's fault, or the job's?
-    pub(super) fn failed(&mut self, now: Time, host: &Host, task: &TaskId) {
+    pub(super) fn task_failed(&mut self, now: Time, host: &Host, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -405,7 +408,7 @@
         job.error_hosts.insert(host.clone());
         let works_elsewhere = job.done_count > 0;
         if job.fails_everywhere() {
-            return self.fails_everywhere(now, &task.job);
+            return self.job_fails_everywhere(now, &task.job);
         }
         let Some(machine) = self.machines.get_mut(host) else {
             return;
@@ -423,7 +426,7 @@
     }
 
     /// The job fails on all machines, so that they are not to blame.
-    fn fails_everywhere(&mut self, now: Time, id: &JobId) {
+    fn job_fails_everywhere(&mut self, now: Time, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -442,7 +445,7 @@
     /// Scale in: returns machines that idle or can't be used.
     fn return_idle(&mut self, now: Time) {
         let keep = self.headroom(now);
-        let mut free = self.free_room(now);
+        let mut free = self.free_capacity(now);
         let is_idle = |machine: &&Machine| {
             let up = machine.life == Life::Up && machine.reported;
             up && !machine.shut && machine.slots.is_empty()
@@ -470,7 +473,7 @@
                 let mut rest = free;
                 rest.take(&machine.capacity, spot);
                 let kept = !rest.all.covers(&keep.all) || !spot && !rest.plain.covers(&keep.plain);
-                if kept || !self.idles_for_long(now, machine) || self.is_wanted(machine) {
+                if kept || !self.idle_timeout_expired(now, machine) || self.is_wanted(machine) {
                     continue;
                 }
                 free = rest;
@@ -482,7 +485,7 @@
         }
     }
 
-    fn idles_for_long(&self, now: Time, machine: &Machine) -> bool {
+    fn idle_timeout_expired(&self, now: Time, machine: &Machine) -> bool {
         let tuning = &self.cfg.tuning;
         let limit_s = if machine.spot {
             tuning.idle_spot_s
@@ -494,10 +497,10 @@
 
     /// Some job without room could use the machine.
     fn is_wanted(&self, machine: &Machine) -> bool {
-        self.fleet.short.iter().any(|short| {
+        self.fleet.shortages.iter().any(|short| {
             let job = self.jobs.get(&short.job);
             let zone = short.zone.as_ref();
-            job.is_some_and(|job| allowed(&job.spec, machine))
+            job.is_some_and(|job| may_run_on(&job.spec, machine))
                 && zone.is_none_or(|zone| *zone == machine.zone)
         })
     }
@@ -521,7 +524,7 @@
 
     /// The cloud's answer to a return; `ok`: the machines are gone for certain, and with
     /// them what ran there.
-    pub(super) fn released(&mut self, now: Time, hosts: Vec<Host>, ok: bool) {
+    pub(super) fn machines_returned(&mut self, now: Time, hosts: Vec<Host>, ok: bool) {
         if !ok {
             return;
         }
@@ -539,7 +542,7 @@
             }
             self.watch.given_back(&zone);
             self.machines.remove(&host);
-            self.fleet.gone.insert(host);
+            self.fleet.returned.insert(host);
         }
     }
 }
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -1,11 +1,11 @@
 //! Scale out: what is rented, of which kind and where; and what becomes of requests.
 
-use super::{MachineKind, RentalRequest};
+use super::{MachineKind, PendingRental};
 use crate::ids::{Build, Host, Team, Zone};
 use crate::sched::allowed_zones::AllowedZones;
 use crate::sched::job::Job;
 use crate::sched::machine::{Life, Machine};
-use crate::sched::{Effect, HireResult, Room, Sched};
+use crate::sched::{Effect, HireResult, Resources, Sched};
 use crate::time::{Span, Time};
 use crate::wire::cloud::{Flavor, Hire};
 use std::collections::BTreeMap;
@@ -15,35 +15,35 @@
 /// The most machines in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 /// For less than this part of a machine none is rented.
-const MIN_PART_OF_A_MACHINE: f64 = 0.2;
+const MIN_MACHINE_SHARE: f64 = 0.2;
 /// A request without an answer is repeated after a second, then after one more each
 /// time, up to this.
 const MAX_RETRY_DELAY_S: u32 = 5;
 
 /// Resources that are on their way, in machines of a kind.
 #[derive(Default)]
-struct Coming {
+struct ExpectedCapacity {
     /// All of them.
-    room: f64,
+    machines: f64,
     /// Those of machines that will be empty.
-    whole: f64,
+    empty_machines: f64,
 }
 
-impl Coming {
+impl ExpectedCapacity {
     /// Sets resources aside for so many tasks; answers for how many there are some.
-    fn serve(&mut self, tasks: f64, tasks_per_machine: f64) -> f64 {
+    fn reserve(&mut self, tasks: f64, tasks_per_machine: f64) -> f64 {
         if tasks_per_machine <= 0.0 {
             return 0.0;
         }
         // What takes a machine to itself has no use for a corner of one.
         let available = if tasks_per_machine <= 1.0 {
-            self.whole.min(self.room)
+            self.empty_machines.min(self.machines)
         } else {
-            self.room
+            self.machines
         };
         let machines = available.min(tasks / tasks_per_machine).max(0.0);
-        self.room -= machines;
-        self.whole = (self.whole - machines).max(0.0);
+        self.machines -= machines;
+        self.empty_machines = (self.empty_machines - machines).max(0.0);
         machines * tasks_per_machine
     }
 }
@@ -66,8 +66,8 @@
     /// Repeats the rental requests that had no answer, when they are due.
     pub(super) fn repeat_rental_requests(&mut self, now: Time) {
         for request in self.fleet.requests.values_mut() {
-            if request.repeat_at.is_some_and(|at| now >= at) {
-                request.repeat_at = None;
+            if request.retry_at.is_some_and(|at| now >= at) {
+                request.retry_at = None;
                 self.out.push(Effect::Hire(request.hire.clone()));
             }
         }
@@ -77,16 +77,16 @@
     pub(super) fn rent(&mut self, now: Time) {
         // One request at a time; its answer says what is left.
         let mut requests = self.fleet.requests.values();
-        if requests.any(|request| request.repeat_at.is_none()) {
+        if requests.any(|request| request.retry_at.is_none()) {
             return;
         }
-        let mut coming = self.coming(now);
+        let mut coming = self.expected_capacity(now);
         let mut wanted = self.wanted_for_jobs(now, &mut coming);
         if wanted.is_empty() {
             wanted.extend(self.wanted_for_headroom(now, &mut coming));
         }
         for (kind, machines) in wanted {
-            if machines >= MIN_PART_OF_A_MACHINE {
+            if machines >= MIN_MACHINE_SHARE {
                 self.request_machines(now, kind, machines);
             }
         }
@@ -96,23 +96,25 @@
     fn wanted_for_jobs(
         &self,
         now: Time,
-        coming: &mut BTreeMap<MachineKind, Coming>,
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> BTreeMap<MachineKind, f64> {
         let machines = self.machines_by_zone();
         let plain_wanted = self.jobs.values().any(|job| !job.spec.spot);
-        let mut left: BTreeMap<&Team, Room> = BTreeMap::new();
+        let mut left: BTreeMap<&Team, Resources> = BTreeMap::new();
         let mut wanted = BTreeMap::new();
         for (demand, tasks) in self.demands() {
             let job = demand.job;
             let team = &job.spec.team;
-            let left = left.entry(team).or_insert_with(|| self.teams.left(team));
-            let tasks = tasks.min(left.times(&job.need));
+            let left = left
+                .entry(team)
+                .or_insert_with(|| self.teams.remaining(team));
+            let tasks = tasks.min(left.tasks_that_fit(&job.need));
             if tasks <= 0 {
                 continue;
             }
             *left -= job.need.scaled(tasks);
-            let lacking = self.take_from_coming(now, demand, tasks, plain_wanted, coming);
-            if lacking <= 0.0 || self.rented_before(now, job) {
+            let lacking = self.reserve_expected(now, demand, tasks, plain_wanted, coming);
+            if lacking <= 0.0 || self.may_be_rented_already(now, job) {
                 continue;
             }
             let kinds = self.kinds_for(now, &job.need, Some(demand), &machines);
@@ -130,7 +132,7 @@
     /// machines, and they would be rented again and again.
     fn demands(&self) -> Vec<(Demand<'_>, i64)> {
         let mut demands = vec![];
-        for short in &self.fleet.short {
+        for short in &self.fleet.shortages {
             if let Some(job) = self.jobs.get(&short.job) {
                 let zone = short.zone.as_ref();
                 demands.push((Demand { job, zone }, short.tasks));
@@ -142,13 +144,13 @@
 
     /// Sets resources that are coming aside for so many tasks of a job; answers how many
     /// lack some.
-    fn take_from_coming(
+    fn reserve_expected(
         &self,
         now: Time,
         demand: Demand,
         tasks: i64,
         plain_wanted: bool,
-        coming: &mut BTreeMap<MachineKind, Coming>,
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> f64 {
         let job = demand.job;
         // Work for spot machines does not count on plain ones if it can rent others.
@@ -157,7 +159,7 @@
         let mut lacking = tasks as f64;
         for (kind, coming) in coming.iter_mut() {
             if lacking > 0.0 && (kind.spot || !only_spot) && suits(demand, &allowed, kind) {
-                lacking -= coming.serve(lacking, self.tasks_per_machine(kind, &job.need));
+                lacking -= coming.reserve(lacking, self.tasks_per_machine(kind, &job.need));
             }
         }
         lacking
@@ -167,12 +169,12 @@
     fn wanted_for_headroom(
         &self,
         now: Time,
-        coming: &mut BTreeMap<MachineKind, Coming>,
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> Option<(MachineKind, f64)> {
-        let (kind, mut machines) = self.headroom_short(now)?;
+        let (kind, mut machines) = self.missing_headroom(now)?;
         for (coming_kind, coming) in coming.iter_mut() {
             if kind.spot || !coming_kind.spot {
-                machines -= coming.serve(machines, 1.0);
+                machines -= coming.reserve(machines, 1.0);
             }
         }
         Some((kind, machines))
@@ -183,8 +185,8 @@
         let open = self.watch.open(now, &kind.zone);
         let max = (MAX_MACHINES_PER_REQUEST as f64 * open).ceil() as u32;
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
-        self.fleet.counter += 1;
-        let name = format!("hw-{}-{}", self.fleet.epoch, self.fleet.counter);
+        self.fleet.last_request_number += 1;
+        let name = format!("hw-{}-{}", self.fleet.epoch, self.fleet.last_request_number);
         let hire = Hire {
             name: name.clone(),
             build: kind.build,
@@ -195,10 +197,10 @@
         tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
             spot = hire.spot, count, "renting");
         self.out.push(Effect::Hire(hire.clone()));
-        let request = RentalRequest {
+        let request = PendingRental {
             hire,
-            repeat_at: None,
-            repeats: 0,
+            retry_at: None,
+            retries: 0,
         };
         self.fleet.requests.insert(name, request);
     }
@@ -206,59 +208,62 @@
     /// An earlier leader may have rented for the job what no list shows yet. Until lists
     /// show all that was rented before this leadership, only jobs that came in since are
     /// rented for.
-    fn rented_before(&self, now: Time, job: &Job) -> bool {
-        job.seq < self.fleet.first_own && now < self.began + self.cfg.oldest_list
+    fn may_be_rented_already(&self, now: Time, job: &Job) -> bool {
+        job.seq < self.fleet.first_submitted_seq && now < self.began + self.cfg.oldest_list
     }
 
     /// What is on its way, by kind: machines that boot or are asked for, and
     /// resources that running tasks leave before a machine rented now would be up.
-    fn coming(&self, now: Time) -> BTreeMap<MachineKind, Coming> {
-        let mut all: BTreeMap<MachineKind, Coming> = BTreeMap::new();
+    fn expected_capacity(&self, now: Time) -> BTreeMap<MachineKind, ExpectedCapacity> {
+        let mut all: BTreeMap<MachineKind, ExpectedCapacity> = BTreeMap::new();
         for request in self.fleet.requests.values() {
             let hire = &request.hire;
             if self.watch.silent(&hire.zone) {
                 continue;
             }
             let coming = all.entry(MachineKind::of_request(hire)).or_default();
-            coming.room += hire.count as f64;
-            coming.whole += hire.count as f64;
+            coming.machines += hire.count as f64;
+            coming.empty_machines += hire.count as f64;
         }
         for machine in self.machines.values() {
             // Nothing can be counted on in a zone that is silent.
             if self.watch.silent(&machine.zone) {
                 continue;
             }
-            let of_machine = self.coming_of(now, machine);
-            if of_machine.room > 0.0 {
+            let of_machine = self.expected_on_machine(now, machine);
+            if of_machine.machines > 0.0 {
                 let coming = all.entry(MachineKind::of_machine(machine)).or_default();
-                coming.room += of_machine.room;
-                coming.whole += of_machine.whole;
+                coming.machines += of_machine.machines;
+                coming.empty_machines += of_machine.empty_machines;
             }
         }
         all
     }
 
-    fn coming_of(&self, now: Time, machine: &Machine) -> Coming {
+    fn expected_on_machine(&self, now: Time, machine: &Machine) -> ExpectedCapacity {
         match machine.life {
-            Life::Booting => Coming {
-                room: 1.0,
-                whole: 1.0,
+            Life::Booting => ExpectedCapacity {
+                machines: 1.0,
+                empty_machines: 1.0,
             },
-            Life::Up if machine.shut => Coming {
-                room: machine.free().at_least_zero().share_of(&machine.capacity),
-                whole: machine.slots.is_empty() as u8 as f64,
+            Life::Up if machine.shut => ExpectedCapacity {
+                machines: machine
+                    .free()
+                    .at_least_zero()
+                    .dominant_share_of(&machine.capacity),
+                empty_machines: machine.slots.is_empty() as u8 as f64,
             },
             Life::Up if machine.notice_until.is_none() && machine.capacity.cpu > 0 => {
                 self.freed_soon(now, machine)
             }
-            Life::Up | Life::Leaving { .. } => Coming::default(),
+            Life::Up | Life::Leaving { .. } => ExpectedCapacity::default(),
         }
     }
 
     /// What the tasks of a machine leave before one rented now would be up.
-    fn freed_soon(&self, now: Time, machine: &Machine) -> Coming {
+    fn freed_soon(&self, now: Time, machine: &Machine) -> ExpectedCapacity {
         let soon = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
-        let mut freed = Room::default();
+        let mut freed = Resources::default();
         let mut staying = 0;
         for slot in machine.slots.values() {
             if slot.ends_within(now, soon) {
@@ -268,9 +273,9 @@
             }
         }
         let empties = staying == 0 && !machine.slots.is_empty();
-        Coming {
-            room: freed.share_of(&machine.capacity),
-            whole: empties as u8 as f64,
+        ExpectedCapacity {
+            machines: freed.dominant_share_of(&machine.capacity),
+            empty_machines: empties as u8 as f64,
         }
     }
 
@@ -279,7 +284,7 @@
     fn kinds_for(
         &self,
         now: Time,
-        need: &Room,
+        need: &Resources,
         demand: Option<Demand>,
         machines: &BTreeMap<Zone, usize>,
     ) -> Vec<PricedKind> {
@@ -290,7 +295,7 @@
         };
         let mut kinds = vec![];
         for flavor in self.flavors.values() {
-            let tasks = Room::of_flavor(flavor).times(need);
+            let tasks = Resources::of_machine_type(flavor).tasks_that_fit(need);
             if tasks == 0 {
                 continue;
             }
@@ -328,7 +333,7 @@
                     zone: zone.clone(),
                     spot,
                 };
-                if !self.fleet.refused_lately(now, &kind) {
+                if !self.fleet.recently_refused(now, &kind) {
                     offers.push((kind, price));
                 }
             }
@@ -349,9 +354,11 @@
         self.flavors.get(build).map_or(0.0, |flavor| flavor.boot_s)
     }
 
-    fn tasks_per_machine(&self, kind: &MachineKind, need: &Room) -> f64 {
+    fn tasks_per_machine(&self, kind: &MachineKind, need: &Resources) -> f64 {
         let flavor = self.flavors.get(&kind.build);
-        flavor.map_or(0.0, |flavor| Room::of_flavor(flavor).times(need) as f64)
+        flavor.map_or(0.0, |flavor| {
+            Resources::of_machine_type(flavor).tasks_that_fit(need) as f64
+        })
     }
 
     /// Machines for the job were not refused lately in that zone.
@@ -370,14 +377,14 @@
 
     /// A machine to rent when less is free than is to be kept free, and how much of it
     /// is lacking.
-    fn headroom_short(&self, now: Time) -> Option<(MachineKind, f64)> {
+    fn missing_headroom(&self, now: Time) -> Option<(MachineKind, f64)> {
         let keep = self.headroom(now);
-        let free = self.free_room(now);
+        let free = self.free_capacity(now);
         let plain = !free.plain.covers(&keep.plain);
         if !plain && free.all.covers(&keep.all) {
             return None;
         }
-        let least_task = Room {
+        let least_task = Resources {
             cpu: 1000,
             gpu: 0,
             mem: 1000,
@@ -385,17 +392,17 @@
         let kinds = self.kinds_for(now, &least_task, None, &self.machines_by_zone());
         let mut kinds = kinds.into_iter().map(|priced| priced.kind);
         let kind = kinds.find(|kind| !plain || !kind.spot)?;
-        let whole = Room::of_flavor(self.flavors.get(&kind.build)?);
+        let whole = Resources::of_machine_type(self.flavors.get(&kind.build)?);
         let lacking = if plain {
             keep.plain.minus(&free.plain)
         } else {
             keep.all.minus(&free.all)
         };
-        Some((kind, lacking.at_least_zero().share_of(&whole)))
+        Some((kind, lacking.at_least_zero().dominant_share_of(&whole)))
     }
 
     /// The cloud's answer to a rental request.
-    pub(in crate::sched) fn hired(&mut self, now: Time, hire: Hire, result: HireResult) {
+    pub(in crate::sched) fn rental_answered(&mut self, now: Time, hire: Hire, result: HireResult) {
         let kind = MachineKind::of_request(&hire);
         match result {
             HireResult::Ok(hosts) => {
@@ -406,7 +413,7 @@
                 }
                 tracing::info!(request = %hire.name, got = rented, "rented");
                 for host in hosts {
-                    if !self.fleet.is_gone(&host) {
+                    if !self.fleet.is_returned(&host) {
                         self.add_rented(now, host, &hire);
                     }
                 }
@@ -429,9 +436,9 @@
             }
             HireResult::Busy | HireResult::Unclear => {
                 if let Some(request) = self.fleet.requests.get_mut(&hire.name) {
-                    request.repeats += 1;
-                    let delay_s = request.repeats.min(MAX_RETRY_DELAY_S);
-                    request.repeat_at = Some(now + Span::secs(delay_s as f64));
+                    request.retries += 1;
+                    let delay_s = request.retries.min(MAX_RETRY_DELAY_S);
+                    request.retry_at = Some(now + Span::secs(delay_s as f64));
                 }
             }
         }
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -2,11 +2,11 @@
 //! number serves all, and they end together.
 
 use super::Sched;
-use super::fleet::Short;
+use super::fleet::Shortage;
 use super::job::{Job, Live, Phase};
 use super::machine::{ENDLESS, Life, Machine};
 use super::order::Order;
-use super::place::{Candidate, Score, View, allowed};
+use super::place::{Candidate, JobView, Score, may_run_on};
 use crate::ids::{Attempt, Host, JobId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::Kind;
@@ -38,9 +38,9 @@
 }
 
 /// Machines for the whole gang.
-struct Places {
+struct GangMachines {
     /// Tasks whose image is fetched for longer than an aim allows.
-    late: i64,
+    late_images: i64,
     hosts: Vec<Host>,
 }
 
@@ -53,10 +53,15 @@
         id: &JobId,
         held: &mut BTreeSet<Host>,
         order: &Order,
-    ) -> Option<Short> {
+    ) -> Option<Shortage> {
         let job = self.jobs.get(id)?;
         let pending = job.pending() as i64;
-        if self.teams.left(&job.spec.team).times(&job.need) < pending {
+        if self
+            .teams
+            .remaining(&job.spec.team)
+            .tasks_that_fit(&job.need)
+            < pending
+        {
             return None;
         }
         if let Some(live) = job.live.values().next() {
@@ -66,7 +71,7 @@
             }
             return self.replace_members(now, id, pending, attempt, held, order);
         }
-        if let Some(hosts) = self.room_for_all(now, id, held, order) {
+        if let Some(hosts) = self.machines_for_all(now, id, held, order) {
             self.start_gang(now, id, hosts);
             return None;
         }
@@ -77,7 +82,7 @@
             // Of gangs that could wait for ever only one keeps machines idle.
             held.extend(target.held);
         }
-        Some(Short {
+        Some(Shortage {
             job: id.clone(),
             tasks: target.lacks,
             zone: target.zone,
@@ -93,10 +98,10 @@
         attempt: Attempt,
         held: &BTreeSet<Host>,
         order: &Order,
-    ) -> Option<Short> {
+    ) -> Option<Shortage> {
         for left in (1..=pending).rev() {
             let Some(host) = self.choose(now, id, held, order) else {
-                return Some(Short::anywhere(id, left));
+                return Some(Shortage::anywhere(id, left));
             };
             self.start(now, id, &host, Some(attempt));
         }
@@ -115,7 +120,7 @@
     }
 
     /// Machines for every task, the best first; or none at all.
-    fn room_for_all(
+    fn machines_for_all(
         &self,
         now: Time,
         id: &JobId,
@@ -132,7 +137,7 @@
         let fills = zones
             .into_iter()
             .filter_map(|zone| fill(job, &suitable, Some(zone)));
-        let best = fills.min_by_key(|places| places.late);
+        let best = fills.min_by_key(|places| places.late_images);
         best.map(|places| places.hosts)
     }
 
@@ -144,15 +149,15 @@
         held: &BTreeSet<Host>,
         order: &Order,
     ) -> Vec<(Score, &Machine)> {
-        let fresh = self.heard_within();
-        let view = View::of(self, now, job, order, false);
+        let fresh = self.max_heartbeat_age();
+        let view = JobView::of(self, now, job, order, false);
         let mut suitable = vec![];
         for machine in self.machines.values().filter(|m| m.open(now, fresh)) {
             let candidate = Candidate {
-                m: machine,
+                machine,
                 free: machine.free(),
-                span: machine.remaining(now),
-                kept: held.contains(&machine.host),
+                remaining: machine.remaining(now),
+                reserved: held.contains(&machine.host),
             };
             if let Some(score) = view.score(&candidate) {
                 suitable.push((score, machine));
@@ -187,10 +192,11 @@
         held: &BTreeSet<Host>,
     ) -> BTreeMap<&'a Zone, Vec<SoonFree<'a>>> {
         let mut zones: BTreeMap<&Zone, Vec<SoonFree>> = BTreeMap::new();
-        let overdue = job.overdue(now);
+        let overdue = job.waited_too_long(now);
         for machine in self.machines.values() {
-            let kept = held.contains(&machine.host) && !(overdue && machine.kept_long(now));
-            if !allowed(&job.spec, machine) || kept || self.watch.silent(&machine.zone) {
+            let kept =
+                held.contains(&machine.host) && !(overdue && machine.reservation_expired(now));
+            if !may_run_on(&job.spec, machine) || kept || self.watch.silent(&machine.zone) {
                 continue;
             }
             if let Some(soon_free) = self.soon_free(now, job, machine) {
@@ -207,7 +213,7 @@
 
     /// Whether the machine has room, or will have some before one could be rented.
     fn soon_free<'a>(&self, now: Time, job: &Job, machine: &'a Machine) -> Option<SoonFree<'a>> {
-        let whole = machine.capacity.times(&job.need);
+        let whole = machine.capacity.tasks_that_fit(&job.need);
         let soon_free = |after, tasks| SoonFree {
             machine,
             after,
@@ -216,21 +222,26 @@
         if machine.life == Life::Booting {
             return Some(soon_free(ENDLESS, whole));
         }
-        if !machine.open(now, self.heard_within()) {
+        if !machine.open(now, self.max_heartbeat_age()) {
             return None;
         }
-        let free = machine.free().times(&job.need);
+        let free = machine.free().tasks_that_fit(&job.need);
         if free > 0 {
             return Some(soon_free(Span::ZERO, free));
         }
         let boot = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
         let empty_after = machine.remaining(now).map_or(Span::ZERO, |(_, high)| high);
-        let overruns = || machine.slots.values().any(|slot| slot.overruns(now));
+        let overruns = || {
+            machine
+                .slots
+                .values()
+                .any(|slot| slot.overran_estimate(now))
+        };
         (empty_after < boot && !overruns()).then(|| soon_free(empty_after, whole))
     }
 
     /// A member ended without being done: the rest can't go on for long.
-    pub(super) fn gang_lost_one(&mut self, now: Time, id: &JobId) {
+    pub(super) fn gang_member_lost(&mut self, now: Time, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -276,7 +287,7 @@
 
 /// Fills the machines in their order, those of one zone if it is given; none if they do
 /// not hold all tasks.
-fn fill(job: &Job, suitable: &[(Score, &Machine)], only: Option<&Zone>) -> Option<Places> {
+fn fill(job: &Job, suitable: &[(Score, &Machine)], only: Option<&Zone>) -> Option<GangMachines> {
     let tasks = job.spec.tasks as i64;
     let max_in_zone = if job.spec.spread {
         (tasks + 1) / 2
@@ -284,8 +295,8 @@
         tasks
     };
     let mut in_zone: BTreeMap<&Zone, i64> = BTreeMap::new();
-    let mut places = Places {
-        late: 0,
+    let mut places = GangMachines {
+        late_images: 0,
         hosts: vec![],
     };
     for (score, machine) in suitable {
@@ -294,10 +305,10 @@
         }
         let used = in_zone.entry(&machine.zone).or_default();
         let left = tasks - places.hosts.len() as i64;
-        let fits = machine.free().times(&job.need);
+        let fits = machine.free().tasks_that_fit(&job.need);
         let count = fits.min(max_in_zone - *used).min(left).max(0);
         *used += count;
-        places.late += if score.late { count } else { 0 };
+        places.late_images += if score.image_late { count } else { 0 };
         places
             .hosts
             .extend((0..count).map(|_| machine.host.clone()));
@@ -331,7 +342,7 @@
 
 impl Job {
     /// Members of a gang that has run can't be replaced.
-    pub(super) fn note_phase(&mut self, phase: Phase) {
+    pub(super) fn update_gang_ran(&mut self, phase: Phase) {
         if self.spec.kind == Kind::Gang && matches!(phase, Phase::Running | Phase::Saving) {
             self.gang_ran = true;
         }
--- a/src/sched/spare.rs
+++ b/src/sched/headroom.rs
@@ -3,55 +3,57 @@
 
 use super::job::Job;
 use super::machine::Machine;
-use super::{Room, Sched};
+use super::{Resources, Sched};
 use crate::ids::Class;
 use crate::time::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
 /// The quickest that a machine usually is up, as a share of its boot time.
 /// Whoever wants to start sooner can't wait for one that is yet to be rented.
-const QUICKEST_BOOT: f64 = 0.6;
+const FASTEST_BOOT_SHARE: f64 = 0.6;
 /// Arrivals of a class that make its headroom.
-const ARRIVALS: usize = 12;
+const MAX_ARRIVALS_PER_CLASS: usize = 12;
 /// What came long ago is no reason to hold machines for ever.
-const ARRIVALS_FOR: Span = Span(180_000_000);
+const ARRIVAL_RETENTION: Span = Span(180_000_000);
 
 struct Arrival {
     at: Time,
-    room: Room,
+    room: Resources,
     /// It may not use machines that the cloud can take back.
     plain: bool,
 }
 
 /// What arrived lately of the classes that want quick starts.
 #[derive(Default)]
-pub struct Arrivals(HashMap<Class, VecDeque<Arrival>>);
+pub struct RecentArrivals(HashMap<Class, VecDeque<Arrival>>);
 
 /// An amount of room, on plain machines and on all of them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spare {
-    pub plain: Room,
-    pub all: Room,
+pub struct FreeCapacity {
+    pub plain: Resources,
+    pub all: Resources,
 }
 
-impl Arrivals {
-    pub fn note(&mut self, now: Time, job: &Job) {
+impl RecentArrivals {
+    pub fn record(&mut self, now: Time, job: &Job) {
         let seen = self.0.entry(job.spec.class.clone()).or_default();
         seen.push_back(Arrival {
             at: now,
             room: job.need.scaled(job.spec.tasks as i64),
             plain: !job.spec.spot,
         });
-        while seen.len() > ARRIVALS || seen.front().is_some_and(|f| now - f.at > ARRIVALS_FOR) {
+        while seen.len() > MAX_ARRIVALS_PER_CLASS
+            || seen.front().is_some_and(|f| now - f.at > ARRIVAL_RETENTION)
+        {
             seen.pop_front();
         }
     }
 
     /// Kept free: a usual large arrival of each class, so many times over.
-    pub fn keep(&self, now: Time, times: f64) -> Spare {
-        let mut keep = Spare::default();
+    pub fn headroom(&self, now: Time, times: f64) -> FreeCapacity {
+        let mut keep = FreeCapacity::default();
         for seen in self.0.values() {
-            let lately = seen.iter().filter(|a| now - a.at <= ARRIVALS_FOR);
+            let lately = seen.iter().filter(|a| now - a.at <= ARRIVAL_RETENTION);
             let mut v: Vec<&Arrival> = lately.collect();
             v.sort_by_key(|a| (a.room.gpu, a.room.cpu, a.room.mem));
             if let Some(a) = v.get(v.len() * 8 / 10) {
@@ -61,13 +63,13 @@
                 }
             }
         }
-        keep.plain = keep.plain.times_f64(times);
-        keep.all = keep.all.times_f64(times);
+        keep.plain = keep.plain.scaled_f64(times);
+        keep.all = keep.all.scaled_f64(times);
         keep
     }
 }
 
-impl Spare {
+impl FreeCapacity {
     fn add(&mut self, m: &Machine) {
         let free = m.free().at_least_zero();
         self.all += free;
@@ -76,27 +78,27 @@
         }
     }
 
-    fn minus(mut self, o: &Spare) -> Spare {
+    fn minus(mut self, o: &FreeCapacity) -> FreeCapacity {
         self.plain -= o.plain;
         self.all -= o.all;
         self
     }
 
     /// A task may take this much of a machine of that kind.
-    pub fn allows(&self, need: &Room, spot: bool) -> bool {
+    pub fn covers_task(&self, need: &Resources, spot: bool) -> bool {
         self.all.covers(need) && (spot || self.plain.covers(need))
     }
 
     /// Nothing that a task asks for is short already.
-    pub fn holds(&self, need: &Room, spot: bool) -> bool {
-        let one = |have: &Room| {
+    pub fn has_no_shortage(&self, need: &Resources, spot: bool) -> bool {
+        let one = |have: &Resources| {
             let fine = |have: i64, n: i64| n == 0 || have >= 0;
             fine(have.cpu, need.cpu) && fine(have.gpu, need.gpu) && fine(have.mem, need.mem)
         };
         one(&self.all) && (spot || one(&self.plain))
     }
 
-    pub fn take(&mut self, need: &Room, spot: bool) {
+    pub fn take(&mut self, need: &Resources, spot: bool) {
         self.all -= *need;
         if !spot {
             self.plain -= *need;
@@ -107,8 +109,8 @@
 impl Sched {
     /// Classes with an aim for waiting that renting is too slow for. Known
     /// once the machine types are.
-    pub(super) fn note_quick(&mut self) {
-        let boots = self.flavors.values().map(|f| f.boot_s * QUICKEST_BOOT);
+    pub(super) fn update_quick_classes(&mut self) {
+        let boots = self.flavors.values().map(|f| f.boot_s * FASTEST_BOOT_SHARE);
         let boot = boots.fold(f64::INFINITY, f64::min);
         let waits = self.cfg.objectives.iter().filter(|o| o.kind == "wait");
         self.quick = waits
@@ -122,14 +124,14 @@
     }
 
     /// Room kept free for quick classes.
-    pub(super) fn headroom(&self, now: Time) -> Spare {
-        self.arrivals.keep(now, self.cfg.tuning.headroom)
+    pub(super) fn headroom(&self, now: Time) -> FreeCapacity {
+        self.arrivals.headroom(now, self.cfg.tuning.headroom)
     }
 
     /// All room that is free now.
-    pub(super) fn free_room(&self, now: Time) -> Spare {
-        let fresh = self.heard_within();
-        let mut free = Spare::default();
+    pub(super) fn free_capacity(&self, now: Time) -> FreeCapacity {
+        let fresh = self.max_heartbeat_age();
+        let mut free = FreeCapacity::default();
         for m in self.machines.values().filter(|m| m.open(now, fresh)) {
             free.add(m);
         }
@@ -137,7 +139,7 @@
     }
 
     /// Free room above what is kept.
-    pub(super) fn spare(&self, now: Time) -> Spare {
-        self.free_room(now).minus(&self.headroom(now))
+    pub(super) fn free_above_headroom(&self, now: Time) -> FreeCapacity {
+        self.free_capacity(now).minus(&self.headroom(now))
     }
 }
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -5,11 +5,11 @@
 
 pub use record::{LATER, LEAST_PART, compact_part_size, part_size};
 
+use super::attempt_places::AttemptPlace;
+use super::dependency_ids::DependencyIds;
 use super::inheritance::Inherited;
-use super::needs::Needs;
-use super::places::Place;
 use super::records::Purpose;
-use super::room::Room;
+use super::resources::Resources;
 use crate::ids::{Attempt, Host, JobId, ReqId, Seq, TaskIx};
 use crate::time::{Time, Wall};
 use crate::wire::user::{JobSpec, JobState, Kind};
@@ -35,7 +35,7 @@
     pub attempt: Attempt,
     pub host: Host,
     /// Where that is; not known of what was stored without it.
-    pub place: Option<Place>,
+    pub place: Option<AttemptPlace>,
     /// Version of its part of the job that must be stored before `run` leaves.
     pub ver: u64,
     pub phase: Phase,
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug)]
 pub struct Job {
     pub spec: JobSpec,
-    pub need: Room,
+    pub need: Resources,
     pub seq: u64,
     pub arrived: Time,
     /// When the last job that it needs was done; when it arrived, if it needs none.
@@ -136,7 +136,7 @@
     /// hold does not come back.
     pub never: u32,
     /// Jobs that are to be done before anything of this one starts.
-    pub needs: Needs,
+    pub needs: DependencyIds,
     /// How many of them were done since the job was last stored.
     pub needs_met_unsaved: u32,
     /// When the last of them was done, if it needed any.
@@ -172,7 +172,7 @@
         let n = spec.tasks;
         let needs = std::mem::take(&mut spec.needs);
         Job {
-            need: Room::of_task(&spec),
+            need: Resources::of_task(&spec),
             spec,
             seq,
             arrived: now,
--- a/src/sched/job/compact.rs
+++ b/src/sched/job/compact.rs
@@ -5,7 +5,7 @@
 //! The bytes are base64 text, since records are JSON.
 
 use crate::ids::{Attempt, Host};
-use crate::sched::places::Place;
+use crate::sched::attempt_places::AttemptPlace;
 use crate::time::Wall;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
@@ -38,7 +38,7 @@
     pub attempt: Attempt,
     pub host: Host,
     pub placed: Wall,
-    pub place: Option<Place>,
+    pub place: Option<AttemptPlace>,
 }
 
 /// The tasks of one record.
@@ -161,7 +161,7 @@
 
 /// The different places stand in front; 0 is a place that isn't known.
 fn write_places(out: &mut Writer, started: &[&StartedTask]) {
-    let mut places: Vec<&Place> = vec![];
+    let mut places: Vec<&AttemptPlace> = vec![];
     let mut which = vec![];
     for s in started {
         let Some(place) = &s.place else {
@@ -189,10 +189,10 @@
     out.small_numbers(which.into_iter());
 }
 
-fn read_places(from: &mut Reader, count: usize) -> Result<Vec<Option<Place>>, CompactError> {
+fn read_places(from: &mut Reader, count: usize) -> Result<Vec<Option<AttemptPlace>>, CompactError> {
     let mut places = vec![];
     for _ in 0..from.count()? {
-        places.push(Place {
+        places.push(AttemptPlace {
             zone: from.name()?.into(),
             build: from.name()?.into(),
             spot: from.byte()? != 0,
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -3,9 +3,9 @@
 use super::compact::{StartedTask, TaskRecord};
 use super::{Job, Live, Phase, RUNTIMES_KEPT, Rest};
 use crate::ids::{Attempt, Host, TaskIx};
+use crate::sched::attempt_places::AttemptPlaces;
+use crate::sched::dependency_ids::DependencyIds;
 use crate::sched::estimate;
-use crate::sched::needs::Needs;
-use crate::sched::places::Places;
 use crate::store::pieces::{self, RecordRoom};
 use crate::time::{Time, Wall};
 use crate::wire::user::JobSpec;
@@ -51,8 +51,8 @@
     met: u32,
     #[serde(default, skip_serializing_if = "none_met")]
     never: u32,
-    #[serde(default, skip_serializing_if = "Needs::is_empty")]
-    needs: Needs,
+    #[serde(default, skip_serializing_if = "DependencyIds::is_empty")]
+    needs: DependencyIds,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     ready_at: Option<u64>,
     /// Of a record from before there were histories there is none.
@@ -78,7 +78,7 @@
     failures: String,
     /// Where the live attempts are.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
-    places: Option<Places>,
+    places: Option<AttemptPlaces>,
     #[serde(flatten)]
     rest: Rest,
 }
@@ -134,7 +134,7 @@
                 .map(|(t, l)| (t.0, l.attempt.0, l.host.clone(), l.placed_wall.0))
                 .collect(),
             failures,
-            places: Places::of(live().map(|(_, l)| l), left.saturating_sub(LEAST_HISTORY)),
+            places: AttemptPlaces::of(live().map(|(_, l)| l), left.saturating_sub(LEAST_HISTORY)),
             rest: self.parts[part].rest.clone(),
         }
     }
@@ -193,7 +193,7 @@
                 self.set_done(TaskIx(t));
             }
         }
-        let places = r.places.map(|p| p.of_each(&r.live)).unwrap_or_default();
+        let places = r.places.map(|p| p.for_entries(&r.live)).unwrap_or_default();
         let mut places = places.into_iter();
         for (t, attempt, host, at) in r.live {
             let started = StartedTask {
@@ -281,7 +281,11 @@
         }
         // What the tasks leave of the room that their number was made for.
         let used = PER_TASK as usize * record.live.len() + record.done.len();
-        let used = used + record.places.as_ref().map_or(0, Places::size);
+        let used = used
+            + record
+                .places
+                .as_ref()
+                .map_or(0, AttemptPlaces::max_encoded_bytes);
         let used = used + record.failures.len() + HOLD * self.holds.iter().count();
         let room = (PER_TASK as usize * self.part_size as usize).saturating_sub(used);
         let history = room.clamp(LEAST_HISTORY, MOST_HISTORY);
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -1,6 +1,6 @@
 //! A rented machine as the leader knows it.
 
-use super::room::Room;
+use super::resources::Resources;
 use crate::ids::{
     Attempt, Build, CallId, Host, Image, JobId, Label, Seq, Session, TaskId, Token, Zone,
 };
@@ -22,7 +22,7 @@
 /// A task's claim on its machine, with what the spread check needs.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    pub need: Room,
+    pub need: Resources,
     pub start: Time,
     pub estimate: Span,
     pub endless: bool,
@@ -37,8 +37,8 @@
     pub zone: Zone,
     pub spot: bool,
     pub life: Life,
-    pub capacity: Room,
-    pub used: Room,
+    pub capacity: Resources,
+    pub used: Resources,
     pub slots: BTreeMap<TaskId, Slot>,
     pub hired: Time,
     pub session: Session,
@@ -119,8 +119,8 @@
             zone,
             spot,
             life: Life::Booting,
-            capacity: Room::default(),
-            used: Room::default(),
+            capacity: Resources::default(),
+            used: Resources::default(),
             slots: BTreeMap::new(),
             hired: now,
             session: Session(0),
@@ -156,7 +156,7 @@
         }
     }
 
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         self.capacity.minus(&self.used)
     }
 
@@ -192,7 +192,7 @@
 
     /// What the cloud says of this type of machine.
     pub fn set_flavor(&mut self, f: &Flavor) {
-        self.capacity = Room::of_flavor(f);
+        self.capacity = Resources::of_machine_type(f);
         self.cache_gb = f.cache_gb;
         self.fetch_gb_per_s = f.fetch_gb_per_s;
     }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -3,41 +3,41 @@
 
 mod admission;
 mod allowed_zones;
+pub mod attempt_places;
 mod audit;
 mod beats;
 mod catchup;
 mod dependencies;
+pub mod dependency_ids;
 mod direct;
 mod estimate;
+mod fair_share;
 mod fences;
 mod fleet;
 mod gang;
+mod headroom;
 mod hearing;
 mod inheritance;
 pub mod job;
 mod life;
 pub mod machine;
 mod named_jobs;
-pub mod needs;
 mod order;
 mod overview;
 mod place;
-pub mod places;
 mod preempt;
 mod records;
 mod report;
-mod room;
-mod served;
-mod spare;
+mod resources;
 mod team;
 mod users;
-mod waiting;
+mod wait_limits;
 mod zones;
 
 pub use fences::FenceRecord;
 pub use life::detail_of_record;
 pub use records::{Dirty, DirtyQueue, Key, Purpose};
-pub use room::Room;
+pub use resources::Resources;
 pub use users::{LookUpCounts, answer_final};
 
 use crate::ids::{
@@ -208,10 +208,10 @@
     quick: BTreeSet<Class>,
     /// How often tasks of a class may fail.
     rules: BTreeMap<Class, RetryRule>,
-    arrivals: spare::Arrivals,
+    arrivals: headroom::RecentArrivals,
     fleet: fleet::Fleet,
     probes: catchup::Probes,
-    books: served::Books,
+    books: fair_share::FairnessState,
     watch: zones::Watch,
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
@@ -295,7 +295,7 @@
             arrivals: Default::default(),
             fleet: fleet::Fleet::new(epoch),
             probes: Default::default(),
-            books: served::Books::new(cfg.floor),
+            books: fair_share::FairnessState::new(cfg.floor),
             watch: zones::Watch::new(&cfg, now),
             fences: Default::default(),
             cfg,
@@ -365,7 +365,7 @@
             Event::Relayed(req, by, body) => self.beat(now, req, &body, Some(by)),
             Event::OutOfReach(away) => {
                 for l in away {
-                    self.fleet.out_of_reach.insert(l, now);
+                    self.fleet.unreachable_controllers.insert(l, now);
                 }
             }
             Event::Stored(key, ver) => self.stored(now, key, ver),
@@ -375,9 +375,9 @@
             Event::RecordRead(req, job, r) => self.record_read(now, req, job, r),
             Event::Direct(call, host, r) => self.direct_result(now, call, host, r),
             Event::Flavors(f) => self.take_flavors(f),
-            Event::Listed(l) => self.listed(now, l),
-            Event::Hired(h, r) => self.hired(now, h, r),
-            Event::Released(hosts, ok) => self.released(now, hosts, ok),
+            Event::Listed(l) => self.machines_listed(now, l),
+            Event::Hired(h, r) => self.rental_answered(now, h, r),
+            Event::Released(hosts, ok) => self.machines_returned(now, hosts, ok),
             Event::Proven(t) => self.proven = self.proven.max(t),
             Event::Behind => self.behind = now,
             Event::Wake => {
@@ -449,7 +449,7 @@
     /// There are other controllers, and none of them can be talked to; unless it is
     /// this one that is too busy to hear them.
     fn alone(&self, now: Time) -> bool {
-        let away = |l| self.fleet.out_of_reach.get(l);
+        let away = |l| self.fleet.unreachable_controllers.get(l);
         let lately = |l| away(l).is_some_and(|t| now - *t < Span::secs(1.0));
         let others = &self.cfg.controllers;
         !others.is_empty() && self.keeps_up(now) && others.keys().all(lately)
@@ -483,7 +483,7 @@
         };
         let flavors = flavors.into_iter().filter(usable);
         self.flavors = flavors.map(|f| (f.build.clone(), f)).collect();
-        self.note_quick();
+        self.update_quick_classes();
         for m in self.machines.values_mut() {
             if let Some(f) = self.flavors.get(&m.build) {
                 m.set_flavor(f);
@@ -500,7 +500,7 @@
                 // What the lost part had on machines is not known: it is over, by
                 // our word or with its lease, before anything of the job starts.
                 job.backoff_until =
-                    self.maybe_renewed(now) + self.lease_bound() + self.lease_bound();
+                    self.latest_lease_renewal(now) + self.lease_bound() + self.lease_bound();
             }
             self.next_seq = self.next_seq.max(job.seq + 1);
             let id = job.id().clone();
@@ -542,8 +542,8 @@
                 self.stop_all(now, &id);
             }
         }
-        self.fleet.first_own = self.next_seq;
-        self.book_loaded(now);
+        self.fleet.first_submitted_seq = self.next_seq;
+        self.record_loaded_jobs(now);
         self.load_dependencies(now);
         self.dirty.changed.extend(self.jobs.keys().cloned());
         self.replan = true;
@@ -570,12 +570,12 @@
         self.answer_held(now, false);
         self.answer_at_fence(now);
         self.watch_machines(now);
-        self.note_waiting(now);
+        self.update_waiting_since(now);
         self.probe(now);
         self.tell_progress(now);
         self.plan_fleet(now);
         self.push_all(now);
-        self.look_at_shares(now);
+        self.update_fairness(now);
         self.read_parents(now);
         self.go_on_looking_up(now);
         self.end_overlong(now);
@@ -584,7 +584,7 @@
         if now >= self.sum_up_at {
             self.sum_up_at = now + SUM_UP_EVERY;
             self.sum_up(now);
-            self.tell_shares();
+            self.log_fairness();
         }
     }
 
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -2,7 +2,7 @@
 
 use super::job::{self, Job};
 use super::machine::Life;
-use super::{Room, Sched};
+use super::{Resources, Sched};
 use crate::time::Time;
 use crate::wire::user::Kind;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 /// Waiting gangs that are told of one by one.
 const MOST_GANGS: usize = 20;
 
-fn room_view(capacity: &Room, used: &Room) -> serde_json::Value {
+fn room_view(capacity: &Resources, used: &Resources) -> serde_json::Value {
     let one = |of: i64, n: i64| {
         let (of, n) = (of as f64 / 1000.0, n as f64 / 1000.0);
         serde_json::json!({"up": of, "used": n})
@@ -25,10 +25,10 @@
 impl Sched {
     /// How full the fleet is, for whoever reads the log.
     pub(super) fn sum_up(&self, now: Time) {
-        let fresh = self.heard_within();
+        let fresh = self.max_heartbeat_age();
         let (mut up, mut booting, mut spot) = (0, 0, 0);
-        let (mut spot_used, mut starting) = (Room::default(), Room::default());
-        let mut capacity = Room::default();
+        let (mut spot_used, mut starting) = (Resources::default(), Resources::default());
+        let mut capacity = Resources::default();
         let (mut used, mut free, mut pending) = (capacity, capacity, capacity);
         for m in self.machines.values() {
             up += (m.life == Life::Up) as u32;
@@ -75,7 +75,7 @@
             e.0 += j.pending() as u64;
             e.1 += j.live.len() as u64;
         }
-        let (mut capacity, mut used) = (Room::default(), Room::default());
+        let (mut capacity, mut used) = (Resources::default(), Resources::default());
         let mut machines_up = 0;
         for m in self.machines.values() {
             used += m.used;
@@ -98,7 +98,7 @@
             "classes": by_class.into_iter().map(|(c, (p, l))|
                 (c, serde_json::json!({"pending": p, "started": l}))).collect::<serde_json::Map<_, _>>(),
             "teams": self.teams.overview(),
-            "served": self.books.view(),
+            "served": self.books.overview(),
             "unwritten": self.dirty.len(),
             "writes_waiting": {
                 "now": writes[0], "starts": writes[1], "ends": writes[2], "progress": writes[3],
@@ -107,7 +107,7 @@
             "judged": self.judged.get(),
             "reports_held": self.reports_held,
             "reports_refused": self.reports_refused,
-            "rentals_under_way": self.fleet.under_way(),
+            "rentals_under_way": self.fleet.requests_in_flight(),
         })
     }
 
@@ -115,8 +115,8 @@
     fn gangs_waiting(&self) -> Vec<serde_json::Value> {
         let waits = |j: &&Job| j.spec.kind == Kind::Gang && j.pending() > 0;
         let one = |j: &Job| {
-            let short = self.fleet.short.iter().find(|s| s.job == *j.id());
-            let left = self.teams.left(&j.spec.team).times(&j.need);
+            let short = self.fleet.shortages.iter().find(|s| s.job == *j.id());
+            let left = self.teams.remaining(&j.spec.team).tasks_that_fit(&j.need);
             let waits_for = match short {
                 _ if !j.live.is_empty() => "its members to be gone or replaced",
                 _ if left < j.pending() as i64 => "its team's limit",
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -8,14 +8,14 @@
 //! bear on each other's zones, and the tests hold the pass against it.
 
 use super::allowed_zones::AllowedZones;
-use super::fleet::Short;
+use super::attempt_places::AttemptPlace;
+use super::fleet::Shortage;
+use super::headroom::FreeCapacity;
 use super::job::{Job, Live, Phase};
 use super::machine::{ENDLESS, Machine, Slot};
 use super::order::{Order, Turn};
-use super::places::Place;
 use super::records::Purpose;
-use super::spare::Spare;
-use super::{Room, Sched, estimate};
+use super::{Resources, Sched, estimate};
 use crate::ids::{Attempt, Host, JobId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use crate::wire::user::{JobSpec, Kind};
@@ -24,13 +24,13 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// Machines judged for jobs in one pass, some tens of milliseconds of work.
-const MAX_JUDGED_PER_PASS: u64 = 40_000;
+const MAX_SCORED_PER_PASS: u64 = 40_000;
 /// How often preemption is looked into.
 const PREEMPTION_INTERVAL: Span = Span(200_000);
 /// A machine that has not been heard for so many heartbeat intervals,
-const FRESH_HEARTBEAT_INTERVALS: f64 = 1.25;
+const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 1.25;
 /// and so many seconds more, takes nothing new.
-const FRESH_MARGIN_S: f64 = 2.0;
+const HEARTBEAT_AGE_MARGIN_S: f64 = 2.0;
 
 /// What a pass found.
 #[derive(Default)]
@@ -38,19 +38,19 @@
     /// Where tasks start, in this order.
     starts: Vec<(JobId, Host)>,
     /// Which jobs lack room, for how many tasks.
-    short: Vec<Short>,
+    short: Vec<Shortage>,
     /// How many turns were served.
     served: usize,
 }
 
 /// A machine with room, as it will be once what is planned has started.
 pub(super) struct Candidate<'a> {
-    pub m: &'a Machine,
-    pub free: Room,
+    pub machine: &'a Machine,
+    pub free: Resources,
     /// Remaining runtimes on it, the smallest and the largest.
-    pub span: Option<(Span, Span)>,
+    pub remaining: Option<(Span, Span)>,
     /// Kept free for a gang.
-    pub kept: bool,
+    pub reserved: bool,
 }
 
 impl Sched {
@@ -58,15 +58,15 @@
     /// 600 jobs waiting it once took a second, in which nobody was answered. The
     /// next one goes on where this one stopped, after the urgent.
     pub(super) fn place(&mut self, now: Time) {
-        let order = self.order(now);
-        let (served, ahead) = order.served(self, now);
+        let order = self.job_order(now);
+        let (served, ahead) = order.turns(self, now);
         let mut short = vec![];
         let mut held = BTreeSet::new();
         let mut rest = &served[..];
-        let until = self.judged.get() + MAX_JUDGED_PER_PASS;
+        let until = self.judged.get() + MAX_SCORED_PER_PASS;
         while !rest.is_empty() && self.judged.get() < until {
             // What must be settled before the next is looked at goes by itself.
-            let alone = |t: &Turn| self.jobs.get(&t.job).is_some_and(by_itself);
+            let alone = |t: &Turn| self.jobs.get(&t.job).is_some_and(is_placed_individually);
             let n = rest.iter().position(alone).unwrap_or(rest.len());
             let plan = self.plan(now, &rest[..n], &held, &order, until);
             for (id, host) in plan.starts {
@@ -78,7 +78,7 @@
                 break;
             }
             if let Some(t) = rest.get(n) {
-                let (lack, done) = self.place_alone(now, &t.job, &mut held, &order, until);
+                let (lack, done) = self.place_individually(now, &t.job, &mut held, &order, until);
                 short.extend(lack);
                 if !done {
                     rest = &rest[n..];
@@ -89,8 +89,13 @@
         }
         // Those that were not looked at lack what they lacked before.
         let left: BTreeSet<&JobId> = rest.iter().map(|t| &t.job).collect();
-        short.extend(self.fleet.short.drain(..).filter(|s| left.contains(&s.job)));
-        self.fleet.short = short;
+        short.extend(
+            self.fleet
+                .shortages
+                .drain(..)
+                .filter(|s| left.contains(&s.job)),
+        );
+        self.fleet.shortages = short;
         // Where those ahead take the whole pass, the next one does without them.
         self.stuck = !rest.is_empty() && ahead > 0 && rest.len() + ahead >= served.len();
         if !self.stuck {
@@ -108,20 +113,21 @@
 
     /// Gangs, and jobs whose tasks bear on each other's zones. The second value is
     /// false where the pass had to stop within the job.
-    fn place_alone(
+    fn place_individually(
         &mut self,
         now: Time,
         id: &JobId,
         held: &mut BTreeSet<Host>,
         order: &Order,
         until: u64,
-    ) -> (Option<Short>, bool) {
+    ) -> (Option<Shortage>, bool) {
         let gang = |j: &Job| j.spec.kind == Kind::Gang;
         if self.jobs.get(id).is_some_and(gang) {
             return (self.place_gang(now, id, held, order), true);
         }
         while let Some(j) = self.jobs.get(id) {
-            let left = (j.pending() as i64).min(self.teams.left(&j.spec.team).times(&j.need));
+            let left = (j.pending() as i64)
+                .min(self.teams.remaining(&j.spec.team).tasks_that_fit(&j.need));
             if left == 0 {
                 break;
             }
@@ -134,7 +140,7 @@
                 return self.place_beside_others(now, id, held, order, until);
             }
             let Some(host) = self.choose(now, id, held, order) else {
-                return (Some(Short::anywhere(id, left)), true);
+                return (Some(Shortage::anywhere(id, left)), true);
             };
             self.start(now, id, &host, None);
         }
@@ -149,11 +155,11 @@
         held: &BTreeSet<Host>,
         order: &Order,
         until: u64,
-    ) -> (Option<Short>, bool) {
+    ) -> (Option<Shortage>, bool) {
         let turn = Turn {
             job: id.clone(),
-            most: None,
-            lifted: false,
+            max_tasks: None,
+            boosted: false,
         };
         let mut plan = self.plan(now, &[turn], held, order, until);
         for (id, host) in plan.starts {
@@ -186,7 +192,7 @@
     }
 
     /// The tests hold the pass against the plain computation.
-    fn agrees(
+    fn matches_choose(
         &self,
         now: Time,
         id: &JobId,
@@ -209,16 +215,16 @@
         order: &Order,
     ) -> Option<Host> {
         let j = self.jobs.get(id)?;
-        let fresh = self.heard_within();
-        let view = View::of(self, now, j, order, self.fleet.can_rent(now));
+        let fresh = self.max_heartbeat_age();
+        let view = JobView::of(self, now, j, order, self.fleet.can_rent(now));
         let zones = AllowedZones::of(self, j);
-        let spare = self.spare(now);
+        let spare = self.free_above_headroom(now);
         let mut best: Option<(Score, &Machine)> = None;
         for m in self.machines.values() {
             if !m.open(now, fresh) {
                 continue;
             }
-            if !view.may_take(&spare, m.spot, 0) {
+            if !view.may_use(&spare, m.spot, 0) {
                 continue;
             }
             if !zones.contains(&m.zone) {
@@ -227,10 +233,10 @@
             let (free, span) = (m.free(), m.remaining(now));
             let kept = held.contains(&m.host);
             let c = Candidate {
-                m,
+                machine: m,
                 free,
-                span,
-                kept,
+                remaining: span,
+                reserved: kept,
             };
             let Some(score) = view.score(&c) else {
                 continue;
@@ -243,8 +249,8 @@
     }
 
     /// A machine that has been silent for longer takes nothing new.
-    pub(super) fn heard_within(&self) -> Span {
-        Span::secs(self.cfg.workers.report_s * FRESH_HEARTBEAT_INTERVALS + FRESH_MARGIN_S)
+    pub(super) fn max_heartbeat_age(&self) -> Span {
+        Span::secs(self.cfg.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_S)
     }
 
     pub(super) fn start(&mut self, now: Time, id: &JobId, host: &Host, attempt: Option<Attempt>) {
@@ -257,10 +263,10 @@
         let est = estimate::of(j);
         let part = j.part_of(ix);
         let quick = self.quick.contains(&j.spec.class);
-        self.books.started(id, ix);
+        self.books.task_started(id, ix);
         let purpose = if quick { Purpose::Now } else { Purpose::Start };
         let machine = self.machines.get(host);
-        let place = machine.map(|m| Place {
+        let place = machine.map(|m| AttemptPlace {
             zone: m.zone.clone(),
             build: m.build.clone(),
             spot: m.spot,
@@ -314,9 +320,9 @@
     /// first; otherwise that would spoil the best fit.
     crowded: bool,
     candidates: Vec<Candidate<'a>>,
-    spare: Spare,
+    spare: FreeCapacity,
     /// What the teams may still take.
-    quota: BTreeMap<&'a Team, Room>,
+    quota: BTreeMap<&'a Team, Resources>,
     /// Tasks of each job that were placed in earlier turns.
     placed: BTreeMap<&'a JobId, i64>,
     plan: Plan,
@@ -331,12 +337,12 @@
         order: &'a Order,
     ) -> Planner<'a> {
         let candidates = candidates(sched, now, held);
-        let mut open = Room::default();
-        for candidate in candidates.iter().filter(|candidate| !candidate.kept) {
+        let mut open = Resources::default();
+        for candidate in candidates.iter().filter(|candidate| !candidate.reserved) {
             open += candidate.free;
         }
-        let mut wanted = Room::default();
-        for turn in turns.iter().filter(|turn| !turn.lifted) {
+        let mut wanted = Resources::default();
+        for turn in turns.iter().filter(|turn| !turn.boosted) {
             if let Some(job) = sched.jobs.get(&turn.job) {
                 wanted += job.need.scaled(job.pending() as i64);
             }
@@ -349,7 +355,7 @@
             can_rent: sched.fleet.can_rent(now),
             crowded: !open.covers(&wanted),
             candidates,
-            spare: sched.spare(now),
+            spare: sched.free_above_headroom(now),
             quota: BTreeMap::new(),
             placed: BTreeMap::new(),
             plan: Plan::default(),
@@ -363,28 +369,28 @@
         };
         let team = &job.spec.team;
         let quota = self.quota.entry(team);
-        let left = *quota.or_insert_with(|| sched.teams.left(team));
+        let left = *quota.or_insert_with(|| sched.teams.remaining(team));
         let placed_before = self.placed.get(&turn.job).copied().unwrap_or(0);
-        let wanted = (job.pending() as i64 - placed_before).min(left.times(&job.need));
-        let wanted = turn.most.map_or(wanted, |most| wanted.min(most));
+        let wanted = (job.pending() as i64 - placed_before).min(left.tasks_that_fit(&job.need));
+        let wanted = turn.max_tasks.map_or(wanted, |most| wanted.min(most));
         let placed = self.place_tasks(turn, job, wanted);
         self.quota
             .insert(team, left.minus(&job.need.scaled(placed)));
         self.placed.insert(&turn.job, placed_before + placed);
         // What is lifted has another turn, and is short only then.
-        if placed < wanted && turn.most.is_none() {
-            let short = Short::anywhere(&turn.job, wanted - placed);
+        if placed < wanted && turn.max_tasks.is_none() {
+            let short = Shortage::anywhere(&turn.job, wanted - placed);
             self.plan.short.push(short);
         }
     }
 
     /// Places up to so many tasks of a job; answers how many found room.
     fn place_tasks(&mut self, turn: &Turn, job: &Job, wanted: i64) -> i64 {
-        let mut view = View::of(self.sched, self.now, job, self.order, self.can_rent);
-        view.by_image |= self.crowded;
+        let mut view = JobView::of(self.sched, self.now, job, self.order, self.can_rent);
+        view.image_first |= self.crowded;
         // Room kept for quick classes is for them, and for who is below the floor.
         let may_take =
-            |spare: &Spare, spot, placed| turn.lifted || view.may_take(spare, spot, placed);
+            |spare: &FreeCapacity, spot, placed| turn.boosted || view.may_use(spare, spot, placed);
         if wanted <= 0 || !may_take(&self.spare, true, 0) {
             return 0;
         }
@@ -394,15 +400,15 @@
             let Some(Reverse((_, i))) = best_first.pop() else {
                 break;
             };
-            if !may_take(&self.spare, self.candidates[i].m.spot, placed) {
+            if !may_take(&self.spare, self.candidates[i].machine.spot, placed) {
                 continue;
             }
             debug_assert!(
-                self.agrees(turn, self.candidates[i].m),
+                self.matches_choose(turn, self.candidates[i].machine),
                 "{}: the pass and the plain choice differ",
                 turn.job
             );
-            self.take(&turn.job, job, view.est, i);
+            self.plan_start(&turn.job, job, view.estimate, i);
             placed += 1;
             if let Some(score) = view.score(&self.candidates[i]) {
                 best_first.push(Reverse((score, i)));
@@ -412,53 +418,53 @@
     }
 
     /// The candidates that suit a job, the best on top.
-    fn scores(&self, job: &Job, view: &View) -> BinaryHeap<Reverse<(Score, usize)>> {
+    fn scores(&self, job: &Job, view: &JobView) -> BinaryHeap<Reverse<(Score, usize)>> {
         let zones = AllowedZones::of(self.sched, job);
         let candidates = self.candidates.iter().enumerate();
-        let allowed = candidates.filter(|(_, candidate)| zones.contains(&candidate.m.zone));
+        let allowed = candidates.filter(|(_, candidate)| zones.contains(&candidate.machine.zone));
         let scores = allowed.filter_map(|(i, c)| Some(Reverse((view.score(c)?, i))));
         scores.collect::<Vec<_>>().into()
     }
 
     /// A task of the job will start there.
-    fn take(&mut self, id: &JobId, job: &Job, estimate: Span, i: usize) {
+    fn plan_start(&mut self, id: &JobId, job: &Job, estimate: Span, i: usize) {
         let candidate = &mut self.candidates[i];
         candidate.free -= job.need;
-        candidate.span = Some(match candidate.span {
+        candidate.remaining = Some(match candidate.remaining {
             None => (estimate, estimate),
             Some((low, high)) => (low.min(estimate), high.max(estimate)),
         });
-        self.spare.take(&job.need, candidate.m.spot);
-        let host = candidate.m.host.clone();
+        self.spare.take(&job.need, candidate.machine.spot);
+        let host = candidate.machine.host.clone();
         self.plan.starts.push((id.clone(), host));
     }
 
     /// The first start of a pass is the one that a single task would choose, where
     /// nothing but the fit decides.
-    fn agrees(&self, turn: &Turn, machine: &Machine) -> bool {
+    fn matches_choose(&self, turn: &Turn, machine: &Machine) -> bool {
         !self.plan.starts.is_empty()
             || self.crowded
-            || turn.most.is_some()
+            || turn.max_tasks.is_some()
             || self
                 .sched
-                .agrees(self.now, &turn.job, self.held, self.order, machine)
+                .matches_choose(self.now, &turn.job, self.held, self.order, machine)
     }
 }
 
 /// The machines that have room, but for those kept free for a gang.
 fn candidates<'a>(sched: &'a Sched, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
-    let fresh = sched.heard_within();
+    let fresh = sched.max_heartbeat_age();
     let mut candidates = vec![];
     for machine in sched.machines.values().filter(|m| m.open(now, fresh)) {
         let (free, kept) = (machine.free(), held.contains(&machine.host));
-        if free.cpu <= 0 || kept && !machine.kept_long(now) {
+        if free.cpu <= 0 || kept && !machine.reservation_expired(now) {
             continue;
         }
         candidates.push(Candidate {
-            m: machine,
+            machine,
             free,
-            span: machine.remaining(now),
-            kept,
+            remaining: machine.remaining(now),
+            reserved: kept,
         });
     }
     candidates
@@ -472,124 +478,132 @@
 }
 
 /// What is the same for all tasks of a job in one pass.
-pub(super) struct View<'a> {
+pub(super) struct JobView<'a> {
     now: Time,
-    j: &'a Job,
-    est: Span,
-    delta: Span,
+    job: &'a Job,
+    estimate: Span,
+    max_spread: Span,
     quick: bool,
     /// It has waited for as long as any of these rules may make it wait.
-    overdue: bool,
+    waited_too_long: bool,
     /// And nothing of it has started meanwhile.
-    stalled: bool,
+    waited_without_start: bool,
     /// A machine that holds the image comes before a better fit.
-    by_image: bool,
-    judged: &'a Cell<u64>,
+    image_first: bool,
+    scored: &'a Cell<u64>,
     can_rent: bool,
     /// Every machine there is has failed the job: none is avoided.
     failed_all: bool,
     /// The next aim for waiting is met by what runs by then.
-    begin_by: Option<Time>,
+    start_by: Option<Time>,
     /// Work that may go elsewhere leaves plain machines to what may not.
-    spares_plain: bool,
+    avoids_ordinary: bool,
     /// A gang waits for whole plain machines, and may have them soon.
-    gang_waits: bool,
+    gang_is_waiting: bool,
     /// Spot machines for it can be rented.
-    spot_to_rent: bool,
+    can_rent_spot: bool,
 }
 
-impl<'a> View<'a> {
+impl<'a> JobView<'a> {
     pub(super) fn of(
         s: &'a Sched,
         now: Time,
         j: &'a Job,
         order: &Order,
         can_rent: bool,
-    ) -> View<'a> {
+    ) -> JobView<'a> {
         let t = &s.cfg.tuning;
         let est = estimate::of(j);
         let quick = s.is_quick(&j.spec.class);
-        let spares_plain = j.spec.spot && order.plain_wanted;
-        View {
+        let spares_plain = j.spec.spot && order.ordinary_machines_wanted;
+        JobView {
             now,
-            j,
-            est,
-            delta: estimate::delta(est, t.delta_factor, t.delta_floor_s),
+            job: j,
+            estimate: est,
+            max_spread: estimate::max_runtime_spread(est, t.delta_factor, t.delta_floor_s),
             quick,
-            overdue: j.overdue(now),
-            stalled: j.stalled(now),
-            by_image: quick,
-            judged: &s.judged,
+            waited_too_long: j.waited_too_long(now),
+            waited_without_start: j.waited_without_start(now),
+            image_first: quick,
+            scored: &s.judged,
             // What can't wait for a machine to boot does not rent one.
-            can_rent: can_rent && !quick && !j.overdue(now),
+            can_rent: can_rent && !quick && !j.waited_too_long(now),
             failed_all: j.error_hosts.len() >= s.machines.len(),
-            begin_by: s.begin_by(now, j, order.within(j.id())),
-            spares_plain,
-            gang_waits: spares_plain && order.gang_waits,
-            spot_to_rent: spares_plain && s.spot_rentable(now, j),
+            start_by: s.start_by(now, j, order.is_within_guarantee(j.id())),
+            avoids_ordinary: spares_plain,
+            gang_is_waiting: spares_plain && order.gang_is_waiting,
+            can_rent_spot: spares_plain && s.spot_rentable(now, j),
         }
     }
 
     /// Room that is kept for quick classes is not for others, but for a single task
     /// of who is stalled; `got`: tasks that this pass has placed.
-    fn may_take(&self, spare: &Spare, spot: bool, got: i64) -> bool {
-        self.quick || self.stalled && got == 0 || spare.allows(&self.j.need, spot)
+    fn may_use(&self, spare: &FreeCapacity, spot: bool, got: i64) -> bool {
+        self.quick
+            || self.waited_without_start && got == 0
+            || spare.covers_task(&self.job.need, spot)
     }
 
     /// How well the machine suits, if it may be taken at all.
     pub(super) fn score(&self, c: &Candidate) -> Option<Score> {
-        let j = self.j;
-        self.judged.set(self.judged.get() + 1);
-        if !c.free.fits(&j.need) || !allowed(&j.spec, c.m) {
+        let j = self.job;
+        self.scored.set(self.scored.get() + 1);
+        if !c.free.fits(&j.need) || !may_run_on(&j.spec, c.machine) {
             return None;
         }
-        if c.kept && !(self.overdue && c.m.kept_long(self.now)) {
+        if c.reserved && !(self.waited_too_long && c.machine.reservation_expired(self.now)) {
             return None;
         }
         // A machine that failed this job is not tried again soon.
-        if !(self.failed_all || self.overdue) && j.error_hosts.contains(&c.m.host) {
+        if !(self.failed_all || self.waited_too_long) && j.error_hosts.contains(&c.machine.host) {
             return None;
         }
-        let mut class = class_of(c.span, self.est, self.delta);
+        let mut class = fit_class(c.remaining, self.estimate, self.max_spread);
         // One that services hold open will not empty for a gang, but others do,
         // unless what is lendable fills them up again and again.
-        let empties = c.span.is_none_or(|(_, high)| high < ENDLESS);
-        if self.gang_waits && !self.overdue && !c.m.spot && empties {
+        let empties = c.remaining.is_none_or(|(_, high)| high < ENDLESS);
+        if self.gang_is_waiting && !self.waited_too_long && !c.machine.spot && empties {
             return None;
         }
         // An empty plain machine costs several times what a spot one does, be
         // it for work that needs one or until it is given back.
-        if self.spot_to_rent && !c.m.spot && c.span.is_none() {
+        if self.can_rent_spot && !c.machine.spot && c.remaining.is_none() {
             class = LAST_RESORT;
         }
         if class == LAST_RESORT && self.can_rent {
             return None;
         }
-        let no_image = !c.m.has_image(&j.spec.image);
+        let no_image = !c.machine.has_image(&j.spec.image);
         // An image that is fetched for longer than an aim allows decides more
         // than the fit: starts were late on machines that fitted best.
         let late = no_image
-            && self.begin_by.is_some_and(|by| {
-                self.now + c.m.fetch_time(self.now, &j.spec.image, j.spec.image_gb) > by
+            && self.start_by.is_some_and(|by| {
+                self.now
+                    + c.machine
+                        .fetch_time(self.now, &j.spec.image, j.spec.image_gb)
+                    > by
             });
         Some(Score {
-            late,
+            image_late: late,
             class,
-            image: self.by_image && no_image,
-            plain: self.spares_plain && !c.m.spot,
-            strands: j.need.gpu == 0 && c.m.capacity.gpu > 0,
-            extends: c.span.is_some_and(|(_, high)| high < self.est),
-            left: c.free.minus(&j.need).share_left(&c.m.capacity, &j.need),
-            no_image,
+            image_missing_first: self.image_first && no_image,
+            ordinary_avoided: self.avoids_ordinary && !c.machine.spot,
+            strands_accelerators: j.need.gpu == 0 && c.machine.capacity.gpu > 0,
+            extends_machine_use: c.remaining.is_some_and(|(_, high)| high < self.estimate),
+            leftover_share: c
+                .free
+                .minus(&j.need)
+                .largest_free_share(&c.machine.capacity, &j.need),
+            image_missing: no_image,
         })
     }
 }
 
-pub(super) fn by_itself(j: &Job) -> bool {
+pub(super) fn is_placed_individually(j: &Job) -> bool {
     j.spec.kind == Kind::Gang || j.spec.one_zone || j.spec.spread
 }
 
-fn class_of(span: Option<(Span, Span)>, est: Span, delta: Span) -> u8 {
+fn fit_class(span: Option<(Span, Span)>, est: Span, delta: Span) -> u8 {
     match span {
         Some((low, high)) if high.max(est) - low.min(est) <= delta => 0,
         // It stays up for so long anyway.
@@ -605,25 +619,34 @@
 /// Smaller is better; fields count in this order.
 #[derive(Clone, Debug)]
 pub(super) struct Score {
-    pub late: bool,
+    pub image_late: bool,
     class: u8,
-    image: bool,
-    plain: bool,
+    image_missing_first: bool,
+    ordinary_avoided: bool,
     /// It would take CPUs beside accelerators that it has no use for.
-    strands: bool,
+    strands_accelerators: bool,
     /// The machine would have to stay up for longer: of those that pass the
     /// spread check, one that stays up anyway costs nothing more.
-    extends: bool,
-    left: f64,
-    no_image: bool,
+    extends_machine_use: bool,
+    leftover_share: f64,
+    image_missing: bool,
 }
 
 impl Ord for Score {
     fn cmp(&self, o: &Score) -> Ordering {
-        let first = |s: &Score| (s.late, s.class, s.image, s.plain, s.strands, s.extends);
+        let first = |s: &Score| {
+            (
+                s.image_late,
+                s.class,
+                s.image_missing_first,
+                s.ordinary_avoided,
+                s.strands_accelerators,
+                s.extends_machine_use,
+            )
+        };
         let first = first(self).cmp(&first(o));
-        let then = first.then_with(|| self.left.total_cmp(&o.left));
-        then.then_with(|| self.no_image.cmp(&o.no_image))
+        let then = first.then_with(|| self.leftover_share.total_cmp(&o.leftover_share));
+        then.then_with(|| self.image_missing.cmp(&o.image_missing))
     }
 }
 impl PartialOrd for Score {
@@ -639,7 +662,7 @@
 impl Eq for Score {}
 
 /// The job may run on this machine.
-pub(super) fn allowed(s: &JobSpec, m: &Machine) -> bool {
+pub(super) fn may_run_on(s: &JobSpec, m: &Machine) -> bool {
     s.builds.as_ref().is_none_or(|b| b.contains(&m.build))
         && s.zone.as_ref().is_none_or(|z| *z == m.zone)
         && (s.spot || !m.spot)
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -2,13 +2,13 @@
 //! protocol allows.
 
 use super::allowed_zones::AllowedZones;
-use super::fleet::Short;
+use super::fleet::Shortage;
+use super::headroom::FreeCapacity;
 use super::job::{Job, Phase};
 use super::machine::Machine;
 use super::order::{Order, Rank};
-use super::place::{allowed, task_id};
-use super::spare::Spare;
-use super::{Room, Sched, estimate};
+use super::place::{may_run_on, task_id};
+use super::{Resources, Sched, estimate};
 use crate::ids::{Host, JobId, TaskIx, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
@@ -25,44 +25,44 @@
 /// The same for borrowed quota that its owner wants back.
 const MAX_BORROWED_LOSS_S: f64 = 12.0;
 /// A job that made room waits so long before it starts anything.
-const YIELD_BACKOFF: Span = Span(1_000_000);
+const PREEMPTED_BACKOFF: Span = Span(1_000_000);
 /// A start that is undone sooner did not count, in seconds.
-const SETTLED_AFTER_S: f64 = 31.0;
+const MIN_RUN_S: f64 = 31.0;
 
 /// A task that might be stopped for some job.
 struct Victim<'a> {
     /// Work that would be lost, in seconds of a CPU.
     cost: f64,
     /// The same in seconds.
-    lost: f64,
+    lost_s: f64,
     /// Its start has counted, it saves, and little is lost.
     cheap: bool,
     rank: &'a Rank,
     job: &'a Job,
     task: TaskIx,
     machine: &'a Machine,
-    taken: bool,
+    chosen: bool,
 }
 
 /// A job that found no room and may have some made.
-struct Claim<'a> {
+struct Preemptor<'a> {
     now: Time,
     job: &'a Job,
     rank: &'a Rank,
     /// Its team is within its guarantee.
-    within: bool,
+    within_guarantee: bool,
     tasks: i64,
     /// Zones in which its tasks may not be, given where the others are.
-    closed: BTreeSet<&'a Zone>,
+    excluded_zones: BTreeSet<&'a Zone>,
 }
 
 impl Victim<'_> {
     fn loses_little(&self) -> bool {
-        self.cheap || self.lost < MAX_BORROWED_LOSS_S
+        self.cheap || self.lost_s < MAX_BORROWED_LOSS_S
     }
 }
 
-impl Claim<'_> {
+impl Preemptor<'_> {
     fn is_urgent(&self) -> bool {
         self.job.priority() <= Priority::High
     }
@@ -73,14 +73,14 @@
     sched: &'a Sched,
     order: &'a Order,
     /// All machines' resources.
-    whole: Room,
+    fleet_capacity: Resources,
     victims: Vec<Victim<'a>>,
     /// Positions of the victims that lose little.
     little_loss: Vec<usize>,
     /// Positions among the victims, by machine.
     on_machine: BTreeMap<&'a Host, Vec<usize>>,
     /// Resources of tasks that are being stopped already.
-    stopping: Room,
+    stopping: Resources,
     examined: u32,
     stops: Vec<(JobId, TaskIx)>,
 }
@@ -95,14 +95,14 @@
         }
         let little_loss = |i: &usize| victims[*i].loses_little();
         let little_loss = (0..victims.len()).filter(little_loss).collect();
-        let mut whole = Room::default();
+        let mut whole = Resources::default();
         for machine in sched.machines.values() {
             whole += machine.capacity;
         }
         Selection {
             sched,
             order,
-            whole,
+            fleet_capacity: whole,
             victims,
             little_loss,
             on_machine,
@@ -113,14 +113,14 @@
     }
 
     /// No more are chosen in this go.
-    fn is_over(&self) -> bool {
+    fn is_full(&self) -> bool {
         self.stops.len() >= MAX_STOPS || self.examined > MAX_EXAMINED
     }
 
     /// Chooses tasks to be stopped for a claim, until it has room.
-    fn serve(&mut self, claim: &Claim) {
+    fn serve(&mut self, claim: &Preemptor) {
         // What is being stopped already makes room for the first claims.
-        let part = self.whole.scarcest(&claim.job.need);
+        let part = self.fleet_capacity.dominant_resource(&claim.job.need);
         let asked = claim.job.need.scaled(claim.tasks);
         let mut lacking = (part(&asked) - part(&self.stopping)).max(0);
         self.stopping = self.stopping.minus(&asked).at_least_zero();
@@ -143,10 +143,10 @@
                 return;
             }
             let victim = &self.victims[first];
-            if victim.taken || !self.sched.gives_way(victim, claim, self.order) {
+            if victim.chosen || !self.sched.may_preempt(victim, claim, self.order) {
                 continue;
             }
-            for i in self.makes_room(claim, first) {
+            for i in self.stops_to_fit(claim, first) {
                 lacking -= part(&self.victims[i].job.need);
                 self.stop(claim, i);
             }
@@ -155,7 +155,7 @@
 
     /// Tasks on one machine, this one first, whose end lets a task of the claim begin
     /// there; none if it would not.
-    fn makes_room(&mut self, claim: &Claim, first: usize) -> Vec<usize> {
+    fn stops_to_fit(&mut self, claim: &Preemptor, first: usize) -> Vec<usize> {
         let machine = self.victims[first].machine;
         let beside = self.on_machine.get(&machine.host);
         let beside = beside.map_or(&[][..], |positions| positions);
@@ -170,7 +170,7 @@
         for i in std::iter::once(first).chain(others) {
             let victim = &self.victims[i];
             let may_stop = claim.is_urgent() || victim.loses_little();
-            if victim.taken || !may_stop || !self.sched.gives_way(victim, claim, self.order) {
+            if victim.chosen || !may_stop || !self.sched.may_preempt(victim, claim, self.order) {
                 continue;
             }
             room += victim.job.need;
@@ -182,11 +182,11 @@
         vec![]
     }
 
-    fn stop(&mut self, claim: &Claim, i: usize) {
+    fn stop(&mut self, claim: &Preemptor, i: usize) {
         let victim = &mut self.victims[i];
         tracing::info!(job = %victim.job.id(), task = %victim.task, host = %victim.machine.host,
             for_job = %claim.job.id(), class = %claim.job.spec.class, "preempted");
-        victim.taken = true;
+        victim.chosen = true;
         self.stops.push((victim.job.id().clone(), victim.task));
     }
 }
@@ -197,50 +197,50 @@
         for (id, task) in self.chosen_stops(now, order) {
             if let Some(job) = self.jobs.get_mut(&id) {
                 // Others first, or it takes the same room again.
-                job.backoff_until = job.backoff_until.max(now + YIELD_BACKOFF);
+                job.backoff_until = job.backoff_until.max(now + PREEMPTED_BACKOFF);
             }
             self.stop(now, &id, task, 0.0);
         }
     }
 
     fn chosen_stops(&self, now: Time, order: &Order) -> Vec<(JobId, TaskIx)> {
-        let claims = self.claims(now, order);
+        let claims = self.preemptors(now, order);
         if claims.is_empty() {
             return vec![];
         }
         let mut selection = Selection::new(self, now, order);
         for claim in &claims {
             selection.serve(claim);
-            if selection.is_over() {
+            if selection.is_full() {
                 break;
             }
         }
         selection.stops
     }
 
-    fn claims<'a>(&'a self, now: Time, order: &'a Order) -> Vec<Claim<'a>> {
-        if self.fleet.short.is_empty() {
+    fn preemptors<'a>(&'a self, now: Time, order: &'a Order) -> Vec<Preemptor<'a>> {
+        if self.fleet.shortages.is_empty() {
             return vec![];
         }
-        let spare = self.spare(now);
+        let spare = self.free_above_headroom(now);
         let zones: BTreeSet<&Zone> = self.machines.values().map(|m| &m.zone).collect();
-        let short = self.fleet.short.iter();
-        let claims = short.filter_map(|short| self.claim(now, short, order, &spare, &zones));
+        let short = self.fleet.shortages.iter();
+        let claims = short.filter_map(|short| self.preemptor(now, short, order, &spare, &zones));
         claims.collect()
     }
 
     /// The claim of a job that found no room, if it may have some made.
-    fn claim<'a>(
+    fn preemptor<'a>(
         &'a self,
         now: Time,
-        short: &Short,
+        short: &Shortage,
         order: &'a Order,
-        spare: &Spare,
+        spare: &FreeCapacity,
         zones: &BTreeSet<&'a Zone>,
-    ) -> Option<Claim<'a>> {
+    ) -> Option<Preemptor<'a>> {
         let job = self.jobs.get(&short.job)?;
         let rank = order.rank(&short.job)?;
-        let within = order.within(&short.job);
+        let within = order.is_within_guarantee(&short.job);
         // A gang needs whole machines in one place: stopping a task here and there
         // makes no room for it.
         let is_gang = job.spec.kind == Kind::Gang;
@@ -250,26 +250,26 @@
         // Room that is kept for quick classes is not for the others;
         // stopping tasks would only fill it up.
         let quick = self.is_quick(&job.spec.class);
-        if !quick && !spare.holds(&job.need, job.spec.spot) {
+        if !quick && !spare.has_no_shortage(&job.need, job.spec.spot) {
             return None;
         }
         let allowed = AllowedZones::of(self, job);
         let closed = zones.iter().copied().filter(|zone| !allowed.contains(zone));
-        Some(Claim {
+        Some(Preemptor {
             now,
             job,
             rank,
-            within,
+            within_guarantee: within,
             tasks: short.tasks,
-            closed: closed.collect(),
+            excluded_zones: closed.collect(),
         })
     }
 
     /// Every task that could be stopped for anyone, and the resources of those that
     /// are being stopped already.
-    fn stoppable<'a>(&'a self, now: Time, order: &'a Order) -> (Room, Vec<Victim<'a>>) {
-        let fresh = self.heard_within();
-        let mut stopping = Room::default();
+    fn stoppable<'a>(&'a self, now: Time, order: &'a Order) -> (Resources, Vec<Victim<'a>>) {
+        let fresh = self.max_heartbeat_age();
+        let mut stopping = Resources::default();
         let mut victims = vec![];
         for job in self.jobs.values().filter(|job| !job.live.is_empty()) {
             let estimate_s = estimate::of(job).as_secs();
@@ -288,7 +288,7 @@
                 };
                 let is_array = job.spec.kind == Kind::Array;
                 // What was set aside for it is not taken away again.
-                let guarded = self.books.guards(&task_id(job.id(), *task));
+                let guarded = self.books.is_protected(&task_id(job.id(), *task));
                 let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
                 if guarded || !is_array || nearly_done || !machine.open(now, fresh) {
                     continue;
@@ -301,8 +301,8 @@
 
     /// A task may be stopped for work of higher priority, or if its team has
     /// borrowed beyond its guarantee and the other is within its own.
-    fn gives_way(&self, victim: &Victim, claim: &Claim, order: &Order) -> bool {
-        if claim.closed.contains(&victim.machine.zone) {
+    fn may_preempt(&self, victim: &Victim, claim: &Preemptor, order: &Order) -> bool {
+        if claim.excluded_zones.contains(&victim.machine.zone) {
             return false;
         }
         // Room left by one that is served earlier would go back to it.
@@ -313,19 +313,19 @@
         let (their_priority, our_priority) = (victim.job.priority(), claim.job.priority());
         let lower = their_priority > our_priority;
         if lower && (claim.is_urgent() || victim.cheap) {
-            return allowed(ours, victim.machine);
+            return may_run_on(ours, victim.machine);
         }
         // What is fetched for longer than is lost for nothing gains nobody time.
         let machine = victim.machine;
         let fetch = machine.fetch_time(claim.now, &ours.image, ours.image_gb);
-        claim.within
-            && victim.lost < MAX_BORROWED_LOSS_S
+        claim.within_guarantee
+            && victim.lost_s < MAX_BORROWED_LOSS_S
             && fetch.as_secs() < MAX_BORROWED_LOSS_S
             && theirs.team != ours.team
             && their_priority >= our_priority
-            && !order.within(victim.job.id())
-            && self.teams.beyond_guarantee(&theirs.team)
-            && allowed(ours, machine)
+            && !order.is_within_guarantee(victim.job.id())
+            && self.teams.exceeds_guarantee(&theirs.team)
+            && may_run_on(ours, machine)
     }
 }
 
@@ -342,15 +342,15 @@
         let lost = if saves { ran_s % checkpoint_s } else { ran_s };
         Victim {
             cost: lost * job.spec.cpus,
-            lost,
+            lost_s: lost,
             // For what is not urgent only those stop that lose little,
             // and whose start has counted.
-            cheap: saves && lost < MAX_CHEAP_LOSS_S && ran_s > SETTLED_AFTER_S,
+            cheap: saves && lost < MAX_CHEAP_LOSS_S && ran_s > MIN_RUN_S,
             rank,
             job,
             task,
             machine,
-            taken: false,
+            chosen: false,
         }
     }
 }
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -260,7 +260,7 @@
                 };
                 // What still needed others never counted as having come.
                 if self.jobs.get(&id).is_some_and(|j| j.needs.is_empty()) {
-                    self.book(now, &id, what);
+                    self.record_job_event(now, &id, what);
                 }
                 if let Some(j) = self.jobs.remove(&id) {
                     // Cancelled with one that it needs before its own first write.
--- a/src/sched/report.rs
+++ b/src/sched/report.rs
@@ -11,7 +11,7 @@
 use crate::time::{Span, Time};
 use crate::wire::user::Kind;
 use crate::wire::worker::{Cause, Order, Report, TaskReport, TaskState};
-use hookworks_fairness::JobEvent::Begun;
+use hookworks_fairness::JobEvent::Started;
 use hookworks_job_lifecycle::{Failure, JobEvent};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -125,7 +125,7 @@
         source: ReportSource,
     ) -> Option<SessionSeen> {
         let token = self.base_token();
-        let renewed = self.maybe_renewed(now);
+        let renewed = self.latest_lease_renewal(now);
         let machines = self.machines.entry(report.host.clone());
         let machine = machines.or_insert_with(|| {
             tracing::info!(host = %report.host, "a machine that was not expected reports");
@@ -246,7 +246,7 @@
         live.phase = phase;
         // What is seen to fetch or to wait has not begun to run.
         live.inherited &= phase == Phase::Running;
-        job.note_phase(phase);
+        job.update_gang_ran(phase);
         if !changed {
             return;
         }
@@ -284,7 +284,7 @@
         }
         self.note_limit(task, since);
         if first_of_job {
-            self.book(now, &task.job, Begun);
+            self.record_job_event(now, &task.job, Started);
             self.announce(&task.job, ParentOutcome::Started);
         }
     }
@@ -300,7 +300,7 @@
                 self.completed(now, task, running_since);
             }
             Some(Cause::Error) => {
-                self.failed(now, host, task);
+                self.task_failed(now, host, task);
                 self.gone_by(now, task, Some(Failure::Error), false);
             }
             Some(Cause::NoRoom | Cause::InUse) => {
@@ -353,7 +353,7 @@
         job.errors = 0;
         if let Some(since) = running_since.filter(|_| !inherited) {
             job.learn_runtime((now - since).as_secs());
-            if job.runtimes.len() == estimate::ENOUGH {
+            if job.runtimes.len() == estimate::MIN_FINISHED_TASKS {
                 self.refresh_estimates(&task.job);
             }
         }
@@ -399,14 +399,14 @@
 
     /// The attempt's claim on machine, quota and zone ends.
     fn release_slot(&mut self, now: Time, task: &TaskId) {
-        self.books.gone(task);
+        self.books.task_ended(task);
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
         let Some(live) = job.live.get(&task.ix) else {
             return;
         };
-        self.teams.sub(&job.spec.team, &job.need);
+        self.teams.subtract(&job.spec.team, &job.need);
         if let Some(machine) = self.machines.get_mut(&live.host)
             && machine.slots.remove(task).is_some()
         {
@@ -451,7 +451,7 @@
             job.set_done(task.ix);
         }
         job.put_back(task.ix);
-        self.gang_lost_one(now, &task.job);
+        self.gang_member_lost(now, &task.job);
         self.note_progress(&task.job, task.ix);
         self.finish_if_over(&task.job);
     }
@@ -521,7 +521,7 @@
 
     /// A call starts nothing where no reports come from: its lease expires.
     fn takes_starts(&self, now: Time, host: &Host, delivery: Delivery) -> bool {
-        let fresh = self.heard_within();
+        let fresh = self.max_heartbeat_age();
         let takes = |machine: &Machine| {
             let reports = delivery != Delivery::DirectCall || now - machine.heard < fresh;
             machine.life == Life::Up && reports
--- a/src/sched/room.rs
+++ b/src/sched/resources.rs
@@ -6,7 +6,7 @@
 use std::ops::{AddAssign, SubAssign};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct Resources {
     pub cpu: i64,
     pub gpu: i64,
     pub mem: i64,
@@ -16,49 +16,55 @@
 const UNLIMITED: i64 = i64::MAX / 4;
 /// A submission may name any amount. More than that is no more than this, so that all
 /// tasks of a job together stay within what is unlimited.
-const MOST_OF_A_TASK: i64 = UNLIMITED / MAX_TASKS as i64;
+const MAX_PER_TASK: i64 = UNLIMITED / MAX_TASKS as i64;
 
-fn up(v: f64) -> i64 {
+fn to_milli_ceil(v: f64) -> i64 {
     (v * 1000.0 - 1e-6).ceil() as i64
 }
 
-fn down(v: f64) -> i64 {
+fn to_milli_floor(v: f64) -> i64 {
     (v * 1000.0 + 1e-6).floor() as i64
 }
 
-impl Room {
+impl Resources {
     /// What one task of the job takes, rounded up.
-    pub fn of_task(s: &JobSpec) -> Room {
-        Room {
-            cpu: up(s.cpus).min(MOST_OF_A_TASK),
-            gpu: up(s.gpus).min(MOST_OF_A_TASK),
-            mem: up(s.memory_gb).min(MOST_OF_A_TASK),
+    pub fn of_task(s: &JobSpec) -> Resources {
+        Resources {
+            cpu: to_milli_ceil(s.cpus).min(MAX_PER_TASK),
+            gpu: to_milli_ceil(s.gpus).min(MAX_PER_TASK),
+            mem: to_milli_ceil(s.memory_gb).min(MAX_PER_TASK),
         }
     }
     /// What a machine offers, rounded down.
-    pub fn of_flavor(f: &Flavor) -> Room {
-        Room {
-            cpu: down(f.cpus),
-            gpu: down(f.gpus),
-            mem: down(f.memory_gb),
+    pub fn of_machine_type(f: &Flavor) -> Resources {
+        Resources {
+            cpu: to_milli_floor(f.cpus),
+            gpu: to_milli_floor(f.gpus),
+            mem: to_milli_floor(f.memory_gb),
         }
     }
     /// A team's limit on CPUs and accelerators; memory has none, nor has a
     /// part that is given as 0: where only accelerators were limited, every
     /// job was once refused for its CPUs.
-    pub fn limit(cpus: f64, gpus: f64) -> Room {
-        let part = |v: f64| if v > 0.0 { down(v) } else { UNLIMITED };
-        Room {
+    pub fn limit(cpus: f64, gpus: f64) -> Resources {
+        let part = |v: f64| {
+            if v > 0.0 {
+                to_milli_floor(v)
+            } else {
+                UNLIMITED
+            }
+        };
+        Resources {
             cpu: part(cpus),
             gpu: part(gpus),
             mem: UNLIMITED,
         }
     }
-    pub fn fits(&self, need: &Room) -> bool {
-        self.times(need) > 0
+    pub fn fits(&self, need: &Resources) -> bool {
+        self.tasks_that_fit(need) > 0
     }
     /// How many tasks of this need fit.
-    pub fn times(&self, need: &Room) -> i64 {
+    pub fn tasks_that_fit(&self, need: &Resources) -> i64 {
         let one = |have: i64, n: i64| match n {
             0 if have >= 0 => i64::MAX,
             0 => 0,
@@ -70,7 +76,7 @@
             .min(1_000_000)
     }
     /// The first part, by its name for users, that this has too little of.
-    pub fn lacks(&self, need: &Room) -> Option<&'static str> {
+    pub fn first_lacking(&self, need: &Resources) -> Option<&'static str> {
         let parts = [
             ("Vcpus", self.cpu, need.cpu),
             ("Accelerators", self.gpu, need.gpu),
@@ -79,35 +85,35 @@
         let short = parts.into_iter().find(|(_, have, need)| have < need);
         short.map(|(name, ..)| name)
     }
-    pub fn scaled(&self, n: i64) -> Room {
-        Room {
+    pub fn scaled(&self, n: i64) -> Resources {
+        Resources {
             cpu: self.cpu * n,
             gpu: self.gpu * n,
             mem: self.mem * n,
         }
     }
-    pub fn times_f64(&self, n: f64) -> Room {
+    pub fn scaled_f64(&self, n: f64) -> Resources {
         let one = |v: i64| (v as f64 * n) as i64;
-        Room {
+        Resources {
             cpu: one(self.cpu),
             gpu: one(self.gpu),
             mem: one(self.mem),
         }
     }
-    pub fn at_least_zero(self) -> Room {
-        Room {
+    pub fn at_least_zero(self) -> Resources {
+        Resources {
             cpu: self.cpu.max(0),
             gpu: self.gpu.max(0),
             mem: self.mem.max(0),
         }
     }
     /// There is enough of each part that is asked for.
-    pub fn covers(&self, need: &Room) -> bool {
+    pub fn covers(&self, need: &Resources) -> bool {
         let one = |have: i64, n: i64| n <= 0 || have >= n;
         one(self.cpu, need.cpu) && one(self.gpu, need.gpu) && one(self.mem, need.mem)
     }
     /// The part of which `need` takes the largest share of this.
-    pub fn scarcest(&self, need: &Room) -> fn(&Room) -> i64 {
+    pub fn dominant_resource(&self, need: &Resources) -> fn(&Resources) -> i64 {
         let share = |n: i64, of: i64| n as f64 / of.max(1) as f64;
         let cpu = share(need.cpu, self.cpu);
         let (gpu, mem) = (share(need.gpu, self.gpu), share(need.mem, self.mem));
@@ -119,30 +125,30 @@
             |r| r.mem
         }
     }
-    pub fn minus(mut self, o: &Room) -> Room {
+    pub fn minus(mut self, o: &Resources) -> Resources {
         self -= *o;
         self
     }
     /// Share of `whole` that is left of what was asked for, by the part of
     /// which most is left.
-    pub fn share_left(&self, whole: &Room, asked: &Room) -> f64 {
+    pub fn largest_free_share(&self, whole: &Resources, asked: &Resources) -> f64 {
         let one = |left: i64, n: i64| if n > 0 { left } else { 0 };
-        let left = Room {
+        let left = Resources {
             cpu: one(self.cpu, asked.cpu),
             gpu: one(self.gpu, asked.gpu),
             mem: one(self.mem, asked.mem),
         };
-        left.share_of(whole)
+        left.dominant_share_of(whole)
     }
     /// Share of `whole` that this is, by the part of which there is least.
-    pub fn least_share_of(&self, whole: &Room) -> f64 {
+    pub fn smallest_share_of(&self, whole: &Resources) -> f64 {
         let one = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 1.0 };
         one(self.cpu, whole.cpu)
             .min(one(self.gpu, whole.gpu))
             .min(one(self.mem, whole.mem))
     }
     /// Share of `whole` that this is, by its scarcest part.
-    pub fn share_of(&self, whole: &Room) -> f64 {
+    pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
         let one = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 0.0 };
         one(self.cpu, whole.cpu)
             .max(one(self.gpu, whole.gpu))
@@ -151,23 +157,23 @@
 }
 
 /// CPUs, accelerators and memory, in whole units.
-impl fmt::Display for Room {
+impl fmt::Display for Resources {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (cpu, gpu, mem) = (self.cpu / 1000, self.gpu / 1000, self.mem / 1000);
         write!(f, "{cpu}/{gpu}/{mem}")
     }
 }
 
-impl AddAssign for Room {
-    fn add_assign(&mut self, o: Room) {
+impl AddAssign for Resources {
+    fn add_assign(&mut self, o: Resources) {
         self.cpu += o.cpu;
         self.gpu += o.gpu;
         self.mem += o.mem;
     }
 }
 
-impl SubAssign for Room {
-    fn sub_assign(&mut self, o: Room) {
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, o: Resources) {
         self.cpu -= o.cpu;
         self.gpu -= o.gpu;
         self.mem -= o.mem;
--- a/src/sched/users.rs
+++ b/src/sched/users.rs
@@ -112,14 +112,16 @@
         // refused is only refused after a look at what is over already.
         match self.never_runs(&spec) {
             Err(e) => {
-                self.books.note(now, &spec.class, &spec.team, What::Refused);
+                self.books
+                    .record(now, &spec.class, &spec.team, What::Refused);
                 return self.answer(req, Answer::later(&e, 1));
             }
             Ok(Some(_)) => return self.look_up(now, req, id, Ask::Submit(body)),
             Ok(None) => {}
         }
         if self.jobs.len() >= self.cfg.most_jobs {
-            self.books.note(now, &spec.class, &spec.team, What::Refused);
+            self.books
+                .record(now, &spec.class, &spec.team, What::Refused);
             return self.answer(req, Answer::later("too many unfinished jobs", 10));
         }
         let mut job = self.new_job(now, spec);
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -2,10 +2,10 @@
 //! machines, and gives back those of a lost zone whose work is worth starting
 //! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
 
-use super::fleet::late_boot;
+use super::fleet::boot_timeout;
 use super::job::{Job, Live, Phase};
 use super::machine::{Life, Machine};
-use super::{Config, Room, Sched, estimate};
+use super::{Config, Resources, Sched, estimate};
 use crate::ids::{Host, Label, TaskId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
@@ -137,7 +137,7 @@
         for (label, z) in &self.watch.controllers {
             let e = all.entry(z.clone()).or_default();
             e.controllers += 1;
-            let away = self.fleet.out_of_reach.get(label);
+            let away = self.fleet.unreachable_controllers.get(label);
             e.away += away.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
         }
         for (z, n) in std::mem::take(&mut self.watch.unanswered) {
@@ -178,7 +178,7 @@
     /// It should have come up long ago.
     fn boots_late(&self, now: Time, m: &Machine) -> bool {
         let boot = self.flavors.get(&m.build).map_or(60.0, |f| f.boot_s);
-        now - m.hired > late_boot(boot)
+        now - m.hired > boot_timeout(boot)
     }
 
     /// Machines of zones in trouble take nothing new; those of one that comes
@@ -313,7 +313,7 @@
     }
 
     fn stake(&self, now: Time, m: &Machine, j: &Job, l: &Live) -> Stake {
-        let size = j.need.share_of(&m.capacity);
+        let size = j.need.dominant_share_of(&m.capacity);
         let est = estimate::of(j);
         let ran = match (l.phase, l.running_since) {
             (Phase::Running, Some(s)) => now - s,
@@ -348,18 +348,18 @@
                 false => est,
             },
             left: est - ran,
-            due: self.next_due(now, j).map(|t| t - now),
+            due: self.next_deadline(now, j).map(|t| t - now),
             size,
         }
     }
 
     /// What the zones that are well can start soon, beyond what waits already.
     fn room_elsewhere(&self, now: Time) -> Budget {
-        let fresh = self.heard_within();
+        let fresh = self.max_heartbeat_age();
         let keep = self.headroom(now);
-        let mut free = Room::default();
-        let (mut whole, mut n) = (Room::default(), 0u32);
-        let (mut lower, mut soon_free) = (Room::default(), Room::default());
+        let mut free = Resources::default();
+        let (mut whole, mut n) = (Resources::default(), 0u32);
+        let (mut lower, mut soon_free) = (Resources::default(), Resources::default());
         let mut within = Span::secs(1.0);
         for m in self.machines.values().filter(|m| m.open(now, fresh)) {
             free += m.free().at_least_zero();
@@ -375,7 +375,7 @@
                 }
             }
         }
-        for s in &self.fleet.short {
+        for s in &self.fleet.shortages {
             if let Some(j) = self.jobs.get(&s.job) {
                 free -= j.need.scaled(s.tasks);
             }
@@ -384,10 +384,10 @@
         // Of what running tasks leave until the next look, half is for those
         // who wait already.
         let turns = 2.0 * within.as_secs() / PLAN_EVERY.as_secs();
-        let turn = soon_free.least_share_of(&whole) / turns;
+        let turn = soon_free.smallest_share_of(&whole) / turns;
         Budget {
-            free: n as f64 * (free.least_share_of(&whole) + turn),
-            made: n as f64 * lower.least_share_of(&whole),
+            free: n as f64 * (free.smallest_share_of(&whole) + turn),
+            made: n as f64 * lower.smallest_share_of(&whole),
         }
     }
 
--- a/tests/attempt_places.rs
+++ b/tests/attempt_places.rs
@@ -1,12 +1,12 @@
 //! Where attempts are, as it rides along in a job's records.
 
+use hookworks::sched::attempt_places::{AttemptPlace, AttemptPlaces};
 use hookworks::sched::job::Job;
-use hookworks::sched::places::{Place, Places};
 use hookworks::time::{Time, Wall};
 use hookworks::wire::user::JobSpec;
 
-fn place(zone: &str) -> Place {
-    Place {
+fn place(zone: &str) -> AttemptPlace {
+    AttemptPlace {
         zone: zone.into(),
         build: "m8".into(),
         spot: zone == "b",
@@ -52,6 +52,6 @@
     let stale = Job::decode(&stale, Time(9_000_000), Wall(9_000)).unwrap();
     assert!(stale.live.values().all(|l| l.place.is_none()));
     // They give way where a record is full.
-    assert!(Places::of(j.live.values(), 20).is_none());
-    assert!(Places::of(j.live.values(), 200).unwrap().size() <= 200);
+    assert!(AttemptPlaces::of(j.live.values(), 20).is_none());
+    assert!(AttemptPlaces::of(j.live.values(), 200).unwrap().size() <= 200);
 }
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -4,8 +4,8 @@
 mod world;
 
 use hookworks::ids::*;
+use hookworks::sched::dependency_ids::DependencyIds;
 use hookworks::sched::job::{Final, Job};
-use hookworks::sched::needs::Needs;
 use hookworks::sched::{Config, Effect, Event, Key};
 use hookworks::store::RecordFormat;
 use hookworks::time::{Time, Wall};
@@ -846,7 +846,7 @@
             let digits: String = (0..digits).map(digit).collect();
             JobId::from(format!("job-{digits}").as_str())
         };
-        let needs: Needs = (0..seed % 60).map(|_| name()).collect();
+        let needs: DependencyIds = (0..seed % 60).map(|_| name()).collect();
         assert_eq!(Needs::decode(&needs.encode()), Some(needs));
     }
 }
@@ -855,7 +855,7 @@
 fn two_hundred_names_take_a_few_hundred_bytes() {
     for seed in 0..100 {
         let mut r = StdRng::seed_from_u64(seed);
-        let needs: Needs = (0..200).map(|_| id(r.random_range(0..1_000_000))).collect();
+        let needs: DependencyIds = (0..200).map(|_| id(r.random_range(0..1_000_000))).collect();
         let bytes = needs.encode().len();
         assert!(bytes <= 640, "{bytes} bytes");
     }
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -69,7 +69,7 @@
     let red = Team::from("red");
     let starts = begun(&w);
     assert!(starts <= 6, "started {starts} times");
-    let used = w.sched(w.leader().unwrap()).team_use(&red);
+    let used = w.sched(w.leader().unwrap()).team_cpus_used(&red);
     assert!(used <= 4.0, "{used} of 32 CPUs");
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
