--- a/tests/attempt_places.rs
+++ b/tests/attempt_places.rs
@@ -53,5 +53,10 @@
     assert!(stale.live.values().all(|l| l.place.is_none()));
     // They give way where a record is full.
     assert!(AttemptPlaces::of(j.live.values(), 20).is_none());
-    assert!(AttemptPlaces::of(j.live.values(), 200).unwrap().size() <= 200);
+    assert!(
+        AttemptPlaces::of(j.live.values(), 200)
+            .unwrap()
+            .max_encoded_bytes()
+            <= 200
+    );
 }
