--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -16,28 +16,21 @@
 mod life;
 pub mod machine;
 mod named_jobs;
-pub mod needs;
 mod order;
 mod overview;
 mod place;
-pub mod places;
 mod preempt;
 mod reachability;
 mod records;
 mod recovery;
 mod report_reconciliation;
-mod room;
-mod served;
-mod spare;
 mod team;
 mod users;
-mod waiting;
 mod zones;
 
 pub use fences::FenceRecord;
 pub use life::detail_of_record;
 pub use records::{Dirty, DirtyQueue, Key, Purpose};
-pub use room::Room;
 pub use users::{LookUpCounts, answer_final};
 
 use crate::ids::{
@@ -55,6 +48,13 @@
 use job::{Final, Job};
 use machine::{Allocation, Machine, MachineState};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+pub mod attempt_places;
+pub mod dependency_ids;
+mod fair_share;
+mod headroom;
+mod resources;
+mod wait_limits;
+pub use resources::Resources;
 
 /// What may happen to the scheduler.
 #[derive(Debug)]
@@ -208,10 +208,10 @@
     quick: BTreeSet<Class>,
     /// How often tasks of a class may fail.
     rules: BTreeMap<Class, RetryRule>,
-    arrivals: spare::Arrivals,
+    arrivals: headroom::RecentArrivals,
     fleet: fleet::Fleet,
     probes: recovery::Probes,
-    books: served::Books,
+    books: fair_share::FairnessState,
     watch: zones::ZoneMonitor,
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
@@ -295,7 +295,7 @@
             arrivals: Default::default(),
             fleet: fleet::Fleet::new(epoch),
             probes: Default::default(),
-            books: served::Books::new(cfg.floor),
+            books: fair_share::FairnessState::new(cfg.floor),
             watch: zones::ZoneMonitor::new(&cfg, now),
             fences: Default::default(),
             cfg,
@@ -365,7 +365,7 @@
             Event::Relayed(req, by, body) => self.handle_heartbeat(now, req, &body, Some(by)),
             Event::OutOfReach(away) => {
                 for l in away {
-                    self.fleet.out_of_reach.insert(l, now);
+                    self.fleet.unreachable_controllers.insert(l, now);
                 }
             }
             Event::Stored(key, ver) => self.stored(now, key, ver),
@@ -375,9 +375,9 @@
             Event::RecordRead(req, job, r) => self.record_read(now, req, job, r),
             Event::Direct(call, host, r) => self.handle_call_result(now, call, host, r),
             Event::Flavors(f) => self.take_flavors(f),
-            Event::Listed(l) => self.listed(now, l),
-            Event::Hired(h, r) => self.hired(now, h, r),
-            Event::Released(hosts, ok) => self.released(now, hosts, ok),
+            Event::Listed(l) => self.machines_listed(now, l),
+            Event::Hired(h, r) => self.rental_answered(now, h, r),
+            Event::Released(hosts, ok) => self.machines_returned(now, hosts, ok),
             Event::Proven(t) => self.proven = self.proven.max(t),
             Event::Behind => self.behind = now,
             Event::Wake => {
@@ -449,7 +449,7 @@
     /// There are other controllers, and none of them can be talked to; unless it is
     /// this one that is too busy to hear them.
     fn alone(&self, now: Time) -> bool {
-        let away = |l| self.fleet.out_of_reach.get(l);
+        let away = |l| self.fleet.unreachable_controllers.get(l);
         let lately = |l| away(l).is_some_and(|t| now - *t < Span::secs(1.0));
         let others = &self.cfg.controllers;
         !others.is_empty() && self.answers_are_timely(now) && others.keys().all(lately)
@@ -483,7 +483,7 @@
         };
         let flavors = flavors.into_iter().filter(usable);
         self.flavors = flavors.map(|f| (f.build.clone(), f)).collect();
-        self.note_quick();
+        self.update_quick_classes();
         for m in self.machines.values_mut() {
             if let Some(f) = self.flavors.get(&m.build) {
                 m.set_machine_type(f);
@@ -500,7 +500,7 @@
                 // What the lost part had on machines is not known: it is over, by
                 // our word or with its lease, before anything of the job starts.
                 job.backoff_until =
-                    self.maybe_renewed(now) + self.lease_bound() + self.lease_bound();
+                    self.latest_lease_renewal(now) + self.lease_bound() + self.lease_bound();
             }
             self.next_seq = self.next_seq.max(job.seq + 1);
             let id = job.id().clone();
@@ -542,8 +542,8 @@
                 self.stop_all(now, &id);
             }
         }
-        self.fleet.first_own = self.next_seq;
-        self.book_loaded(now);
+        self.fleet.first_submitted_seq = self.next_seq;
+        self.record_loaded_jobs(now);
         self.load_dependencies(now);
         self.dirty.changed.extend(self.jobs.keys().cloned());
         self.replan = true;
@@ -570,12 +570,12 @@
         self.answer_held_heartbeats(now, false);
         self.answer_fenced_heartbeats(now);
         self.watch_machines(now);
-        self.note_waiting(now);
+        self.update_waiting_since(now);
         self.probe(now);
         self.log_recovery_progress(now);
         self.plan_fleet(now);
         self.retry_unsent_commands(now);
-        self.look_at_shares(now);
+        self.update_fairness(now);
         self.read_parents(now);
         self.go_on_looking_up(now);
         self.end_overlong(now);
@@ -584,7 +584,7 @@
         if now >= self.sum_up_at {
             self.sum_up_at = now + SUM_UP_EVERY;
             self.sum_up(now);
-            self.tell_shares();
+            self.log_fairness();
         }
     }
 
