--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -1,14 +1,14 @@
+//! Scale out: what is rented, of which kind and where; and what becomes of requests.
 
+use super::{MachineKind, PendingRental};
 use crate::ids::{Build, Host, Team, Zone};
 use crate::sched::allowed_zones::AllowedZones;
 use crate::sched::job::Job;
 use crate::sched::machine::{Machine, MachineState};
+use crate::sched::{Effect, HireResult, Resources, Sched};
 use crate::time::{Span, Time};
 use crate::wire::cloud::{Flavor, Hire};
-use std::collections::BTreeMap;//! Scale out: what is rented, of which kind and where; and what becomes of requests.
-
-use super::{MachineKind, PendingRental};
-use crate::sched::{Effect, HireResult, Resources, Sched};
+use std::collections::BTreeMap;
 
 /// A kind of machine that was refused is not asked for again so soon.
 pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
@@ -26,7 +26,7 @@
     /// All of them.
     machines: f64,
     /// Those of machines that will be empty.
-    empty_machines: f64
+    empty_machines: f64,
 }
 
 impl ExpectedCapacity {
@@ -53,13 +53,13 @@
 #[derive(Clone, Copy)]
 struct Demand<'a> {
     job: &'a Job,
-    zone: Option<&'a Zone>
+    zone: Option<&'a Zone>,
 }
 
 /// A kind of machine with its price for each task.
 struct PricedKind {
     price_per_task: f64,
-    kind: MachineKind
+    kind: MachineKind,
 }
 
 impl Sched {
@@ -96,7 +96,7 @@
     fn wanted_for_jobs(
         &self,
         now: Time,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> BTreeMap<MachineKind, f64> {
         let machines = self.machines_by_zone();
         let plain_wanted = self.jobs.values().any(|job| !job.spec.spot);
@@ -150,7 +150,7 @@
         demand: Demand,
         tasks: i64,
         plain_wanted: bool,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> f64 {
         let job = demand.job;
         // Work for spot machines does not count on plain ones if it can rent others.
@@ -169,7 +169,7 @@
     fn wanted_for_headroom(
         &self,
         now: Time,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> Option<(MachineKind, f64)> {
         let (kind, mut machines) = self.missing_headroom(now)?;
         for (coming_kind, coming) in coming.iter_mut() {
@@ -192,7 +192,7 @@
             build: kind.build,
             zone: kind.zone,
             spot: kind.spot,
-            count
+            count,
         };
         tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
             spot = hire.spot, count, "renting");
@@ -200,7 +200,7 @@
         let request = PendingRental {
             hire,
             retry_at: None,
-            retries: 0
+            retries: 0,
         };
         self.fleet.requests.insert(name, request);
     }
@@ -244,19 +244,19 @@
         match machine.state {
             MachineState::Booting => ExpectedCapacity {
                 machines: 1.0,
-                empty_machines: 1.0
+                empty_machines: 1.0,
             },
             MachineState::Up if machine.closed => ExpectedCapacity {
                 machines: machine
                     .free()
                     .at_least_zero()
                     .dominant_share_of(&machine.capacity),
-                empty_machines: machine.allocations.is_empty() as u8 as f64
+                empty_machines: machine.allocations.is_empty() as u8 as f64,
             },
             MachineState::Up if machine.spot_notice_until.is_none() && machine.capacity.cpu > 0 => {
                 self.freed_soon(now, machine)
             }
-            MachineState::Up | MachineState::Leaving { .. } => ExpectedCapacity::default()
+            MachineState::Up | MachineState::Leaving { .. } => ExpectedCapacity::default(),
         }
     }
 
@@ -275,7 +275,7 @@
         let empties = staying == 0 && !machine.allocations.is_empty();
         ExpectedCapacity {
             machines: freed.dominant_share_of(&machine.capacity),
-            empty_machines: empties as u8 as f64
+            empty_machines: empties as u8 as f64,
         }
     }
 
@@ -286,7 +286,7 @@
         now: Time,
         need: &Resources,
         demand: Option<Demand>,
-        machines: &BTreeMap<Zone, usize>
+        machines: &BTreeMap<Zone, usize>,
     ) -> Vec<PricedKind> {
         let demand = demand.map(|demand| (demand, AllowedZones::of(self, demand.job)));
         let suits = |kind: &MachineKind| {
@@ -304,7 +304,7 @@
                     let price_per_task = price / tasks as f64;
                     kinds.push(PricedKind {
                         price_per_task,
-                        kind
+                        kind,
                     });
                 }
             }
@@ -335,7 +335,7 @@
                 let kind = MachineKind {
                     build: flavor.build.clone(),
                     zone: zone.clone(),
-                    spot
+                    spot,
                 };
                 if !self.fleet.recently_refused(now, &kind) {
                     offers.push((kind, price));
@@ -391,7 +391,7 @@
         let least_task = Resources {
             cpu: 1000,
             gpu: 0,
-            mem: 1000
+            mem: 1000,
         };
         let kinds = self.kinds_for(now, &least_task, None, &self.machines_by_zone());
         let mut kinds = kinds.into_iter().map(|priced| priced.kind);
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -1,6 +1,11 @@
+//! The fleet in zones: gathers what is known of each, closes and opens their
+//! machines, and gives back those of a lost zone whose work is worth starting
+//! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
 
+use super::fleet::boot_timeout;
 use super::job::{Job, Live, Phase};
 use super::machine::{Machine, MachineState};
+use super::{Config, Resources, Sched, estimate};
 use crate::ids::{Host, Label, TaskId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
@@ -8,12 +13,7 @@
     AttemptAtRisk, AttemptKind, Budget, Change, Evidence, LostMachine, State, Zones, plan_releases,
 };
 use serde::Serialize;
-use std::collections::{BTreeMap, HashSet};//! The fleet in zones: gathers what is known of each, closes and opens their
-//! machines, and gives back those of a lost zone whose work is worth starting
-//! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
-
-use super::fleet::boot_timeout;
-use super::{Config, Resources, Sched, estimate};
+use std::collections::{BTreeMap, HashSet};
 
 /// What is worth moving is looked into so often.
 const PLAN_INTERVAL: Span = Span(1_000_000);
@@ -28,7 +28,7 @@
     /// Attempts that went on.
     returned: u64,
     /// Machines given back, for whatever reason.
-    machines_given_back: u64
+    machines_given_back: u64,
 }
 
 /// What the scheduler keeps of zones.
@@ -41,7 +41,7 @@
     tally: BTreeMap<Zone, Tally>,
     next_plan_at: Time,
     /// Verdicts are acted on.
-    act_on_verdicts: bool
+    act_on_verdicts: bool,
 }
 
 impl ZoneMonitor {
@@ -52,7 +52,7 @@
             act_on_verdicts: cfg.act_on_zones,
             failed_calls: BTreeMap::new(),
             tally: BTreeMap::new(),
-            next_plan_at: now
+            next_plan_at: now,
         }
     }
 
@@ -78,7 +78,7 @@
     pub fn usable_share(&self, now: Time, z: &Zone) -> f64 {
         match self.act_on_verdicts {
             true => self.zones.usable_share(now, z),
-            false => 1.0
+            false => 1.0,
         }
     }
 
@@ -167,7 +167,7 @@
                         e.overdue += 1;
                         e.overdue_last_heard = Some(match e.overdue_last_heard {
                             None => (m.last_contact, m.last_contact),
-                            Some((a, b)) => (a.min(m.last_contact), b.max(m.last_contact))
+                            Some((a, b)) => (a.min(m.last_contact), b.max(m.last_contact)),
                         });
                     }
                 }
@@ -322,7 +322,7 @@
             machine: m.host.clone(),
             attempts: m.allocations.keys().filter_map(stake).collect(),
             lease_remaining: m.last_renewal + lease - now,
-            boot_time: Span::secs(self.boot_s(&m.build))
+            boot_time: Span::secs(self.boot_s(&m.build)),
         }
     }
 
@@ -333,12 +333,12 @@
             (Phase::Running, Some(s)) => now - s,
             // Of what an earlier leader started only that is known.
             _ if l.inherited => now - l.placed,
-            _ => Span::ZERO
+            _ => Span::ZERO,
         };
         let saves = j.spec.checkpoint_s;
         let unsaved = match saves > 0.0 {
             true => Span::secs(ran.as_secs() % saves),
-            false => ran
+            false => ran,
         };
         let gang = j.spec.kind == Kind::Gang;
         // A gang goes on only as a whole: one that has lost a member, or is
@@ -351,21 +351,21 @@
             _ if j.priority() <= Priority::High || self.is_quick(&j.spec.class) => {
                 AttemptKind::Urgent
             }
-            _ => AttemptKind::Other
+            _ => AttemptKind::Other,
         };
         AttemptAtRisk {
             kind: standing,
             unsaved_work: match gang {
                 true => Span(unsaved.0 * j.spec.tasks as u64),
-                false => unsaved
+                false => unsaved,
             },
             rerun_time: match saves > 0.0 {
                 true => (est - ran) + unsaved,
-                false => est
+                false => est,
             },
             remaining: est - ran,
             due_in: self.next_deadline(now, j).map(|t| t - now),
-            machine_share: size
+            machine_share: size,
         }
     }
 
@@ -407,7 +407,7 @@
         let turn = soon_free.smallest_share_of(&whole) / turns;
         Budget {
             free: n as f64 * (free.smallest_share_of(&whole) + turn),
-            preemptible: n as f64 * lower.smallest_share_of(&whole)
+            preemptible: n as f64 * lower.smallest_share_of(&whole),
         }
     }
 
@@ -438,7 +438,7 @@
             shut: u32,
             tasks: usize,
             tasks_out_of_reach: usize,
-            tasks_waiting_for_it: u32
+            tasks_waiting_for_it: u32,
         }
         let mut counts: BTreeMap<&Zone, Counts> = BTreeMap::new();
         for m in self.machines.values() {
@@ -446,7 +446,7 @@
             match m.state {
                 MachineState::Up => c.up += 1,
                 MachineState::Booting => c.booting += 1,
-                MachineState::Leaving { .. } => c.leaving += 1
+                MachineState::Leaving { .. } => c.leaving += 1,
             }
             c.shut += m.closed as u32;
             c.tasks += m.allocations.len();
