--- a/src/node/balance.rs
+++ b/src/node/balance.rs
@@ -197,7 +197,7 @@
         };
         let loads = self.peers.worker_loads();
         let target = most_free_controller(&loads).map(Arc::new);
-        self.notice.redirect_target.store(target);
+        self.shared.redirect_target.store(target);
         let others = loads.into_iter().map(|load| ControllerLoad {
             capacity: capacity(&load.label, load.max_workers),
             label: load.label,
--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -1,4 +1,4 @@
-//! Whether this controller can serve, and numbers for operators.
+//! The health check of this controller, and the overview for operators.
 
 use super::request_log::RequestKind;
 use super::{Node, Role};
@@ -7,14 +7,16 @@
 use crate::time::{Span, Time};
 use hdrhistogram::Histogram;
 
-/// A controller that has had no way to a leader for so long, though one is there,
-/// leaves its users to the others.
+/// After this time without a route to a leader that exists, a controller reports
+/// unhealthy so that users are sent to the others.
 const MAX_UNREACHABLE_LEADER: Span = Span(2_500_000);
-/// From a start until the other controllers and the state service have been heard.
+/// Time after the start in which a controller counts as healthy, until it has heard from
+/// the other controllers and the state service.
 const STARTUP_GRACE: Span = Span(1_000_000);
-/// Without any leader for longer, a controller is not healthy.
+/// A controller without any leader for longer is unhealthy.
 const MAX_LEADERLESS: Span = Span(40_000_000);
-/// A controller alone is in touch with the state service if that answered so lately.
+/// A controller that reaches no other one stays healthy if the state service answered
+/// within this time.
 const STATE_SERVICE_FRESH: Span = Span(2_000_000);
 
 fn quantiles_ms(histogram: &Histogram<u64>) -> serde_json::Value {
@@ -27,30 +29,33 @@
 }
 
 impl Node {
-    /// Healthy unless this controller is cut off while others may not be.
+    /// The result of the health check: true unless this controller is disconnected while
+    /// others may not be.
     pub(super) fn can_serve(&mut self, now: Time) -> bool {
-        if self.has_way_to_leader(now) {
-            self.led_at = now;
+        if self.has_route_to_leader(now) {
+            self.leader_reachable_at = now;
             return true;
         }
-        // Just started, it knows of nobody yet. Two probes that fail in a row cost
-        // three seconds without users, or many more the next time.
+        // A controller that has just started knows no peers yet. Two failed probes in a
+        // row remove it from load balancing for three seconds, and for much longer when it
+        // happens again.
         if now - self.started < STARTUP_GRACE {
             return true;
         }
         if self.others_serve_better(now) {
             return false;
         }
-        // Between two leaders, or while the state service is down for all,
-        // being taken out of the load balancing would only make it last longer.
-        let in_touch = self.peers.any_reachable() || now - self.state_ok_at < STATE_SERVICE_FRESH;
-        now - self.led_at < MAX_LEADERLESS && in_touch
+        // During a failover or an outage of the state service all controllers are alike:
+        // removal from load balancing would only prolong the interruption.
+        let connected =
+            self.peers.any_reachable() || now - self.state_answered_at < STATE_SERVICE_FRESH;
+        now - self.leader_reachable_at < MAX_LEADERLESS && connected
     }
 
-    /// This controller leads, or reaches the one that does.
-    fn has_way_to_leader(&self, now: Time) -> bool {
+    /// Whether this controller leads or can reach the leader.
+    fn has_route_to_leader(&self, now: Time) -> bool {
         match &self.role {
-            Role::Leader(term) => term.sched.may_start(now),
+            Role::Leader(leadership) => leadership.scheduler.may_start(now),
             Role::Loading(_) => true,
             Role::Follower => {
                 let leader = self.peers.best_leader().map(|(label, _)| label);
@@ -60,45 +65,48 @@
         }
     }
 
-    /// The state service says that another controller leads, but no way leads there:
-    /// users are served better by those that have one.
+    /// Whether the state service names another controller as the leader, which this one
+    /// can't reach: users are served better by controllers that can.
     fn others_serve_better(&self, now: Time) -> bool {
         let own_label = &self.settings.platform.label;
-        let led_elsewhere = self.seen.as_ref().is_some_and(|l| l.label != *own_label);
+        let led_elsewhere = self
+            .observed_leader
+            .as_ref()
+            .is_some_and(|l| l.label != *own_label);
         led_elsewhere
-            && now - self.led_at > MAX_UNREACHABLE_LEADER
-            && now - self.state_ok_at < MAX_UNREACHABLE_LEADER
+            && now - self.leader_reachable_at > MAX_UNREACHABLE_LEADER
+            && now - self.state_answered_at < MAX_UNREACHABLE_LEADER
     }
 
-    /// The epoch that this controller leads, or is taking over.
+    /// The epoch in which this controller leads, or loads the state in order to lead.
     pub(super) fn own_epoch(&self) -> Option<Epoch> {
         match &self.role {
-            Role::Leader(term) => Some(term.epoch),
+            Role::Leader(leadership) => Some(leadership.epoch),
             Role::Loading(epoch) => Some(*epoch),
             Role::Follower => None,
         }
     }
 
-    /// How long the question that has waited longest for its answer has been here.
+    /// Age of the oldest unanswered question, in milliseconds.
     fn oldest_question_ms(&self, now: Time) -> u64 {
         let questions = self.pending.values();
         let questions = questions.filter(|p| p.kind == RequestKind::Question);
-        let oldest = questions.map(|p| p.since).min();
-        oldest.map_or(0, |since| (now - since).0 / 1000)
+        let oldest = questions.map(|p| p.received_at).min();
+        oldest.map_or(0, |received_at| (now - received_at).0 / 1000)
     }
 
-    /// Logs what was answered and refused since the last summary, if one is due.
+    /// Logs the answered and refused requests since the last summary, if one is due.
     pub(super) fn log_requests(&mut self, now: Time) {
         let Some(requests) = self.request_log.take_summary(now) else {
             return;
         };
         let epoch = self.own_epoch().map_or(0, |epoch| epoch.0);
         let leader = self.peers.best_leader().map(|(label, _)| label.to_string());
-        let proof_age_ms = (now - self.proven).0 / 1000;
+        let proof_age_ms = (now - self.proven_at).0 / 1000;
         let election = self.request_log.election;
         let connections = self.server.metrics();
         let look_ups = match &self.role {
-            Role::Leader(term) => term.sched.look_up_counts(),
+            Role::Leader(leadership) => leadership.scheduler.look_up_counts(),
             _ => LookUpCounts::default(),
         };
         tracing::info!(
@@ -109,50 +117,50 @@
             unavailable = election.unavailable,
             waiting = self.pending.len(),
             oldest_question_ms = self.oldest_question_ms(now),
-            messages_waiting = self.waiting,
-            state_requests_waiting = self.store.len(),
+            messages_waiting = self.queued_messages,
+            state_requests_waiting = self.state_requests.len(),
             workers = self.worker_balance.reporting(),
             connections = connections.open,
             turned_away = connections.turned_away,
             ?look_ups,
             requests,
-            "requests by outcome"
+            "request summary: answered and refused requests by kind"
         );
     }
 
-    /// What operators are shown of this controller, as JSON.
+    /// The overview of this controller for operators, as JSON.
     pub(super) fn overview(&mut self, now: Time) -> serde_json::Value {
         let role = match &self.role {
             Role::Follower => "follower",
             Role::Loading(_) => "taking over",
             Role::Leader(_) => "leader",
         };
-        let mut v = serde_json::json!({
+        let mut overview = serde_json::json!({
             "label": self.settings.platform.label,
             "role": role,
             "leader": self.peers.best_leader().map(|l| l.0),
             "waiting": self.pending.len(),
             "answers": self.latency.len(),
             "answer_ms": quantiles_ms(&self.latency),
-            "loop_ms": quantiles_ms(&self.turns),
-            "messages_waiting": self.waiting,
+            "loop_ms": quantiles_ms(&self.turn_times),
+            "messages_waiting": self.queued_messages,
             "most": { "requests": self.sizes.requests, "messages": self.sizes.inbox,
                 "jobs": self.sizes.jobs, "final_states": self.sizes.finals,
                 "machines_alone": self.sizes.machines },
             "connections": self.server.metrics(),
             "workers_reporting_here": self.worker_balance.reporting(),
             "calls_waiting": {
-                "state": self.store.len(), "cloud": self.cloud.len(), "workers": self.agents.len(),
+                "state": self.state_requests.len(), "cloud": self.cloud_requests.len(), "workers": self.direct_calls.len(),
             },
         });
-        v["answers_by_kind"] = self.request_log.overview();
-        v["violations"] = self.invariants.violations().into();
-        v["oldest_question_ms"] = self.oldest_question_ms(now).into();
-        v["versions"] = self.upgrade.overview();
-        if let Role::Leader(t) = &mut self.role {
-            v["scheduler"] = t.sched.overview(now);
-            v["store"] = t.commit.overview(now);
+        overview["answers_by_kind"] = self.request_log.overview();
+        overview["violations"] = self.invariants.violations().into();
+        overview["oldest_question_ms"] = self.oldest_question_ms(now).into();
+        overview["versions"] = self.upgrade.overview();
+        if let Role::Leader(leadership) = &mut self.role {
+            overview["scheduler"] = leadership.scheduler.overview(now);
+            overview["store"] = leadership.commit.overview(now);
         }
-        v
+        overview
     }
 }
--- a/src/node/inbox.rs
+++ b/src/node/inbox.rs
@@ -1,19 +1,19 @@
-//! The order in which the main loop takes what has arrived. Heartbeats are by far the
-//! most messages. In a line of their own they never hold up users' requests, nor the
-//! results of this controller's calls, when they come faster than they are handled.
+//! The order in which the main loop takes messages. Most messages are heartbeats. They
+//! have a queue of their own, so that they never delay users' requests or the results of
+//! this controller's calls when they arrive faster than they are handled.
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 
-/// The sending side of the two lines.
+/// The sending side of the two queues.
 pub struct InboxSenders<M> {
-    /// Workers' heartbeats, from here or passed on by another controller.
+    /// Workers' heartbeats, received here or forwarded by another controller.
     pub heartbeats: Sender<M>,
     /// Everything else.
     pub others: Sender<M>,
 }
 
-/// The receiving side. While both lines have messages, each gets every other turn, so
-/// that neither can keep the other waiting.
+/// The receiving side. While both queues have messages they alternate, so that neither
+/// can starve the other.
 pub struct Inbox<M> {
     /// Workers' heartbeats.
     pub heartbeats: Receiver<M>,
@@ -22,16 +22,17 @@
     heartbeat_is_next: bool,
 }
 
-/// Both sides of an inbox; each line holds `capacity` messages, then senders wait.
+/// Creates both sides of an inbox. Each queue holds `capacity` messages; senders block
+/// while it is full.
 pub fn inbox<M>(capacity: usize) -> (InboxSenders<M>, Inbox<M>) {
     let (heartbeats, heartbeat_receiver) = bounded(capacity);
     let (others, other_receiver) = bounded(capacity);
-    let receiving = Inbox {
+    let receiver = Inbox {
         heartbeats: heartbeat_receiver,
         others: other_receiver,
         heartbeat_is_next: false,
     };
-    (InboxSenders { heartbeats, others }, receiving)
+    (InboxSenders { heartbeats, others }, receiver)
 }
 
 impl<M> Inbox<M> {
@@ -45,7 +46,7 @@
         first.try_recv().or_else(|_| second.try_recv()).ok()
     }
 
-    /// Messages that wait, heartbeats among them.
+    /// Number of queued messages, including heartbeats.
     pub fn waiting(&self) -> usize {
         self.heartbeats.len() + self.others.len()
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A controller: its threads, and the loop that holds everything together.
+//! The controller process: its threads, and the main loop that owns all state.
 
 pub mod balance;
 mod health;
@@ -51,50 +51,51 @@
 use threads::state_service::StateRequest;
 use upgrade::Upgrade;
 
-/// Stack of a thread: the machine is small, and nothing here recurses deeply.
+/// Stack size of each thread: memory is scarce, and nothing here recurses deeply.
 const STACK_BYTES: usize = 256 * 1024;
-/// How often the loop looks at what time alone makes due.
+/// How often the main loop handles timeouts and periodic work.
 const TICK_INTERVAL: Span = Span(250_000);
-/// Messages taken before the loop looks at its other duties.
+/// Messages handled in one turn before timers and writes are handled.
 const MESSAGES_PER_TURN: usize = 50;
-/// Share of the state service's requests that each controller may take for final
-/// states that it is asked about while no leader is in reach.
+/// Share of the state service's request rate that each controller may use to look up
+/// final states for polls while no leader is reachable.
 const FINAL_READS_SHARE: f64 = 0.1;
-/// A request that has waited here for so long may be answered too late: a worker
-/// waits for 4 s in all.
-const BEHIND_AFTER: Span = Span(700_000);
-/// At the end, answers that are due have so long to be written.
-const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(500);
+/// A request queued for longer may be answered too late: a worker waits for 4 s in
+/// total.
+const MAX_QUEUEING_DELAY: Span = Span(700_000);
+/// How long a shutdown waits until the remaining responses are written.
+const SHUTDOWN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// False if the system gives no more threads.
+/// Starts a named thread; false if the operating system refuses it.
 pub fn spawn(name: &str, f: impl FnOnce() + Send + 'static) -> bool {
-    let b = std::thread::Builder::new()
+    let builder = std::thread::Builder::new()
         .name(name.into())
         .stack_size(STACK_BYTES);
-    let started = b.spawn(f);
+    let started = builder.spawn(f);
     if let Err(e) = &started {
-        tracing::error!(name, error = %e, "a thread could not be started");
+        tracing::error!(name, error = %e, "thread could not be started");
     }
     started.is_ok()
 }
 
-/// The server, and how it reaches the main loop.
+/// Passes requests of the HTTP server to the main loop.
 type HttpInbox = Box<dyn Fn(ApiRequest) -> bool + Send + Sync>;
-type HttpSide = api::Api<HttpInbox>;
+type HttpApi = api::Api<HttpInbox>;
 
 impl InboxSenders<Message> {
-    /// Puts a message into its line; false if the main loop has ended.
-    fn put(&self, message: Message) -> bool {
-        let line = match message.is_heartbeat() {
+    /// Puts a message into its queue; false if the main loop has ended.
+    fn enqueue(&self, message: Message) -> bool {
+        let queue = match message.is_heartbeat() {
             true => &self.heartbeats,
             false => &self.others,
         };
-        line.send(message).is_ok()
+        queue.send(message).is_ok()
     }
 }
 
 impl Message {
-    /// A worker's heartbeat, from here or passed on by another controller.
+    /// Whether this is a worker's heartbeat, received here or forwarded by another
+    /// controller.
     fn is_heartbeat(&self) -> bool {
         let (Message::Http(ApiRequest::Forwardable(_, ask))
         | Message::Peer(PeerEvent::Message(_, PeerMsg::Ask { ask, .. }))) = self
@@ -105,42 +106,49 @@
     }
 }
 
-/// Everything that reaches the main loop.
+/// A message to the main loop.
 pub enum Message {
+    /// A request of a user, worker or operator.
     Http(ApiRequest),
+    /// A message of another controller, or the end of the link to it.
     Peer(PeerEvent),
+    /// The stored state was read after an election.
     Loaded(Box<LoadedState>),
-    /// Machine types, which every controller keeps at hand.
+    /// Machine types, which every controller caches so that a new leader need not ask.
     MachineTypes(Vec<Flavor>),
-    /// The process is to end in good order.
+    /// Shut down gracefully.
     Stop,
-    /// An event of a term; those of earlier terms are dropped.
+    /// A scheduler event of an epoch; those of earlier epochs are dropped.
     Event(Epoch, Event),
+    /// The outcome of a transaction.
     Txn(Epoch, TxnId, Outcome),
+    /// The value of a key whose write had an unclear outcome.
     ReadBack(Epoch, String, Result<Option<Item>, ReadError>),
-    /// A page of jobs is ready.
+    /// The answer to a request for a list of jobs.
     ListReady(ReqId, Answer),
-    /// A look-up of a final state without a leader.
+    /// The result of a final state read while no leader is reachable.
     FinalRead(ReqId, JobId, Result<Option<Final>, ()>),
-    /// Versions of controllers, and the switch to compact records.
-    Upgrade(upgrade::UpgradeNews),
+    /// News about controller versions or the switch to compact records.
+    Upgrade(upgrade::UpgradeEvent),
 }
 
+/// Where the answer to a request goes.
 enum Origin {
     Http(Reply),
     Peer { from: Label, id: u64 },
 }
 
+/// A request without an answer yet.
 struct PendingRequest {
     origin: Origin,
-    since: Time,
-    limit: Span,
+    received_at: Time,
+    timeout: Span,
     kind: RequestKind,
-    /// A worker's report that was passed on, in case that another leader
-    /// comes before the answer.
-    report: Option<Vec<u8>>,
-    /// The leader that it was passed on to, and its term.
-    with: Option<(Label, Epoch)>,
+    /// The body of a forwarded heartbeat, kept so that it can be sent to another leader
+    /// that is elected before the answer arrives.
+    heartbeat: Option<Vec<u8>>,
+    /// The leader that the request was forwarded to, and its epoch.
+    forwarded_to: Option<(Label, Epoch)>,
 }
 
 enum Role {
@@ -149,11 +157,12 @@
     Leader(Box<Leadership>),
 }
 
+/// The state of a leader, dropped when the leadership ends.
 struct Leadership {
     epoch: Epoch,
-    sched: Sched,
+    scheduler: Sched,
     commit: Committer,
-    /// What readers are shown of the unfinished jobs.
+    /// The list of unfinished jobs that readers see.
     board: Board,
     switch: Switch,
 }
@@ -163,43 +172,48 @@
     clock: Clock,
     peers: Arc<Peers>,
     role: Role,
-    seen: Option<LeaderRecord>,
-    state_ok_at: Time,
-    led_at: Time,
-    proven: Time,
-    notice: Arc<SharedStatus>,
-    server: Server<HttpSide>,
-    term: Arc<AtomicU64>,
-    store: Sender<StateRequest>,
-    cloud: Sender<CloudRequest>,
-    agents: Sender<DirectCall>,
-    lists: Sender<(ReqId, job_lists::ListRequest)>,
+    /// The leader that the state service last named.
+    observed_leader: Option<LeaderRecord>,
+    /// When the state service last answered an election step.
+    state_answered_at: Time,
+    /// When this controller last led or could reach a leader.
+    leader_reachable_at: Time,
+    /// When the lease of the own leadership was last confirmed.
+    proven_at: Time,
+    shared: Arc<SharedStatus>,
+    server: Server<HttpApi>,
+    /// The epoch of the own leadership, zero for none; read by the cloud thread.
+    leading_epoch: Arc<AtomicU64>,
+    state_requests: Sender<StateRequest>,
+    cloud_requests: Sender<CloudRequest>,
+    direct_calls: Sender<DirectCall>,
+    list_requests: Sender<(ReqId, job_lists::ListRequest)>,
     inbox: Sender<Message>,
     pending: HashMap<ReqId, PendingRequest>,
     next_req: u64,
     sizes: Sizes,
-    /// Look-ups of final states without a leader.
-    looks: Budget,
+    /// Limits reads of final states while no leader is reachable.
+    final_read_budget: Budget,
     worker_balance: WorkerBalance,
-    /// What goes to other controllers at the end of this turn.
-    outbox: HashMap<Label, Vec<PeerMsg>>,
-    flavors: Vec<Flavor>,
+    /// Messages sent to other controllers at the end of this turn of the loop.
+    outgoing: HashMap<Label, Vec<PeerMsg>>,
+    machine_types: Vec<Flavor>,
     latency: Histogram<u64>,
     request_log: RequestLog,
     invariants: Invariants,
-    /// How long the turns of the loop take.
-    turns: Histogram<u64>,
-    /// Messages that waited when the loop last looked.
-    waiting: usize,
-    /// A request has waited for too long since the last tick.
-    behind: bool,
+    /// Duration of the turns of the main loop, in microseconds.
+    turn_times: Histogram<u64>,
+    /// Length of the inbox when the loop last took a message from it.
+    queued_messages: usize,
+    /// A request was queued for longer than `MAX_QUEUEING_DELAY` since the last tick.
+    requests_delayed: bool,
     started: Time,
     stopping: Option<Time>,
     election: Sender<ElectionCommand>,
     upgrade: Upgrade,
 }
 
-/// Sockets that this controller may need for its own calls.
+/// The most sockets that this controller needs for its own calls.
 pub fn sockets_for_calls() -> usize {
     threads::SOCKETS + state_loading::SOCKETS + upgrade::SOCKETS
 }
@@ -210,73 +224,80 @@
     let sizes = settings.sizes().map_err(std::io::Error::other)?;
     let (senders, received) = inbox::inbox::<Message>(sizes.inbox);
     let inbox = senders.others.clone();
-    let p = &settings.platform;
-    let notice = Arc::new(SharedStatus::default());
-    let term = Arc::new(AtomicU64::new(0));
+    let platform = &settings.platform;
+    let shared = Arc::new(SharedStatus::default());
+    let leading_epoch = Arc::new(AtomicU64::new(0));
     let senders = Arc::new(senders);
-    let lines = senders.clone();
-    let to_inbox: HttpInbox = Box::new(move |incoming| lines.put(Message::Http(incoming)));
-    let server = api::start(&settings, notice.clone(), to_inbox)?;
-    let to_inbox = move |from_peers| senders.put(Message::Peer(from_peers));
-    let most = server.metrics().bounds.max_for(RequestClass::Workers) as u32;
+    let http_senders = senders.clone();
+    let to_inbox: HttpInbox = Box::new(move |request| http_senders.enqueue(Message::Http(request)));
+    let server = api::start(&settings, shared.clone(), to_inbox)?;
+    let to_inbox = move |event| senders.enqueue(Message::Peer(event));
+    let max_workers = server.metrics().bounds.max_for(RequestClass::Workers) as u32;
     let instance = Instance(rand::random::<u32>() as u64);
-    let own = LocalController {
-        label: p.label.clone(),
+    let local = LocalController {
+        label: platform.label.clone(),
         instance,
-        max_workers: most,
+        max_workers,
     };
-    let peers = Peers::start(own, clock, p.cluster_listen, &p.seeds, to_inbox)?;
-    // From here on no other process holds that address.
-    let me = Candidate {
-        label: p.label.clone(),
+    let peers = Peers::start(
+        local,
+        clock,
+        platform.cluster_listen,
+        &platform.seeds,
+        to_inbox,
+    )?;
+    // The listening socket is bound: no other process holds that address from now on.
+    let candidate = Candidate {
+        label: platform.label.clone(),
         instance,
-        address: Some(BoundAddress::of_this_process(p.cluster_listen)),
+        address: Some(BoundAddress::of_this_process(platform.cluster_listen)),
     };
-    let store = threads::state_service::start(&settings, &inbox);
-    let cloud = threads::cloud::start(&settings, clock, term.clone(), inbox.clone());
-    let agents = threads::direct_calls::start(clock, &inbox);
-    let lists = job_lists::start(&settings, clock, notice.clone(), inbox.clone());
-    let election = threads::election::start(&settings, clock, me);
+    let state_requests = threads::state_service::start(&settings, &inbox);
+    let cloud_requests =
+        threads::cloud::start(&settings, clock, leading_epoch.clone(), inbox.clone());
+    let direct_calls = threads::direct_calls::start(clock, &inbox);
+    let list_requests = job_lists::start(&settings, clock, shared.clone(), inbox.clone());
+    let election = threads::election::start(&settings, clock, candidate);
     let upgrade = Upgrade::start(&settings, clock, instance, inbox.clone());
-    let tx = inbox.clone();
+    let stop_sender = inbox.clone();
     if let Err(e) = ctrlc::set_handler(move || {
-        let _ = tx.send(Message::Stop);
+        let _ = stop_sender.send(Message::Stop);
     }) {
-        tracing::warn!(error = %e, "an interrupt will end the process at once");
+        tracing::warn!(error = %e, "signal handler not installed; an interrupt ends the process without a graceful shutdown");
     }
-    tracing::info!(label = %p.label, zone = %p.zone, listen = %p.listen, "started");
+    tracing::info!(label = %platform.label, zone = %platform.zone, listen = %platform.listen, "started");
     let now = clock.now();
-    let looks = settings.platform.params.state.rps * FINAL_READS_SHARE;
+    let final_read_rate = settings.platform.params.state.rps * FINAL_READS_SHARE;
     let node = Node {
         settings,
         clock,
         peers,
         role: Role::Follower,
-        seen: None,
-        state_ok_at: Time::default(),
-        led_at: now,
-        proven: Time::default(),
-        notice,
+        observed_leader: None,
+        state_answered_at: Time::default(),
+        leader_reachable_at: now,
+        proven_at: Time::default(),
+        shared,
         server,
-        term,
-        store,
-        cloud,
-        agents,
-        lists,
+        leading_epoch,
+        state_requests,
+        cloud_requests,
+        direct_calls,
+        list_requests,
         inbox,
         pending: HashMap::new(),
         next_req: first_request_id(instance),
         sizes,
-        looks: Budget::new(looks, 2.0 * looks),
+        final_read_budget: Budget::new(final_read_rate, 2.0 * final_read_rate),
         worker_balance: WorkerBalance::default(),
-        outbox: HashMap::new(),
-        flavors: vec![],
+        outgoing: HashMap::new(),
+        machine_types: vec![],
         latency: histogram()?,
         request_log: RequestLog::default(),
         invariants: Invariants::default(),
-        turns: histogram()?,
-        waiting: 0,
-        behind: false,
+        turn_times: histogram()?,
+        queued_messages: 0,
+        requests_delayed: false,
         started: now,
         stopping: None,
         election: election.commands,
@@ -286,35 +307,36 @@
     Ok(())
 }
 
-/// Numbers of requests that no other process under this label has used: what an
-/// earlier one was to be told arrives here, and once answered others' requests.
+/// The first request id of a process; the ids of two processes with the same label
+/// never overlap. An answer meant for an earlier process may arrive at this one, and
+/// with equal ids it once answered another request.
 pub fn first_request_id(instance: Instance) -> u64 {
     (instance.0 << 32) + 1
 }
 
-/// Microseconds, up to a minute.
+/// A histogram of microseconds, up to one minute.
 fn histogram() -> std::io::Result<Histogram<u64>> {
     Histogram::new_with_bounds(1, 60_000_000, 2).map_err(std::io::Error::other)
 }
 
 impl Node {
     fn run(mut self, mut inbox: Inbox<Message>, elections: Receiver<ElectionOutcome>) {
-        // The first one is due at once: health checks are waiting.
-        let mut tick = Time::default();
+        // The first tick is due at once, as health checks depend on it.
+        let mut last_tick = Time::default();
         loop {
             let now = self.clock.now();
-            let mut until = tick + TICK_INTERVAL;
-            if let Role::Leader(t) = &self.role
-                && let Some(pass) = t.sched.wake_at()
+            let mut wake_at = last_tick + TICK_INTERVAL;
+            if let Role::Leader(leadership) = &self.role
+                && let Some(pass) = leadership.scheduler.wake_at()
             {
-                until = until.min(pass.max(now + Span::millis(3)));
+                wake_at = wake_at.min(pass.max(now + Span::millis(3)));
             }
-            let mut turn = until;
-            let wait = (until - now).std().max(Duration::from_millis(1));
-            let first = select_biased! {
-                recv(elections) -> e => {
-                    if let Ok(e) = e {
-                        self.election_outcome(self.clock.now(), e);
+            let mut turn_start = wake_at;
+            let wait = (wake_at - now).std().max(Duration::from_millis(1));
+            let first_message = select_biased! {
+                recv(elections) -> outcome => {
+                    if let Ok(outcome) = outcome {
+                        self.handle_election_outcome(self.clock.now(), outcome);
                     }
                     Err(RecvTimeoutError::Timeout)
                 }
@@ -322,143 +344,160 @@
                 recv(inbox.heartbeats) -> m => m.map_err(|_| RecvTimeoutError::Disconnected),
                 default(wait) => Err(RecvTimeoutError::Timeout),
             };
-            match first {
-                Ok(m) => {
-                    self.waiting = inbox.waiting();
-                    turn = self.clock.now();
-                    self.take(m);
-                    // What has come meanwhile is seen before anything is written.
+            match first_message {
+                Ok(message) => {
+                    self.queued_messages = inbox.waiting();
+                    turn_start = self.clock.now();
+                    self.handle_message(message);
+                    // Handles what has arrived meanwhile before anything is written.
                     for _ in 0..MESSAGES_PER_TURN {
-                        let Some(m) = inbox.try_next() else { break };
-                        // Proofs pass all else: without one nothing may be answered.
-                        for e in elections.try_iter() {
-                            self.election_outcome(self.clock.now(), e);
+                        let Some(message) = inbox.try_next() else {
+                            break;
+                        };
+                        // Lease renewals go first: without a proven lease nothing may be
+                        // answered.
+                        for outcome in elections.try_iter() {
+                            self.handle_election_outcome(self.clock.now(), outcome);
                         }
-                        self.take(m);
+                        self.handle_message(message);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             let now = self.clock.now();
-            if let Role::Leader(t) = &self.role
-                && t.sched.wake_at().is_some_and(|at| now >= at)
+            if let Role::Leader(leadership) = &self.role
+                && leadership.scheduler.wake_at().is_some_and(|at| now >= at)
             {
-                let epoch = t.epoch;
-                self.event_with_pass(now, epoch, Event::Wake);
+                let epoch = leadership.epoch;
+                self.handle_event_with_pass(now, epoch, Event::Wake);
             }
-            if now - tick >= TICK_INTERVAL {
-                tick = now;
+            if now - last_tick >= TICK_INTERVAL {
+                last_tick = now;
                 self.tick(now);
             }
             self.flush(now);
-            self.send_outbox(now);
-            if turn < now {
-                self.turns.saturating_record((self.clock.now() - turn).0);
+            self.send_outgoing(now);
+            if turn_start < now {
+                self.turn_times
+                    .saturating_record((self.clock.now() - turn_start).0);
             }
             if let Some(since) = self.stopping
                 && (self.pending.is_empty() || now - since > Span::secs(3.0))
             {
-                // Nothing leaves under a term whose key is given up.
+                // Steps down before resigning, so that nothing is sent under an epoch whose
+                // key was released.
                 self.step_down(now, LeadershipEnd::Stopping);
-                self.send_outbox(now);
+                self.send_outgoing(now);
                 self.resign();
-                self.server.stop(LAST_ANSWERS_TIMEOUT);
+                self.server.stop(SHUTDOWN_RESPONSE_TIMEOUT);
                 return;
             }
         }
     }
 
-    /// Gives up the leadership, so that the next leader takes over at once.
+    /// Releases the leader's lease, so that the next leader is elected at once.
     fn resign(&mut self) {
         let (done, resigned) = crossbeam_channel::bounded(1);
         if self.election.send(ElectionCommand::Stop(done)).is_ok() {
             let _ = resigned.recv_timeout(Duration::from_secs(3));
         }
-        tracing::info!("stopped");
+        tracing::info!("controller stopped");
     }
 
-    fn take(&mut self, m: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.clock.now();
-        match m {
+        match message {
             Message::Http(ApiRequest::Forwardable(reply, ask)) => {
-                // From when it was here, not from when it had waited its turn.
-                let since = self.clock.at(reply.asked()).min(now);
-                self.behind |= now - since > BEHIND_AFTER;
-                self.ask(now, since, Origin::Http(reply), ask);
+                // Counts from the arrival, so that time in the queue is included.
+                let received_at = self.clock.at(reply.asked()).min(now);
+                self.requests_delayed |= now - received_at > MAX_QUEUEING_DELAY;
+                self.handle_request(now, received_at, Origin::Http(reply), ask);
             }
             Message::Http(ApiRequest::Overview(reply)) => {
                 let body = self.overview(now).to_string();
                 reply.answer(Answer::new(200, body));
             }
             Message::Peer(PeerEvent::Disconnected(label)) => self.peer_gone(now, &label),
-            Message::Peer(PeerEvent::Message(since, PeerMsg::Ask { id, from, ask, .. })) => {
+            Message::Peer(PeerEvent::Message(received_at, PeerMsg::Ask { id, from, ask, .. })) => {
                 let from = Label::from(from.as_str());
                 let origin = Origin::Peer { from, id };
-                self.behind |= now - since > BEHIND_AFTER;
-                self.ask_from_peer(now, since, origin, ask);
+                self.requests_delayed |= now - received_at > MAX_QUEUEING_DELAY;
+                self.handle_peer_request(now, received_at, origin, ask);
             }
             Message::Peer(PeerEvent::Message(_, PeerMsg::Tell { id, answer, .. })) => {
                 self.answer(now, ReqId(id), answer);
             }
             Message::Peer(PeerEvent::Message(_, PeerMsg::Ping { .. })) => {}
-            Message::Loaded(l) => self.loaded(now, *l),
-            Message::MachineTypes(f) => {
-                self.flavors = f.clone();
-                if let Role::Leader(t) = &self.role {
-                    let epoch = t.epoch;
-                    self.event(now, epoch, Event::Flavors(f));
+            Message::Loaded(loaded) => self.loaded(now, *loaded),
+            Message::MachineTypes(machine_types) => {
+                self.machine_types = machine_types.clone();
+                if let Role::Leader(leadership) = &self.role {
+                    let epoch = leadership.epoch;
+                    self.handle_event(now, epoch, Event::Flavors(machine_types));
                 }
             }
-            Message::Event(epoch, e) => self.event(now, epoch, e),
+            Message::Event(epoch, event) => self.handle_event(now, epoch, event),
             Message::Txn(epoch, id, outcome) => {
-                if let Some(t) = self.term(epoch) {
-                    let (events, steps) = t.commit.finished(now, id, outcome, &mut t.sched);
+                if let Some(leadership) = self.leadership(epoch) {
+                    let (events, steps) =
+                        leadership
+                            .commit
+                            .finished(now, id, outcome, &mut leadership.scheduler);
                     self.after_commit(now, events, steps);
                 }
             }
-            Message::ReadBack(epoch, key, r) => {
-                if let Some(t) = self.term(epoch) {
-                    let (events, steps) = t.commit.read_back(key, r, &mut t.sched);
+            Message::ReadBack(epoch, key, item) => {
+                if let Some(leadership) = self.leadership(epoch) {
+                    let (events, steps) =
+                        leadership
+                            .commit
+                            .read_back(key, item, &mut leadership.scheduler);
                     self.after_commit(now, events, steps);
                 }
             }
             Message::Stop => {
-                tracing::info!(open = self.pending.len(), "stopping");
+                tracing::info!(open = self.pending.len(), "controller stopping");
                 self.stopping = Some(now);
-                self.notice.healthy.store(false, Ordering::Relaxed);
+                self.shared.healthy.store(false, Ordering::Relaxed);
                 self.server.close();
             }
-            Message::ListReady(req, a) => self.answer(now, req, a),
-            Message::FinalRead(req, id, r) => {
-                self.answer(now, req, routing::answer_final_read(&id, r));
+            Message::ListReady(req, answer) => self.answer(now, req, answer),
+            Message::FinalRead(req, id, final_state) => {
+                self.answer(now, req, routing::answer_final_read(&id, final_state));
             }
-            Message::Upgrade(news) => self.upgrade_news(now, news),
+            Message::Upgrade(news) => self.handle_upgrade_event(now, news),
         }
     }
 
-    fn term(&mut self, epoch: Epoch) -> Option<&mut Leadership> {
+    /// The leadership of that epoch, unless it has ended.
+    fn leadership(&mut self, epoch: Epoch) -> Option<&mut Leadership> {
         match &mut self.role {
-            Role::Leader(t) if t.epoch == epoch => Some(t),
+            Role::Leader(leadership) if leadership.epoch == epoch => Some(leadership),
             _ => None,
         }
     }
 
-    fn event(&mut self, now: Time, epoch: Epoch, e: Event) {
-        let Some(t) = self.term(epoch) else { return };
-        let effects = t.sched.handle(now, e);
-        self.effects(now, epoch, effects);
+    /// Passes an event to the scheduler of that epoch and applies its effects.
+    fn handle_event(&mut self, now: Time, epoch: Epoch, event: Event) {
+        let Some(leadership) = self.leadership(epoch) else {
+            return;
+        };
+        let effects = leadership.scheduler.handle(now, event);
+        self.apply_effects(now, epoch, effects);
     }
 
-    fn effects(&mut self, now: Time, epoch: Epoch, effects: Vec<Effect>) {
-        for e in effects {
-            match e {
-                Effect::Answer(req, a) => self.answer(now, req, a),
+    fn apply_effects(&mut self, now: Time, epoch: Epoch, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Answer(req, answer) => self.answer(now, req, answer),
                 Effect::ReadFinal(id) => {
-                    let _ = self.store.send(StateRequest::ReadFinal(epoch, id));
+                    let _ = self.state_requests.send(StateRequest::ReadFinal(epoch, id));
                 }
                 Effect::ReadRecord(req, id) => {
-                    let _ = self.store.send(StateRequest::ReadRecord(epoch, req, id));
+                    let _ = self
+                        .state_requests
+                        .send(StateRequest::ReadRecord(epoch, req, id));
                 }
                 Effect::Orders {
                     call,
@@ -474,31 +513,33 @@
                         addr,
                         orders,
                     };
-                    let _ = self.agents.send(direct_call);
+                    let _ = self.direct_calls.send(direct_call);
                 }
-                Effect::Hire(h) => {
-                    let _ = self.cloud.send(CloudRequest::Rent(epoch, h));
+                Effect::Hire(request) => {
+                    let _ = self.cloud_requests.send(CloudRequest::Rent(epoch, request));
                 }
                 Effect::Release(hosts) => {
-                    let _ = self.cloud.send(CloudRequest::Return(epoch, hosts));
+                    let _ = self.cloud_requests.send(CloudRequest::Return(epoch, hosts));
                 }
             }
         }
     }
 
     fn after_commit(&mut self, now: Time, events: Vec<Event>, steps: Vec<Step>) {
-        let Role::Leader(t) = &self.role else { return };
-        let epoch = t.epoch;
-        for e in events {
-            self.event(now, epoch, e);
+        let Role::Leader(leadership) = &self.role else {
+            return;
+        };
+        let epoch = leadership.epoch;
+        for event in events {
+            self.handle_event(now, epoch, event);
         }
-        for s in steps {
-            match s {
+        for step in steps {
+            match step {
                 Step::Read(key) => {
-                    let _ = self.store.send(StateRequest::ReadBack(epoch, key));
+                    let _ = self.state_requests.send(StateRequest::ReadBack(epoch, key));
                 }
                 Step::Deposed => {
-                    tracing::warn!(%epoch, "the leader's key is no longer ours");
+                    tracing::warn!(%epoch, "leadership lost: the leader's key was changed by another controller");
                     self.step_down(now, LeadershipEnd::KeyLost);
                     return;
                 }
@@ -506,104 +547,109 @@
         }
     }
 
-    /// Sends what may be committed now.
+    /// Sends the transactions that may be committed now.
     fn flush(&mut self, now: Time) {
-        let Role::Leader(t) = &mut self.role else {
+        let Role::Leader(leadership) = &mut self.role else {
             return;
         };
-        while let Some((id, txn)) = t.commit.next(now, &mut t.sched) {
-            let _ = self.store.send(StateRequest::Commit(t.epoch, id, txn));
+        while let Some((id, txn)) = leadership.commit.next(now, &mut leadership.scheduler) {
+            let _ = self
+                .state_requests
+                .send(StateRequest::Commit(leadership.epoch, id, txn));
         }
     }
 
-    /// Shows readers what has changed, as long as the leadership is proven.
+    /// Publishes changed jobs to readers, as long as the lease is proven.
     fn publish(&mut self, now: Time) {
-        let at = wall().0;
+        let wall_time = wall().0;
         let published = match &mut self.role {
-            Role::Leader(t) => {
-                for (id, line) in t.sched.take_changed() {
+            Role::Leader(leadership) => {
+                for (id, line) in leadership.scheduler.take_changed() {
                     match line {
-                        Ok(l) => t.board.put(l, at),
+                        Ok(line) => leadership.board.put(line, wall_time),
                         Err(state) => {
                             let state = state.map_or("done", |s| s.as_str());
-                            t.board.remove(id.as_str(), state, at);
+                            leadership.board.remove(id.as_str(), state, wall_time);
                         }
                     }
                 }
-                let until = t.sched.proven_until();
+                let until = leadership.scheduler.proven_until();
                 (now < until).then(|| PublishedJobs {
-                    jobs: t.board.publish(),
+                    jobs: leadership.board.publish(),
                     valid_until: self.clock.moment(until),
                 })
             }
             _ => None,
         };
-        self.notice.jobs.store(published.map(Arc::new));
+        self.shared.jobs.store(published.map(Arc::new));
     }
 
     fn tick(&mut self, now: Time) {
-        // Cut off from the state service, a leader learns from the others that
-        // it is none any more.
-        if let (Some(mine), Some((label, epoch))) = (self.own_epoch(), self.peers.best_leader())
-            && epoch > mine
+        // A leader that can't reach the state service learns from the other controllers
+        // that it was replaced.
+        if let (Some(own_epoch), Some((label, epoch))) =
+            (self.own_epoch(), self.peers.best_leader())
+            && epoch > own_epoch
         {
-            tracing::warn!(%label, %epoch, "a later leader is known");
+            tracing::warn!(%label, %epoch, "another controller leads with a larger epoch; stepping down");
             self.step_down(now, LeadershipEnd::LaterLeader);
         }
-        if let Role::Leader(t) = &self.role {
-            let epoch = t.epoch;
-            let away = self.peers.unreachable_peers();
-            self.event(now, epoch, Event::OutOfReach(away));
-            if std::mem::take(&mut self.behind) {
-                self.event(now, epoch, Event::Behind);
+        if let Role::Leader(leadership) = &self.role {
+            let epoch = leadership.epoch;
+            let unreachable = self.peers.unreachable_peers();
+            self.handle_event(now, epoch, Event::OutOfReach(unreachable));
+            if std::mem::take(&mut self.requests_delayed) {
+                self.handle_event(now, epoch, Event::Behind);
             }
-            self.event_with_pass(now, epoch, Event::Tick(wall()));
+            self.handle_event_with_pass(now, epoch, Event::Tick(wall()));
         }
-        let late: Vec<ReqId> = self
+        let timed_out: Vec<ReqId> = self
             .pending
             .iter()
-            .filter(|(_, p)| now - p.since > p.limit)
+            .filter(|(_, p)| now - p.received_at > p.timeout)
             .map(|(r, _)| *r)
             .collect();
-        for req in late {
+        for req in timed_out {
             self.give_up(now, req, "no answer in time");
         }
-        // What was passed to a leader that has fallen silent is not waited for, nor
-        // what an earlier process of the one there is now was asked.
-        let best = self.peers.best_leader();
+        // Requests forwarded to a leader that is unreachable or has restarted get no
+        // answer from it.
+        let current_leader = self.peers.best_leader();
         let lost: Vec<ReqId> = self
             .pending
             .iter()
             .filter(|(_, p)| {
-                p.with.as_ref().is_some_and(|l| {
-                    !self.peers.reachable(&l.0) || requests::leader_restarted(l, best.as_ref())
+                p.forwarded_to.as_ref().is_some_and(|leader| {
+                    !self.peers.reachable(&leader.0)
+                        || requests::leader_restarted(leader, current_leader.as_ref())
                 })
             })
             .map(|(r, _)| *r)
             .collect();
         for req in lost {
-            self.look_elsewhere(now, req);
+            self.reroute(now, req);
         }
-        self.switch_format(now);
+        self.advance_format_switch(now);
         self.balance_workers(now);
         self.publish(now);
         self.log_requests(now);
         self.check_invariants(now);
-        let ok = self.stopping.is_none() && self.can_serve(now);
-        if ok != self.notice.healthy.swap(ok, Ordering::Relaxed) {
-            tracing::info!(healthy = ok, "health changed");
+        let healthy = self.stopping.is_none() && self.can_serve(now);
+        if healthy != self.shared.healthy.swap(healthy, Ordering::Relaxed) {
+            tracing::info!(healthy, "health check result changed");
         }
     }
 }
 
-/// Where final states are looked up.
+/// Decodes a stored final state, if there is one.
 pub(crate) fn final_of(item: Option<Item>) -> Result<Option<Final>, ()> {
     match item {
         None => Ok(None),
-        Some(i) => serde_json::from_value(i.value).map(Some).map_err(|_| ()),
+        Some(item) => serde_json::from_value(item.value).map(Some).map_err(|_| ()),
     }
 }
 
+/// The key of the final state of a job.
 pub(crate) fn key_of_final(id: &JobId) -> String {
     final_key(id)
 }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users and workers: answered as the leader, or passed on to it.
+//! Requests of users and workers: answered as the leader, or forwarded to it.
 
 use super::job_lists::ListRequest;
 use super::request_log::{FIRST_RETRYABLE_STATUS, RequestKind};
@@ -12,60 +12,80 @@
 use crate::wire::peer::{Answer, Ask, PeerMsg};
 use hookworks_listing::{Query, since};
 
-/// A leader that is gone is no longer named by the state service after so long.
-const LOST_AFTER: Span = Span(2_600_000);
+/// Within this time the state service stops naming a leader that has failed.
+const LEADER_FAILOVER_TIMEOUT: Span = Span(2_600_000);
 
 impl Node {
-    pub(super) fn new_req(&mut self, since: Time, origin: Origin, ask: &Ask) -> ReqId {
+    /// Registers a request that awaits its answer.
+    pub(super) fn register_request(
+        &mut self,
+        received_at: Time,
+        origin: Origin,
+        ask: &Ask,
+    ) -> ReqId {
         let req = ReqId(self.next_req);
         self.next_req += 1;
         self.pending.insert(
             req,
             PendingRequest {
                 origin,
-                since,
-                limit: limit_of(ask),
+                received_at,
+                timeout: timeout_of(ask),
                 kind: RequestKind::from(ask),
-                report: None,
-                with: None,
+                heartbeat: None,
+                forwarded_to: None,
             },
         );
         req
     }
 
-    pub(super) fn ask_from_peer(&mut self, now: Time, since: Time, origin: Origin, ask: Ask) {
+    /// Handles a request that another controller has forwarded.
+    pub(super) fn handle_peer_request(
+        &mut self,
+        now: Time,
+        received_at: Time,
+        origin: Origin,
+        ask: Ask,
+    ) {
         let full = self.pending.len() >= self.sizes.requests;
-        let req = self.new_req(since, origin, &ask);
-        if is_expired(&ask, now - since) {
+        let req = self.register_request(received_at, origin, &ask);
+        if is_expired(&ask, now - received_at) {
             return self.answer(now, req, too_late());
         }
         if full {
             return self.answer(now, req, Answer::later("too many requests", 2));
         }
-        if let Some(wanted) = read_only(&ask) {
-            return self.list(now, req, wanted);
+        if let Some(list_request) = read_only(&ask) {
+            return self.queue_list(now, req, list_request);
         }
-        if let Role::Leader(t) = &self.role {
-            let epoch = t.epoch;
+        if let Role::Leader(leadership) = &self.role {
+            let epoch = leadership.epoch;
             let event = match (&self.pending.get(&req).map(|p| &p.origin), ask) {
                 (Some(Origin::Peer { from, .. }), Ask::Report(body)) => {
                     Event::Relayed(req, from.clone(), body)
                 }
                 (_, ask) => Event::Ask(req, ask),
             };
-            self.event(now, epoch, event);
+            self.handle_event(now, epoch, event);
         } else {
             self.answer(now, req, Answer::later("not the leader", 1));
         }
     }
 
-    pub(super) fn ask(&mut self, now: Time, since: Time, origin: Origin, ask: Ask) {
+    /// Handles a request that has arrived at this controller's own server.
+    pub(super) fn handle_request(
+        &mut self,
+        now: Time,
+        received_at: Time,
+        origin: Origin,
+        ask: Ask,
+    ) {
         let full = self.pending.len() >= self.sizes.requests;
-        let req = self.new_req(since, origin, &ask);
+        let req = self.register_request(received_at, origin, &ask);
         if self.stopping.is_some() {
             return self.answer(now, req, Answer::later("stopping", 1));
         }
-        if is_expired(&ask, now - since) {
+        if is_expired(&ask, now - received_at) {
             return self.answer(now, req, too_late());
         }
         if full {
@@ -76,51 +96,53 @@
         {
             return self.answer(now, req, redirect(Some(other)));
         }
-        if let Some(wanted) = read_only(&ask) {
-            // Finished jobs are read by anyone, the others told by the leader.
-            let here = match &wanted {
+        if let Some(list_request) = read_only(&ask) {
+            // Any controller may read finished jobs; unfinished ones are the leader's to
+            // list.
+            let is_local = match &list_request {
                 ListRequest::Page(q) if !q.wants_unfinished() => true,
                 _ => !matches!(self.role, Role::Follower),
             };
-            return match here {
-                true => self.list(now, req, wanted),
-                false => self.pass_on(now, req, ask),
+            return match is_local {
+                true => self.queue_list(now, req, list_request),
+                false => self.forward(now, req, ask),
             };
         }
         match &self.role {
-            Role::Leader(_) => self.lead_ask(now, req, ask),
+            Role::Leader(_) => self.handle_as_leader(now, req, ask),
             Role::Loading(_) => self.answer(now, req, Answer::later("taking over", 1)),
-            Role::Follower => self.pass_on(now, req, ask),
+            Role::Follower => self.forward(now, req, ask),
         }
     }
 
-    pub(super) fn lead_ask(&mut self, now: Time, req: ReqId, ask: Ask) {
-        if let Role::Leader(t) = &mut self.role {
-            let epoch = t.epoch;
-            self.event(now, epoch, Event::Ask(req, ask));
+    /// Passes a request to the scheduler if this controller leads.
+    pub(super) fn handle_as_leader(&mut self, now: Time, req: ReqId, ask: Ask) {
+        if let Role::Leader(leadership) = &mut self.role {
+            let epoch = leadership.epoch;
+            self.handle_event(now, epoch, Event::Ask(req, ask));
         }
     }
 
-    /// Pages are made by a thread of their own.
-    fn list(&mut self, now: Time, req: ReqId, wanted: ListRequest) {
-        if self.lists.try_send((req, wanted)).is_err() {
+    /// Queues a list for the thread that answers them, or refuses it if the queue is full.
+    fn queue_list(&mut self, now: Time, req: ReqId, list_request: ListRequest) {
+        if self.list_requests.try_send((req, list_request)).is_err() {
             self.answer(now, req, Answer::later("too many lists at a time", 1));
         }
     }
 
-    /// A follower passes everything on to the leader.
-    pub(super) fn pass_on(&mut self, now: Time, req: ReqId, ask: Ask) {
+    /// Forwards a request to the leader, or answers it if none is reachable.
+    pub(super) fn forward(&mut self, now: Time, req: ReqId, ask: Ask) {
         let leader = self.known_leader(&ask);
         match routing::route(&ask, leader) {
-            Route::PassOn(leader, epoch) => self.pass_on_to(req, ask, leader, epoch),
+            Route::PassOn(leader, epoch) => self.forward_to(req, ask, leader, epoch),
             route => self.without_leader(now, req, ask, route),
         }
     }
 
-    /// Who leads elsewhere, as far as is known here, and whether this may go there.
+    /// The leader that this controller knows of, and whether it can take this request.
     fn known_leader(&mut self, ask: &Ask) -> Option<KnownLeader> {
-        let me = &self.settings.platform.label;
-        let (label, epoch) = self.peers.best_leader().filter(|l| l.0 != *me)?;
+        let own_label = &self.settings.platform.label;
+        let (label, epoch) = self.peers.best_leader().filter(|l| l.0 != *own_label)?;
         Some(KnownLeader {
             reachable: self.peers.reachable(&label),
             supports_request: self.understands(&label, ask.needs()),
@@ -129,106 +151,110 @@
         })
     }
 
-    fn pass_on_to(&mut self, req: ReqId, ask: Ask, leader: Label, epoch: Epoch) {
+    fn forward_to(&mut self, req: ReqId, ask: Ask, leader: Label, epoch: Epoch) {
         let msg = PeerMsg::Ask {
             id: req.0,
             from: self.settings.platform.label.to_string(),
             to: leader.to_string(),
             ask: ask.clone(),
         };
-        self.tell(leader.clone(), msg);
-        if let Some(p) = self.pending.get_mut(&req) {
-            p.with = Some((leader, epoch));
-            p.report = match ask {
+        self.queue_for_peer(leader.clone(), msg);
+        if let Some(pending) = self.pending.get_mut(&req) {
+            pending.forwarded_to = Some((leader, epoch));
+            pending.heartbeat = match ask {
                 Ask::Report(body) => Some(body),
                 _ => None,
             };
         }
     }
 
-    /// Leaves at the end of this turn of the loop, with all that goes there.
-    fn tell(&mut self, to: Label, msg: PeerMsg) {
-        self.outbox.entry(to).or_default().push(msg);
+    /// Queues a message, which is sent in one batch with all others to that controller at
+    /// the end of this turn of the loop.
+    fn queue_for_peer(&mut self, to: Label, msg: PeerMsg) {
+        self.outgoing.entry(to).or_default().push(msg);
     }
 
-    pub(super) fn send_outbox(&mut self, now: Time) {
-        for (to, msgs) in std::mem::take(&mut self.outbox) {
-            let asked = |m: &PeerMsg| match m {
+    /// Sends the queued messages; requests that can't be sent are refused.
+    pub(super) fn send_outgoing(&mut self, now: Time) {
+        for (to, messages) in std::mem::take(&mut self.outgoing) {
+            let request_id = |message: &PeerMsg| match message {
                 PeerMsg::Ask { id, .. } => Some(ReqId(*id)),
                 _ => None,
             };
-            let asks: Vec<ReqId> = msgs.iter().filter_map(asked).collect();
-            if !self.peers.send(&to, msgs) {
-                for req in asks {
+            let request_ids: Vec<ReqId> = messages.iter().filter_map(request_id).collect();
+            if !self.peers.send(&to, messages) {
+                for req in request_ids {
                     self.answer(now, req, Answer::later("the leader is out of reach", 1));
                 }
             }
         }
     }
 
-    /// What was passed on finds no way there any more. A report goes to the next
-    /// leader as soon as there is one: workers that were sent to a leader that
-    /// had lost the network came back too late, and were taken for lost.
-    pub(super) fn look_elsewhere(&mut self, now: Time, req: ReqId) {
-        let Some(p) = self.pending.get_mut(&req) else {
+    /// Handles a forwarded request whose leader is unreachable or has restarted. A
+    /// heartbeat is forwarded to the next leader as soon as there is one: workers that
+    /// were redirected to a leader without network came back too late and were declared
+    /// lost.
+    pub(super) fn reroute(&mut self, now: Time, req: ReqId) {
+        let Some(pending) = self.pending.get_mut(&req) else {
             return;
         };
         let next = self.peers.best_leader();
-        let changed = next.is_some() && next != p.with;
-        let patient = now - p.since < LOST_AFTER;
-        match p.report.take() {
+        let changed = next.is_some() && next != pending.forwarded_to;
+        let may_wait = now - pending.received_at < LEADER_FAILOVER_TIMEOUT;
+        match pending.heartbeat.take() {
             Some(body) if changed => match self.role {
-                Role::Follower => self.pass_on(now, req, Ask::Report(body)),
+                Role::Follower => self.forward(now, req, Ask::Report(body)),
                 _ => self.give_up(now, req, "the leader has changed"),
             },
-            Some(body) if patient => p.report = Some(body),
+            Some(body) if may_wait => pending.heartbeat = Some(body),
             Some(body) => {
-                p.report = Some(body);
+                pending.heartbeat = Some(body);
                 self.give_up(now, req, "the leader is out of reach");
             }
             None => self.give_up(now, req, "the leader is out of reach"),
         }
     }
 
-    /// No answer will come. If the state service says that the same one still
-    /// leads, a worker may well have a way of its own there, and takes that
-    /// sooner than it tries one controller after another.
+    /// Answers a request for which no answer will come. If the state service still names
+    /// the leader that a heartbeat was forwarded to, the worker is redirected there: it
+    /// may reach that leader directly, which is faster than trying one controller after
+    /// another.
     pub(super) fn give_up(&mut self, now: Time, req: ReqId, why: &str) {
-        let p = self.pending.get(&req).filter(|p| p.report.is_some());
-        let seen = self.seen.as_ref().map(|l| l.label.clone());
-        let answer = match p
-            .and_then(|p| p.with.clone())
+        let heartbeat = self.pending.get(&req).filter(|p| p.heartbeat.is_some());
+        let observed = self.observed_leader.as_ref().map(|l| l.label.clone());
+        let answer = match heartbeat
+            .and_then(|p| p.forwarded_to.clone())
             .map(|l| l.0)
-            .filter(|l| seen.as_ref() == Some(l))
+            .filter(|l| observed.as_ref() == Some(l))
         {
-            Some(l) => redirect(Some(l)),
+            Some(leader) => redirect(Some(leader)),
             None => Answer::later(why, 1),
         };
         self.answer(now, req, answer);
     }
 
-    /// Carries out what was decided about a request that goes to no leader.
+    /// Handles a request that can't be forwarded to a leader, as `route` says.
     fn without_leader(&mut self, now: Time, req: ReqId, ask: Ask, route: Route) {
         match (route, ask) {
-            (Route::Answer(a), _) => self.answer(now, req, a),
+            (Route::Answer(answer), _) => self.answer(now, req, answer),
             (Route::ReadFinal(id), _) => {
-                // While nobody led, questions took all requests there are, and the
-                // next leader was elected a second later for that.
-                if !self.looks.has(now, 1.0) {
+                // Limited: while nobody led, polls used up the state service's whole
+                // request rate, which delayed the next election by a second.
+                if !self.final_read_budget.has(now, 1.0) {
                     return self.answer(now, req, routing::no_leader());
                 }
-                self.looks.take(now, 1.0);
-                let _ = self.store.send(StateRequest::LookUpFinal(req, id));
+                self.final_read_budget.take(now, 1.0);
+                let _ = self.state_requests.send(StateRequest::LookUpFinal(req, id));
             }
             (_, Ask::Report(body)) => {
-                // Known from the state service, but not to be reached from
-                // here: the worker may well have a way of its own.
-                let leader = self.seen.as_ref().map(|l| l.label.clone());
+                // The leader is named by the state service but is unreachable from here:
+                // the worker may reach it directly.
+                let leader = self.observed_leader.as_ref().map(|l| l.label.clone());
                 let leader = leader.filter(|l| *l != self.settings.platform.label);
                 match leader
                     .and_then(|l| self.worker_balance.note_redirect(now, &body).then_some(l))
                 {
-                    Some(l) => self.answer(now, req, redirect(Some(l))),
+                    Some(leader) => self.answer(now, req, redirect(Some(leader))),
                     None => self.answer(now, req, routing::no_leader()),
                 }
             }
@@ -236,51 +262,53 @@
         }
     }
 
+    /// Answers a request, unless it was answered before, and records the outcome.
     pub(super) fn answer(&mut self, now: Time, req: ReqId, mut answer: Answer) {
-        let Some(p) = self.pending.remove(&req) else {
+        let Some(pending) = self.pending.remove(&req) else {
             return;
         };
-        // What rests on the proof of the leadership is told as long as that lasts,
-        // however long this process may stand still before it leaves; it has a
-        // limit already if it came from the leader. Leases of workers count from
-        // when they sent their reports, so those answers need none.
-        if let Role::Leader(t) = &self.role
-            && p.with.is_none()
-            && p.kind != RequestKind::Heartbeat
+        // An answer that relies on the proven lease is valid only as long as that lease,
+        // even if this process is suspended before the answer is sent. A forwarded
+        // request's answer already carries a limit from the leader. The lease of a worker
+        // counts from when it sent its heartbeat, so that answer needs no limit.
+        if let Role::Leader(leadership) = &self.role
+            && pending.forwarded_to.is_none()
+            && pending.kind != RequestKind::Heartbeat
             && answer.status < FIRST_RETRYABLE_STATUS
-            && t.sched.may_start(now)
+            && leadership.scheduler.may_start(now)
         {
-            answer.valid_us = Some((t.sched.proven_until() - p.since).0);
+            answer.valid_us = Some((leadership.scheduler.proven_until() - pending.received_at).0);
         }
-        self.latency.saturating_record((now - p.since).0);
-        let in_time = now - p.since <= p.limit;
-        self.request_log.record(p.kind, &answer, in_time);
-        let submits = p.kind == RequestKind::Submission;
+        self.latency
+            .saturating_record((now - pending.received_at).0);
+        let in_time = now - pending.received_at <= pending.timeout;
+        self.request_log.record(pending.kind, &answer, in_time);
+        let submits = pending.kind == RequestKind::Submission;
         if answer.status >= FIRST_RETRYABLE_STATUS && submits {
-            let after_ms = (now - p.since).0 / 1000;
-            tracing::info!(status = answer.status, after_ms, why = %answer.body, "submission refused");
+            let after_ms = (now - pending.received_at).0 / 1000;
+            tracing::info!(status = answer.status, after_ms, why = %answer.body, "job submission refused");
         }
         if submits && answer.status < FIRST_RETRYABLE_STATUS {
-            let after_ms = (now - p.since).0 / 1000;
-            tracing::debug!(status = answer.status, after_ms, "submission answered");
+            let after_ms = (now - pending.received_at).0 / 1000;
+            tracing::debug!(status = answer.status, after_ms, "job submission answered");
         }
-        match p.origin {
+        match pending.origin {
             Origin::Http(reply) => reply.answer(answer),
             Origin::Peer { from, id } => {
                 let to = from.to_string();
-                self.tell(from, PeerMsg::Tell { id, to, answer });
+                self.queue_for_peer(from, PeerMsg::Tell { id, to, answer });
             }
         }
     }
 }
 
-/// The leader that was asked has begun another term since: it does not know of
-/// the request any more.
-pub fn leader_restarted(asked: &(Label, Epoch), now: Option<&(Label, Epoch)>) -> bool {
-    now.is_some_and(|(label, epoch)| *label == asked.0 && *epoch > asked.1)
+/// Whether the leader that a request was forwarded to leads again with a larger epoch,
+/// so that it no longer knows the request.
+pub fn leader_restarted(forwarded_to: &(Label, Epoch), current: Option<&(Label, Epoch)>) -> bool {
+    current.is_some_and(|(label, epoch)| *label == forwarded_to.0 && *epoch > forwarded_to.1)
 }
 
-/// What somebody wants to read, if that is all; it was checked where it came in.
+/// The list that a request asks for, if it is one. Its query was validated on arrival.
 fn read_only(ask: &Ask) -> Option<ListRequest> {
     match ask {
         Ask::List(query) => Query::parse(query).ok().map(ListRequest::Page),
@@ -289,17 +317,18 @@
     }
 }
 
-/// Whoever asked has given up: an answer would come too late, so that none is worked out.
+/// Whether a request has waited so long that its sender has timed out; it is not handled
+/// any more.
 pub fn is_expired(ask: &Ask, waited: Span) -> bool {
-    waited > limit_of(ask)
+    waited > timeout_of(ask)
 }
 
 fn too_late() -> Answer {
     Answer::later("no answer in time", 1)
 }
 
-/// How long an asker waits, less some for the way back.
-pub(super) fn limit_of(ask: &Ask) -> Span {
+/// How long the client waits for an answer, less a margin for the transmission.
+pub(super) fn timeout_of(ask: &Ask) -> Span {
     match ask {
         Ask::Poll(_) | Ask::Show(_) | Ask::List(_) | Ask::Events(_) => Span::millis(1600),
         Ask::Report(_) => Span::millis(3500),
--- a/src/node/upgrade.rs
+++ b/src/node/upgrade.rs
@@ -20,7 +20,7 @@
 const TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// What comes of the thread.
-pub enum UpgradeNews {
+pub enum UpgradeEvent {
     /// The switch to compact records is on record.
     Format(FormatRecord),
     /// What became of a request of the leader of that term.
@@ -103,7 +103,7 @@
             None => requests.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
         let news = match request {
-            Ok((epoch, step)) => UpgradeNews::Reply(epoch, make(announcer.state(), &step)),
+            Ok((epoch, step)) => UpgradeEvent::Reply(epoch, make(announcer.state(), &step)),
             Err(RecvTimeoutError::Timeout) => {
                 let found = announcer.step();
                 due = match found {
@@ -111,7 +111,7 @@
                     None => Some(clock.now() + announcer.pause()),
                 };
                 let Some(format) = found else { continue };
-                UpgradeNews::Format(format)
+                UpgradeEvent::Format(format)
             }
             Err(RecvTimeoutError::Disconnected) => return,
         };
@@ -159,43 +159,52 @@
     }
 
     /// As the leader: makes the switch once all controllers read compact records.
-    pub(super) fn switch_format(&mut self, now: Time) {
+    pub(super) fn advance_format_switch(&mut self, now: Time) {
         self.note_versions();
-        let Role::Leader(term) = &mut self.role else {
+        let Role::Leader(leadership) = &mut self.role else {
             return;
         };
-        if !term.sched.may_start(now) {
+        if !leadership.scheduler.may_start(now) {
             return;
         }
-        let step = term.switch.next(now, wall(), &self.upgrade.versions);
+        let step = leadership.switch.next(now, wall(), &self.upgrade.versions);
         if let Some(step) = step
-            && self.upgrade.requests.try_send((term.epoch, step)).is_err()
+            && self
+                .upgrade
+                .requests
+                .try_send((leadership.epoch, step))
+                .is_err()
         {
             // It was not sent; what is stored is read before the next one.
             let failed = Reply::Format(Err(()));
-            term.switch.reply(now, failed, &mut self.upgrade.versions);
+            leadership
+                .switch
+                .reply(now, failed, &mut self.upgrade.versions);
         }
     }
 
-    pub(super) fn upgrade_news(&mut self, now: Time, news: UpgradeNews) {
+    pub(super) fn handle_upgrade_event(&mut self, now: Time, news: UpgradeEvent) {
         match news {
-            UpgradeNews::Format(record) => self.learn_format(now, record),
-            UpgradeNews::Reply(epoch, reply) => self.switch_reply(now, epoch, reply),
+            UpgradeEvent::Format(record) => self.set_record_format(now, record),
+            UpgradeEvent::Reply(epoch, reply) => self.switch_reply(now, epoch, reply),
         }
     }
 
     fn switch_reply(&mut self, now: Time, epoch: Epoch, reply: Reply) {
-        let Role::Leader(term) = &mut self.role else {
+        let Role::Leader(leadership) = &mut self.role else {
             return;
         };
-        if term.epoch != epoch {
+        if leadership.epoch != epoch {
             return;
         }
-        match term.switch.reply(now, reply, &mut self.upgrade.versions) {
+        match leadership
+            .switch
+            .reply(now, reply, &mut self.upgrade.versions)
+        {
             Decision::Nothing => {}
             Decision::Compact(record) => {
                 tracing::info!(%epoch, "the switch to compact records is on record");
-                self.learn_format(now, record);
+                self.set_record_format(now, record);
             }
             Decision::Deposed => {
                 tracing::warn!(%epoch, "the leader's key is no longer ours");
@@ -205,7 +214,7 @@
     }
 
     /// The switch is on record: this holds for every term from now on.
-    pub(super) fn learn_format(&mut self, now: Time, record: FormatRecord) {
+    pub(super) fn set_record_format(&mut self, now: Time, record: FormatRecord) {
         if self.upgrade.format.is_none() {
             let since_ms = record.since;
             tracing::info!(since_ms, "records are written in the compact form");
@@ -213,9 +222,9 @@
         self.upgrade.format = Some(record);
         let version = crate::versions::JOB_CHAINS;
         self.upgrade.versions.record_format(now, version);
-        if let Role::Leader(term) = &mut self.role {
-            term.sched.set_format(record.records);
-            term.commit.set_format(record.records);
+        if let Role::Leader(leadership) = &mut self.role {
+            leadership.scheduler.set_format(record.records);
+            leadership.commit.set_format(record.records);
         }
     }
 }
