--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud: machine types, machines rented and returned, and the list.
+//! Client of the cloud API: machine types, rental and return of machines, and their list.
 
 use crate::ids::Host;
 use crate::sched::HireResult;
@@ -11,17 +11,17 @@
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 const MAX_IDLE_CONNECTIONS: usize = 2;
-/// Machines on a page of the list.
+/// Number of machines on a page of the list.
 const PAGE_SIZE: usize = 500;
 
-/// Makes one request at a time; keeps no state but its connections.
+/// A blocking client; it keeps no state but its connections.
 pub struct CloudClient {
     agent: ureq::Agent,
     base: String,
 }
 
 impl CloudClient {
-    /// For the cloud at that address. Nothing is sent yet.
+    /// Creates a client of the cloud at that address; sends nothing yet.
     pub fn new(addr: SocketAddr) -> CloudClient {
         CloudClient {
             agent: agent(REQUEST_TIMEOUT, MAX_IDLE_CONNECTIONS),
@@ -30,9 +30,9 @@
     }
 
     /// The machine types, or none if the request failed.
-    pub fn flavors(&self) -> Option<Vec<Flavor>> {
-        let flavors: Flavors = self.get("/flavors")?;
-        Some(flavors.builds)
+    pub fn machine_types(&self) -> Option<Vec<Flavor>> {
+        let machine_types: Flavors = self.get("/flavors")?;
+        Some(machine_types.builds)
     }
 
     /// The page of machines that follows `after`, or the first one; none if the
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Rents machines; idempotent by the name of the request.
+    /// Rents machines; idempotent by the name in the request.
     pub fn rent(&self, request: &Hire) -> HireResult {
         match self.post("/hosts", request) {
             Some((200, body)) => match serde_json::from_slice::<Hosts>(&body) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns machines; true once they are gone for certain.
+    /// Returns machines; true if the cloud has confirmed it.
     pub fn return_machines(&self, hosts: &[Host]) -> bool {
         let body = Hosts {
             hosts: hosts.to_vec(),
--- a/src/node/balance.rs
+++ b/src/node/balance.rs
@@ -1,8 +1,7 @@
-//! Which controller a worker reports to. Any of them takes heartbeats and passes
-//! them on to the leader, so that none needs a connection for every worker, and a
-//! change of leaders moves no worker at all. A controller that has too many
-//! redirects some of them to another; none is relied on for more workers than its
-//! bound.
+//! Spreads the workers over the controllers. Any controller accepts heartbeats and
+//! forwards them to the leader, so that none needs a connection to every worker and a
+//! failover moves no worker. A controller with too many workers redirects some of them
+//! to another one; none is assigned more workers than its limit.
 
 use super::{Node, Role};
 use crate::api::RedirectTarget;
@@ -13,41 +12,42 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A worker that has been silent for longer reports elsewhere.
+/// A worker without a heartbeat for longer is taken to report to another controller.
 const REPORTING_TIMEOUT: Span = Span(8_000_000);
-/// A worker that was redirected and comes back within this has a reason: it stays.
+/// A redirected worker that returns within this time stays: it may not reach the other
+/// controller.
 const REDIRECT_HOLDOFF: Span = Span(30_000_000);
 /// The most workers that are redirected between two ticks.
 pub const MAX_REDIRECTS_PER_TICK: u32 = 8;
-/// A worker at the leader counts as so many: it has all the rest to do, too.
+/// Weight of a worker at the leader, which has much other work to do.
 const LEADER_WEIGHT: f64 = 8.0;
-/// A controller may hold so many times its share,
+/// A controller starts to redirect workers above this multiple of its share
 const SHARE_TOLERANCE: f64 = 1.2;
-/// and so many workers more, before it redirects any.
+/// plus this number of workers.
 const EXCESS_TOLERANCE: f64 = 8.0;
 
-/// How many workers a controller can be given.
+/// How many workers a controller can be assigned.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Capacity {
-    /// A worker counts as so many there.
+    /// Weight of one worker at this controller.
     pub weight: f64,
-    /// The most that it can hold; unknown of earlier versions.
+    /// The most workers that it can hold; earlier versions don't report it.
     pub max_workers: Option<u32>,
 }
 
-/// Another controller, as of its last heartbeat.
+/// The load of another controller, as of its last ping.
 #[derive(Clone, Debug)]
 pub struct ControllerLoad {
     /// Which controller.
     pub label: Label,
     /// How many workers report to it.
     pub workers: u32,
-    /// How many it can be given.
+    /// How many it can be assigned.
     pub capacity: Capacity,
 }
 
-/// Splits `workers` among controllers by weight, none above its bound as long as
-/// others have room. Answers the share of each, in their order.
+/// Splits `workers` among controllers by weight, without exceeding the limit of any.
+/// Returns the share of each, in their order.
 pub fn shares(workers: f64, capacities: &[Capacity]) -> Vec<f64> {
     let mut shares = vec![0.0; capacities.len()];
     let mut open: Vec<usize> = (0..capacities.len()).collect();
@@ -71,14 +71,14 @@
     }
 }
 
-/// Who sent a heartbeat; the rest of it is not needed here.
+/// The sender of a heartbeat; the other fields are not needed here.
 #[derive(Deserialize)]
 struct ReportSender {
     #[serde(rename = "Host")]
     host: Host,
 }
 
-/// The workers that report to this controller, against the loads of the others.
+/// The workers that report to this controller, compared with the loads of the others.
 #[derive(Default)]
 pub struct WorkerBalance {
     last_reports: HashMap<Host, Time>,
@@ -89,8 +89,8 @@
 }
 
 impl WorkerBalance {
-    /// Takes the loads of the controllers, and forgets workers that report elsewhere.
-    /// Answers how many report here.
+    /// Records the loads of the controllers, and drops workers that no longer report here.
+    /// Returns how many do.
     pub fn tick(&mut self, now: Time, own: Capacity, others: Vec<ControllerLoad>) -> u32 {
         self.own = own;
         self.others = others;
@@ -106,8 +106,9 @@
         self.last_reports.len()
     }
 
-    /// Notes that the sender of a heartbeat is redirected to a leader out of this
-    /// controller's reach. False if it has just come back from there, or is unknown.
+    /// Notes that the sender of a heartbeat is redirected to a leader that this controller
+    /// can't reach. False if it was redirected recently and has returned, or if the
+    /// heartbeat can't be parsed.
     pub fn note_redirect(&mut self, now: Time, report: &[u8]) -> bool {
         let Ok(ReportSender { host }) = serde_json::from_slice(report) else {
             return false;
@@ -122,7 +123,7 @@
         !came_back
     }
 
-    /// Notes a heartbeat; answers to which controller its worker is redirected, if any.
+    /// Records a heartbeat; returns the controller that its worker is redirected to, if any.
     pub fn redirect_target(&mut self, now: Time, host: &Host) -> Option<Label> {
         self.last_reports.insert(host.clone(), now);
         let shares = shares(self.workers_of_all(), &self.capacities());
@@ -145,13 +146,13 @@
         self.last_reports.len() as f64 + elsewhere
     }
 
-    /// This controller's first, then the others'.
+    /// The capacity of this controller first, then those of the others.
     fn capacities(&self) -> Vec<Capacity> {
         let others = self.others.iter().map(|o| o.capacity);
         std::iter::once(self.own).chain(others).collect()
     }
 
-    /// The other controller with the largest part of its share free, if any is.
+    /// The other controller with the largest free fraction of its share, if any is free.
     fn least_loaded(&self, shares: &[f64]) -> Option<Label> {
         let loads = self.others.iter().zip(shares);
         let free = loads.map(|(o, share)| (o, 1.0 - o.workers as f64 / share.max(1.0)));
@@ -160,19 +161,19 @@
     }
 }
 
-/// The controller with most room for workers, if any has some.
+/// The controller that can take the most additional workers, if any can.
 pub fn most_free_controller(loads: &[PeerLoad]) -> Option<RedirectTarget> {
-    let room = |load: &PeerLoad| {
+    let free = |load: &PeerLoad| {
         load.max_workers
             .map_or(0, |max| max.saturating_sub(load.workers))
     };
-    let best = loads.iter().max_by_key(|load| room(load))?;
-    let room = room(best);
-    (room > 0).then(|| RedirectTarget::new(best.label.clone(), room as usize))
+    let best = loads.iter().max_by_key(|load| free(load))?;
+    let free = free(best);
+    (free > 0).then(|| RedirectTarget::new(best.label.clone(), free as usize))
 }
 
 impl Node {
-    /// Where the sender of this heartbeat had better report, if not here.
+    /// The controller that the sender of this heartbeat should report to instead, if any.
     pub(super) fn redirect_target(&mut self, now: Time, report: &[u8]) -> Option<Label> {
         if matches!(self.role, Role::Loading(_)) {
             return None;
@@ -181,7 +182,7 @@
         self.worker_balance.redirect_target(now, &sender.host)
     }
 
-    /// Compares the loads of the controllers, and tells the others of this one's.
+    /// Compares the loads of the controllers, and announces this one's to the others.
     pub(super) fn balance_workers(&mut self, now: Time) {
         let own_label = self.settings.platform.label.clone();
         let leader = match &self.role {
--- a/src/node/job_lists.rs
+++ b/src/node/job_lists.rs
@@ -1,4 +1,4 @@
-//! Pages of jobs, made by a thread of their own.
+//! Lists of jobs, answered by a thread of their own.
 
 use super::{Message, spawn};
 use crate::api::SharedStatus;
@@ -15,61 +15,68 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What somebody wants to read.
+/// A request for a list.
 pub enum ListRequest {
+    /// A page of jobs.
     Page(Query),
+    /// The changes since a mark.
     Changes(Option<Mark>),
 }
 
-/// Lists that wait to be made.
-const MAX_LISTS: usize = 64;
-/// Share of the state service's requests that lists may take, and pages of
-/// records read for one list at the most.
-const LIST_SHARE: f64 = 0.05;
-const LIST_READS: usize = 3;
+/// Length of the queue of list requests.
+const MAX_QUEUED_LISTS: usize = 64;
+/// Share of the state service's request rate that lists may use.
+const LIST_RATE_SHARE: f64 = 0.05;
+/// The most pages of records read for one list.
+const MAX_READS_PER_LIST: usize = 3;
 
-/// Makes pages of jobs: of unfinished ones from what the main loop publishes,
-/// of finished ones from the state service, within a budget of its own.
+/// Starts the thread that answers lists: unfinished jobs from what the main loop
+/// publishes, finished ones from the state service within a request budget of its own.
 pub fn start(
     settings: &Settings,
     clock: Clock,
-    notice: Arc<SharedStatus>,
+    shared: Arc<SharedStatus>,
     inbox: Sender<Message>,
 ) -> Sender<(ReqId, ListRequest)> {
-    let (tx, rx) = bounded::<(ReqId, ListRequest)>(MAX_LISTS);
+    let (sender, requests) = bounded::<(ReqId, ListRequest)>(MAX_QUEUED_LISTS);
     let state = StateClient::new(
         settings.platform.services.state,
         Duration::from_millis(1200),
     );
-    let rps = settings.platform.params.state.rps * LIST_SHARE;
-    let mut budget = Budget::new(rps, (2.0 * rps).max(LIST_READS as f64));
+    let rps = settings.platform.params.state.rps * LIST_RATE_SHARE;
+    let mut budget = Budget::new(rps, (2.0 * rps).max(MAX_READS_PER_LIST as f64));
     spawn("lists", move || {
-        for (req, wanted) in rx {
+        for (req, list_request) in requests {
             let later = || Answer::later("leadership is not proven at the moment", 1);
-            let answer = match wanted {
-                ListRequest::Changes(mark) => notice.changes(mark).unwrap_or_else(later),
-                ListRequest::Page(q) if q.wants_unfinished() => {
-                    notice.page(&q).unwrap_or_else(later)
+            let answer = match list_request {
+                ListRequest::Changes(mark) => shared.changes(mark).unwrap_or_else(later),
+                ListRequest::Page(query) if query.wants_unfinished() => {
+                    shared.page(&query).unwrap_or_else(later)
                 }
-                ListRequest::Page(q) => finished_page(&state, &mut budget, clock, &q),
+                ListRequest::Page(query) => finished_page(&state, &mut budget, clock, &query),
             };
             if inbox.send(Message::ListReady(req, answer)).is_err() {
                 return;
             }
         }
     });
-    tx
+    sender
 }
 
-/// A page of finished jobs. It may hold few or none though more follow: one
-/// list reads so much at a time and no more.
-pub fn finished_page(state: &impl State, budget: &mut Budget, clock: Clock, q: &Query) -> Answer {
+/// Reads a page of finished jobs. It may hold few or no jobs although more follow, as
+/// the number of reads per list is limited.
+pub fn finished_page(
+    state: &impl State,
+    budget: &mut Budget,
+    clock: Clock,
+    query: &Query,
+) -> Answer {
     let mut page = Page::default();
-    let mut after = match &q.after {
+    let mut after = match &query.after {
         Some(Position::Finished(id)) if !id.is_empty() => Some(final_key(&id.as_str().into())),
         _ => None,
     };
-    for _ in 0..LIST_READS {
+    for _ in 0..MAX_READS_PER_LIST {
         if !budget.has(clock.now(), 1.0) {
             if page.jobs.is_empty() {
                 return Answer::later("too many lists for the state service", 1);
@@ -81,20 +88,20 @@
             return Answer::later("the state service does not answer", 1);
         };
         let end = !read.more;
-        for i in read.items {
-            if page.jobs.len() == q.page {
+        for item in read.items {
+            if page.jobs.len() == query.page {
                 break;
             }
-            let id = JobId::from(i.key.trim_start_matches(FINALS));
-            after = Some(i.key);
-            let line = detail_of_record(&id, i.value).map(|d| d.line());
-            page.jobs.extend(line.filter(|l| l.matches(q)));
+            let id = JobId::from(item.key.trim_start_matches(FINALS));
+            after = Some(item.key);
+            let line = detail_of_record(&id, item.value).map(|d| d.line());
+            page.jobs.extend(line.filter(|l| l.matches(query)));
         }
-        if end && page.jobs.len() < q.page {
+        if end && page.jobs.len() < query.page {
             after = None;
             break;
         }
-        if page.jobs.len() == q.page {
+        if page.jobs.len() == query.page {
             break;
         }
     }
--- a/src/node/request_log.rs
+++ b/src/node/request_log.rs
@@ -1,25 +1,25 @@
-//! What this controller answered and what it could not answer, counted by kind of
-//! request and reason. A summary goes to the log at a fixed interval.
+//! Counts of answered and refused requests, by kind of request and reason. A summary is
+//! logged at a fixed interval.
 
 use crate::time::{Span, Time};
 use crate::wire::peer::{Answer, Ask};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How often the summary goes to the log.
+/// How often the summary is logged.
 const SUMMARY_INTERVAL: Span = Span(10_000_000);
-/// Reasons that are counted one by one; more are counted together.
+/// The most refusal reasons that are counted separately for each kind.
 const MAX_REASONS: usize = 64;
-/// What reasons beyond that are counted as.
+/// The name under which all further reasons are counted.
 const OTHER_REASONS: &str = "other";
-/// Statuses from here on ask the client to come again.
+/// Statuses from here on ask the client to retry.
 pub(super) const FIRST_RETRYABLE_STATUS: u16 = 429;
 
-/// What a request asks for, as far as statistics and limits depend on it.
+/// The kind of a request, as far as statistics and limits depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum RequestKind {
-    /// A user asks about a job.
+    /// A user polls a job.
     Question,
     /// A user submits a job.
     Submission,
@@ -44,14 +44,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 struct KindCounts {
     answered: u64,
-    /// Of those, the ones that left after whoever asked had given up.
+    /// Those of them sent after the client had timed out.
     late: u64,
-    /// Answers that ask the client to come again, by reason.
+    /// Answers that ask the client to retry, by reason.
     refused: BTreeMap<String, u64>,
 }
 
 impl KindCounts {
-    fn refuse(&mut self, reason: String) {
+    fn count_refusal(&mut self, reason: String) {
         let is_new = !self.refused.contains_key(&reason);
         let reason = match is_new && self.refused.len() >= MAX_REASONS {
             true => OTHER_REASONS.to_string(),
@@ -60,7 +60,7 @@
         *self.refused.entry(reason).or_default() += 1;
     }
 
-    /// What was counted since `earlier`.
+    /// The counts since `earlier`.
     fn since(&self, earlier: Option<&KindCounts>) -> KindCounts {
         let before = |reason: &String| earlier.and_then(|e| e.refused.get(reason)).copied();
         let refused = self.refused.iter().map(|(reason, count)| {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Renewals of the leader's lease and reads of its key.
+/// Election steps: renewals of the leader's lease and reads of its key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct ElectionCounts {
     /// Steps that the state service answered.
@@ -94,31 +94,31 @@
 }
 
 impl RequestLog {
-    /// Counts an answer as it leaves; `in_time`: whoever asked still waits for it.
+    /// Counts an answer that is sent; `in_time` if the client still waits for it.
     pub fn record(&mut self, kind: RequestKind, answer: &Answer, in_time: bool) {
         let counts = self.counts.entry(kind).or_default();
         if answer.status >= FIRST_RETRYABLE_STATUS {
-            return counts.refuse(reason_of(answer));
+            return counts.count_refusal(reason_of(answer));
         }
         counts.answered += 1;
         counts.late += u64::from(!in_time);
     }
 
-    /// What has been counted since the last summary, if another one is due.
+    /// The counts since the last summary as JSON, if another one is due.
     pub fn take_summary(&mut self, now: Time) -> Option<String> {
         if now - self.logged_at < SUMMARY_INTERVAL {
             return None;
         }
         self.logged_at = now;
         let earlier = std::mem::replace(&mut self.logged, self.counts.clone());
-        let news = self.counts.iter().map(|(kind, counts)| {
+        let recent = self.counts.iter().map(|(kind, counts)| {
             let new = counts.since(earlier.get(kind));
             (*kind, new)
         });
-        let news: BTreeMap<RequestKind, KindCounts> = news
+        let recent: BTreeMap<RequestKind, KindCounts> = recent
             .filter(|(_, new)| *new != KindCounts::default())
             .collect();
-        (!news.is_empty()).then(|| serde_json::to_string(&news).unwrap_or_default())
+        (!recent.is_empty()).then(|| serde_json::to_string(&recent).unwrap_or_default())
     }
 
     /// All counts since the start, for the overview.
@@ -127,7 +127,7 @@
     }
 }
 
-/// The reason as the client reads it, or the status where none is given.
+/// The reason given to the client, or the status if there is none.
 fn reason_of(answer: &Answer) -> String {
     let body: Option<serde_json::Value> = serde_json::from_str(&answer.body).ok();
     let text = body.as_ref().and_then(|body| body["error"].as_str());
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -134,7 +134,7 @@
     pub(super) fn forward(&mut self, now: Time, req: ReqId, ask: Ask) {
         let leader = self.known_leader(&ask);
         match routing::route(&ask, leader) {
-            Route::PassOn(leader, epoch) => self.forward_to(req, ask, leader, epoch),
+            Route::Forward(leader, epoch) => self.forward_to(req, ask, leader, epoch),
             route => self.without_leader(now, req, ask, route),
         }
     }
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -1,5 +1,5 @@
-//! What a controller that does not lead makes of a request. No I/O: the main loop
-//! carries out what is decided here, and so does the tests' world.
+//! How a follower routes a request. There is no I/O here: the main loop carries out the
+//! decision, and so does the simulation in the tests.
 
 use crate::ids::{Epoch, JobId, Label};
 use crate::sched::answer_final;
@@ -7,31 +7,34 @@
 use crate::wire::peer::{Answer, Ask};
 use crate::wire::user::JobSpec;
 
-/// The latest leader that this controller has heard of, other than itself.
+/// The latest leader that this controller knows of, other than itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownLeader {
+    /// Which controller leads.
     pub label: Label,
+    /// The epoch of its leadership.
     pub epoch: Epoch,
-    /// There is a way, directly or through the third controller.
+    /// It is reachable, directly or through the third controller.
     pub reachable: bool,
-    /// Its version understands this request.
+    /// Its version supports this request.
     pub supports_request: bool,
 }
 
 /// Where a request goes.
 #[derive(Debug, PartialEq)]
 pub enum Route {
-    /// To that leader, in that epoch.
-    PassOn(Label, Epoch),
-    /// No leader is in reach. A final state may be told by anyone who reads it.
+    /// Forward to that leader, in that epoch.
+    Forward(Label, Epoch),
+    /// No leader is reachable. Any controller may read and report a final state.
     ReadFinal(JobId),
-    /// No leader is in reach for a worker's heartbeat.
-    NoLeaderForReport,
+    /// No leader is reachable for a worker's heartbeat.
+    NoLeaderForHeartbeat,
+    /// Answer right away.
     Answer(Answer),
 }
 
-/// Decides where a request goes. A follower tells nothing by itself but what is
-/// malformed, whoever leads, and final states.
+/// Decides where a request goes. Without the leader, a follower answers only malformed
+/// submissions and polls for final states.
 pub fn route(ask: &Ask, leader: Option<KnownLeader>) -> Route {
     if let Ask::Submit(body) = ask
         && let Err(e) = JobSpec::parse(body)
@@ -39,31 +42,31 @@
         return Route::Answer(Answer::error(400, &e));
     }
     match leader.filter(|l| l.reachable) {
-        Some(l) if l.supports_request => Route::PassOn(l.label, l.epoch),
+        Some(leader) if leader.supports_request => Route::Forward(leader.label, leader.epoch),
         Some(_) => Route::Answer(Answer::later("the leader runs an earlier version", 5)),
         None => without_leader(ask),
     }
 }
 
-/// What follows if no leader is in reach.
+/// The route of a request while no leader is reachable.
 fn without_leader(ask: &Ask) -> Route {
     match ask {
         Ask::Poll(id) if JobId::well_formed(id) => Route::ReadFinal(id.as_str().into()),
-        Ask::Report(_) => Route::NoLeaderForReport,
+        Ask::Report(_) => Route::NoLeaderForHeartbeat,
         _ => Route::Answer(no_leader()),
     }
 }
 
-/// The answer to a poll after the final state was read: that there is none says
-/// nothing, as the job may well be live.
+/// The answer to a poll after the final state was read. A missing final state proves
+/// nothing: the job may be unfinished, so the client is asked to retry.
 pub fn answer_final_read(id: &JobId, read: Result<Option<Final>, ()>) -> Answer {
     match read {
-        Ok(Some(f)) => answer_final(id, f),
+        Ok(Some(final_state)) => answer_final(id, final_state),
         Ok(None) | Err(()) => no_leader(),
     }
 }
 
-/// To whoever may ask again in a second.
+/// A retryable error with a delay of one second.
 pub fn no_leader() -> Answer {
     Answer::later("no leader in reach", 1)
 }
--- a/src/node/state_loading.rs
+++ b/src/node/state_loading.rs
@@ -1,4 +1,4 @@
-//! Taking over: everything unfinished is read from the store.
+//! Loads the stored state of all unfinished jobs for a new leader.
 
 use super::{Message, spawn};
 use crate::ids::{Epoch, JobId, Stamp};
@@ -15,30 +15,38 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The loader's own.
+/// The most sockets that loading uses.
 pub(super) const SOCKETS: usize = 2;
 
+/// The stored state as a new leader finds it.
 pub struct LoadedState {
+    /// The epoch of the new leadership.
     pub epoch: Epoch,
+    /// The revision of the leader's key.
     pub leader_revision: Stamp,
+    /// All unfinished jobs that could be read.
     pub jobs: Vec<Job>,
+    /// The keys of records in use, with their revisions.
     pub revisions: Vec<(String, Stamp)>,
+    /// Keys of records that belong to no unfinished job, to be deleted.
     pub garbage: Vec<(String, Stamp)>,
+    /// Jobs whose records can't be read; they are left as they are.
     pub unreadable: BTreeMap<JobId, JobState>,
-    /// Zones that earlier terms did not answer.
+    /// Fenced zones, as recorded by earlier leaders.
     pub fences: Option<FenceRecord>,
-    /// The switch to compact records, once it is on record.
+    /// The switch to compact records, once it is stored.
     pub format: Option<FormatRecord>,
 }
 
 impl LoadedState {
-    /// The form in which records are written.
+    /// The format in which records are written.
     pub fn record_format(&self) -> RecordFormat {
-        self.format.map_or(RecordFormat::Legacy, |f| f.records)
+        self.format
+            .map_or(RecordFormat::Legacy, |format| format.records)
     }
 }
 
-/// Reads in a thread of its own, so that the leadership is kept up meanwhile.
+/// Loads the state in a thread of its own, so that the lease is renewed meanwhile.
 pub fn start(
     settings: &Settings,
     clock: Clock,
@@ -49,22 +57,22 @@
     let addr = settings.platform.services.state;
     spawn("load", move || {
         let state = StateClient::new(addr, Duration::from_secs(4));
-        // The leadership may be lost meanwhile; what is read then is dropped.
-        let began = clock.now();
+        // If the leadership is lost meanwhile, the main loop drops the result.
+        let started_at = clock.now();
         for attempt in 0u64.. {
-            let sent = clock.now();
-            let loaded = load_state(&state, epoch, stamp, sent, wall());
+            let attempt_started_at = clock.now();
+            let loaded = load_state(&state, epoch, stamp, attempt_started_at, wall());
             let (now, attempts) = (clock.now(), attempt + 1);
-            let ms = (now - sent).0 / 1000;
+            let ms = (now - attempt_started_at).0 / 1000;
             match loaded {
-                Ok(l) => {
-                    let total_ms = (now - began).0 / 1000;
-                    tracing::info!(%epoch, attempts, ms, total_ms, records = l.revisions.len(), "records loaded");
-                    let _ = inbox.send(Message::Loaded(Box::new(l)));
+                Ok(state) => {
+                    let total_ms = (now - started_at).0 / 1000;
+                    tracing::info!(%epoch, attempts, ms, total_ms, records = state.revisions.len(), "records loaded");
+                    let _ = inbox.send(Message::Loaded(Box::new(state)));
                     return;
                 }
                 Err(_) => {
-                    tracing::info!(%epoch, attempts, ms, "records could not be loaded");
+                    tracing::info!(%epoch, attempts, ms, "loading records failed; retrying");
                     std::thread::sleep(Duration::from_millis(100 * attempts.min(10)));
                 }
             }
@@ -72,7 +80,8 @@
     });
 }
 
-fn all(state: &impl State, prefix: &str) -> Result<Vec<Item>, ReadError> {
+/// Reads all keys with that prefix, page by page.
+fn read_all(state: &impl State, prefix: &str) -> Result<Vec<Item>, ReadError> {
     let mut items: Vec<Item> = vec![];
     loop {
         let after = items.last().map(|i| i.key.clone());
@@ -85,6 +94,11 @@
     }
 }
 
+/// Reads all unfinished jobs with their revisions, the fences and the record format.
+///
+/// # Errors
+///
+/// When a read of the state service fails.
 pub fn load_state(
     state: &impl State,
     epoch: Epoch,
@@ -93,7 +107,7 @@
     wall: Wall,
 ) -> Result<LoadedState, ReadError> {
     let mut jobs = BTreeMap::new();
-    let mut l = LoadedState {
+    let mut loaded = LoadedState {
         epoch,
         leader_revision: stamp,
         jobs: vec![],
@@ -103,58 +117,62 @@
         fences: None,
         format: None,
     };
-    let pieces = Pieces::new(all(state, PIECES)?);
-    for i in all(state, LIVE)? {
-        let id = JobId::from(i.key.trim_start_matches(LIVE));
-        let whole = pieces.join(&id, 0, &i);
-        match whole.and_then(|v| Job::decode(&v, now, wall)) {
-            Some(j) if *j.id() == id => {
-                l.revisions.push((i.key, i.stamp));
-                jobs.insert(id, j);
+    let pieces = Pieces::new(read_all(state, PIECES)?);
+    for item in read_all(state, LIVE)? {
+        let id = JobId::from(item.key.trim_start_matches(LIVE));
+        let record = pieces.join(&id, 0, &item);
+        match record.and_then(|value| Job::decode(&value, now, wall)) {
+            Some(job) if *job.id() == id => {
+                loaded.revisions.push((item.key, item.stamp));
+                jobs.insert(id, job);
             }
             _ => {
-                tracing::error!(key = %i.key, "a record can't be read and is left alone");
-                l.unreadable.insert(id, Job::state_of_unreadable(&i.value));
+                tracing::error!(key = %item.key, "job record unreadable; leaving the job untouched");
+                loaded
+                    .unreadable
+                    .insert(id, Job::state_of_unreadable(&item.value));
             }
         }
     }
-    for i in all(state, PARTS)? {
-        let name = i.key.trim_start_matches(PARTS);
+    for item in read_all(state, PARTS)? {
+        let name = item.key.trim_start_matches(PARTS);
         let Some((id, part)) = name.rsplit_once('/') else {
             continue;
         };
         let id = JobId::from(id);
-        if l.unreadable.contains_key(&id) {
+        if loaded.unreadable.contains_key(&id) {
             continue;
         }
-        let Some(j) = jobs.get_mut(&id) else {
-            l.garbage.push((i.key, i.stamp));
+        let Some(job) = jobs.get_mut(&id) else {
+            loaded.garbage.push((item.key, item.stamp));
             continue;
         };
         let part = part.parse().ok();
-        let whole = part.and_then(|p| Some((p, pieces.join(&id, p, &i)?)));
-        let read = whole.and_then(|(p, v)| j.decode_part(p, &v, now, wall));
+        let record = part.and_then(|p| Some((p, pieces.join(&id, p, &item)?)));
+        let read = record.and_then(|(p, value)| job.decode_part(p, &value, now, wall));
         if read.is_none() {
-            tracing::error!(key = %i.key, "a record can't be read; its tasks start anew later");
-            j.damaged = true;
+            tracing::error!(key = %item.key, "task record unreadable; its tasks will be restarted");
+            job.damaged = true;
         }
-        l.revisions.push((i.key, i.stamp));
+        loaded.revisions.push((item.key, item.stamp));
     }
-    let (stamps, litter) = pieces.sort(|id| jobs.contains_key(id), &l.unreadable);
-    l.revisions.extend(stamps);
-    l.garbage.extend(litter);
-    if let Some(i) = state.get(FENCES)? {
-        l.fences = serde_json::from_value(i.value).ok();
-        l.revisions.push((i.key, i.stamp));
+    let (stamps, litter) = pieces.sort(|id| jobs.contains_key(id), &loaded.unreadable);
+    loaded.revisions.extend(stamps);
+    loaded.garbage.extend(litter);
+    if let Some(item) = state.get(FENCES)? {
+        loaded.fences = serde_json::from_value(item.value).ok();
+        loaded.revisions.push((item.key, item.stamp));
     }
-    l.format = state.get(FORMAT)?.map(|i| FormatRecord::read(&i.value));
-    for (_, mut j) in jobs {
-        // What is loaded is stored: versions go on from 1.
-        for p in &mut j.parts {
-            p.ver = 1;
-            p.stored = 1;
+    loaded.format = state
+        .get(FORMAT)?
+        .map(|item| FormatRecord::read(&item.value));
+    for (_, mut job) in jobs {
+        // A loaded part is stored: its version counter starts at 1.
+        for part in &mut job.parts {
+            part.ver = 1;
+            part.stored = 1;
         }
-        l.jobs.push(j);
+        loaded.jobs.push(job);
     }
-    Ok(l)
+    Ok(loaded)
 }
--- a/src/node/threads/cloud.rs
+++ b/src/node/threads/cloud.rs
@@ -1,5 +1,5 @@
-//! The thread that talks to the cloud: rents and returns machines, and as the leader
-//! lists those there are, within the cloud's limit on requests.
+//! The thread that calls the cloud: rents and returns machines, and lists the rented ones
+//! while this controller leads, within the cloud's rate limit.
 
 use crate::cloud::CloudClient;
 use crate::ids::{Epoch, Host};
@@ -17,25 +17,25 @@
 /// The most sockets that this thread uses.
 pub(in crate::node) const SOCKETS: usize = 4;
 const LIST_INTERVAL: Span = Span(5_000_000);
-const FLAVORS_INTERVAL: Span = Span(60_000_000);
-/// The same after a request that failed.
-const FLAVORS_RETRY_INTERVAL: Span = Span(1_000_000);
-/// Share of the cloud's limit on requests that is used.
+const MACHINE_TYPES_INTERVAL: Span = Span(60_000_000);
+/// The same after a failed request.
+const MACHINE_TYPES_RETRY_INTERVAL: Span = Span(1_000_000);
+/// Share of the cloud's rate limit that is used.
 const RATE_SHARE: f64 = 0.9;
-/// How often a full budget is looked at again.
+/// How often an exhausted budget is checked again.
 const BUDGET_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the thread looks whether this controller leads.
+/// How often the thread checks whether this controller leads.
 const MAX_WAIT: Duration = Duration::from_millis(500);
-/// Stands for no leadership in the shared epoch.
+/// The value of the shared epoch while this controller does not lead.
 const NOT_LEADING: Epoch = Epoch(0);
 
-/// What the main loop wants done; requests of an earlier leadership are dropped.
+/// A request of the main loop; those of an earlier leadership are dropped.
 pub enum CloudRequest {
     /// Rents a machine.
     Rent(Epoch, Hire),
     /// Returns machines.
     Return(Epoch, Vec<Host>),
-    /// A new leader wants to know the machines and their types at once.
+    /// Lists the machines and their types at once, for a new leader.
     Refresh,
 }
 
@@ -56,8 +56,8 @@
         requests,
         inbox,
         budget: Budget::new(rate * RATE_SHARE, rate),
-        list_at: clock.now(),
-        flavors_at: clock.now(),
+        list_due: clock.now(),
+        machine_types_due: clock.now(),
     };
     spawn("cloud", move || thread.run());
     sender
@@ -70,8 +70,8 @@
     requests: Receiver<CloudRequest>,
     inbox: Sender<Message>,
     budget: Budget,
-    list_at: Time,
-    flavors_at: Time,
+    list_due: Time,
+    machine_types_due: Time,
 }
 
 impl CloudThread {
@@ -85,12 +85,12 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // Followers know them too, so that a failover need not ask first.
-            if now >= self.flavors_at {
-                self.fetch_flavors(now);
+            // Followers fetch machine types too, so that a new leader has them at once.
+            if now >= self.machine_types_due {
+                self.fetch_machine_types(now);
             }
-            if epoch != NOT_LEADING && now >= self.list_at {
-                self.list_at = now + LIST_INTERVAL;
+            if epoch != NOT_LEADING && now >= self.list_due {
+                self.list_due = now + LIST_INTERVAL;
                 self.list_machines(epoch);
             }
         }
@@ -100,37 +100,37 @@
         if epoch == NOT_LEADING {
             return MAX_WAIT;
         }
-        (self.list_at - self.clock.now()).std().min(MAX_WAIT)
+        (self.list_due - self.clock.now()).std().min(MAX_WAIT)
     }
 
     fn carry_out(&mut self, now: Time, epoch: Epoch, request: CloudRequest) {
         match request {
-            CloudRequest::Rent(of, hire) if of == epoch => {
+            CloudRequest::Rent(request_epoch, rental) if request_epoch == epoch => {
                 self.wait_for_budget();
-                let result = self.client.rent(&hire);
-                self.send(epoch, Event::Hired(hire, result));
+                let result = self.client.rent(&rental);
+                self.send(epoch, Event::Hired(rental, result));
             }
-            CloudRequest::Return(of, hosts) if of == epoch => {
+            CloudRequest::Return(request_epoch, hosts) if request_epoch == epoch => {
                 self.wait_for_budget();
                 let returned = self.client.return_machines(&hosts);
                 self.send(epoch, Event::Released(hosts, returned));
             }
             CloudRequest::Refresh => {
-                self.list_at = now;
-                self.flavors_at = now;
+                self.list_due = now;
+                self.machine_types_due = now;
             }
             CloudRequest::Rent(..) | CloudRequest::Return(..) => {}
         }
     }
 
-    fn fetch_flavors(&mut self, now: Time) {
+    fn fetch_machine_types(&mut self, now: Time) {
         self.wait_for_budget();
-        let Some(flavors) = self.client.flavors() else {
-            self.flavors_at = now + FLAVORS_RETRY_INTERVAL;
+        let Some(machine_types) = self.client.machine_types() else {
+            self.machine_types_due = now + MACHINE_TYPES_RETRY_INTERVAL;
             return;
         };
-        self.flavors_at = now + FLAVORS_INTERVAL;
-        let _ = self.inbox.send(Message::MachineTypes(flavors));
+        self.machine_types_due = now + MACHINE_TYPES_INTERVAL;
+        let _ = self.inbox.send(Message::MachineTypes(machine_types));
     }
 
     /// Reads the list of machines, page by page.
--- a/src/node/threads/direct_calls.rs
+++ b/src/node/threads/direct_calls.rs
@@ -1,4 +1,4 @@
-//! Direct calls to workers, several at a time.
+//! Threads that make direct calls to workers.
 
 use crate::ids::{CallId, Epoch, Host};
 use crate::node::{Message, spawn};
@@ -9,27 +9,27 @@
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use std::sync::Arc;
 
-/// Calls that are made at a time.
+/// The number of concurrent calls.
 const THREADS: usize = 16;
 /// The most sockets that these threads use.
 pub(in crate::node) const SOCKETS: usize = 2 * THREADS;
-/// A call that has waited for longer is given up unsent: behind calls that hang, its
-/// worker would get no commands for too long.
+/// A call queued for longer fails unsent: behind calls that hang, its worker would get no
+/// commands for too long.
 const MAX_QUEUE_TIME: Span = Span(1_000_000);
 
-/// Commands for a worker.
+/// A call that sends commands to a worker.
 pub struct DirectCall {
-    /// When the scheduler gave them out.
+    /// When the scheduler issued the commands.
     pub since: Time,
-    /// The leadership that they come from.
+    /// The epoch of the leadership that issued them.
     pub epoch: Epoch,
-    /// Its number, by which the scheduler knows the result.
+    /// The id by which the scheduler matches the result.
     pub call: CallId,
     /// The worker's machine.
     pub host: Host,
     /// Where the worker listens.
     pub addr: String,
-    /// What it is to do.
+    /// The commands.
     pub orders: Orders,
 }
 
--- a/src/node/threads/election.rs
+++ b/src/node/threads/election.rs
@@ -1,4 +1,4 @@
-//! The thread that takes part in the election and keeps the leadership up.
+//! The thread that takes part in the election and renews the leader's lease.
 
 use crate::election::{Candidate, ElectionOutcome, Elector};
 use crate::node::spawn;
@@ -12,28 +12,28 @@
 pub(in crate::node) const SOCKETS: usize = 4;
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1200);
 const COMMAND_QUEUE: usize = 8;
-/// Outcomes that may wait for the main loop, some ten seconds of them.
+/// Length of the queue of outcomes to the main loop, about ten seconds of them.
 const OUTCOME_QUEUE: usize = 32;
-/// Controllers spread their steps by up to this, so that they don't campaign at the
-/// same moment.
+/// Random delay added to each step, so that controllers don't campaign at the same
+/// moment.
 const MAX_JITTER_MS: u64 = 60;
 
-/// What the thread is told.
+/// A command to the thread.
 pub enum ElectionCommand {
     /// The leader is suspected to have failed.
     SuspectLeader,
-    /// Resign and end; the sender is told when that is done.
+    /// Resign and end the thread; the sender is notified when that is done.
     Stop(Sender<()>),
 }
 
-/// The ends of its channels that the main loop holds.
+/// The main loop's ends of the thread's channels.
 pub(in crate::node) struct ElectionThread {
     pub commands: Sender<ElectionCommand>,
-    /// A channel of its own: outcomes overtake all other messages.
+    /// A channel of its own, as outcomes take precedence over all other messages.
     pub outcomes: Receiver<ElectionOutcome>,
 }
 
-/// Starts the thread; it resigns and ends with the receiver of its outcomes.
+/// Starts the thread; it resigns and ends when the receiver of its outcomes is dropped.
 pub(in crate::node) fn start(
     settings: &Settings,
     clock: Clock,
--- a/src/node/threads/state_service.rs
+++ b/src/node/threads/state_service.rs
@@ -1,4 +1,4 @@
-//! Reads and transactions of the state service, several at a time.
+//! Threads that make reads and transactions of the state service.
 
 use crate::ids::{Epoch, JobId, ReqId, TxnId};
 use crate::node::{Message, final_of, key_of_final, spawn};
@@ -11,25 +11,25 @@
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use std::time::Duration;
 
-/// Requests that are made at a time.
+/// The number of concurrent requests.
 const THREADS: usize = 8;
 /// The most sockets that these threads use.
 pub(in crate::node) const SOCKETS: usize = THREADS;
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// From a key that could not be read until the main loop hears of that.
+/// Delay before the failed read of a key is reported to the main loop, which retries it.
 const PAUSE_AFTER_FAILED_READ_BACK: Duration = Duration::from_millis(200);
 
-/// What the main loop wants done.
+/// A request of the main loop.
 pub enum StateRequest {
-    /// Commits a transaction of that leadership.
+    /// Commits a transaction of the leadership with that epoch.
     Commit(Epoch, TxnId, Txn),
     /// Reads a key whose write had an unclear outcome.
     ReadBack(Epoch, String),
-    /// Reads the final state of a job that the leader does not have in memory.
+    /// Reads the final state of a job that the leader does not hold in memory.
     ReadFinal(Epoch, JobId),
     /// Reads the whole record of a finished job, for the leader's answer.
     ReadRecord(Epoch, ReqId, JobId),
-    /// Reads a final state for a poll while no leader is in reach.
+    /// Reads a final state for a poll while no leader is reachable.
     LookUpFinal(ReqId, JobId),
 }
 
--- a/src/node/upgrade.rs
+++ b/src/node/upgrade.rs
@@ -1,5 +1,5 @@
-//! Controllers of two versions side by side: this one tells its version, knows those
-//! of the others, and as the leader makes the switch to compact records.
+//! Rolling upgrades: this controller announces its version, tracks those of the others,
+//! and as the leader makes the switch to compact records once all can read them.
 
 use super::leadership::LeadershipEnd;
 use super::{Message, Node, Role, spawn};
@@ -13,26 +13,27 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use std::time::Duration;
 
-/// The thread makes one request at a time; one connection may linger beside it.
+/// The most sockets that the thread uses: one request at a time, beside one connection
+/// that may still be closing.
 pub(super) const SOCKETS: usize = 2;
-/// Requests of the leader that may wait; it makes one at a time in a term.
-const REQUESTS: usize = 8;
-const TIMEOUT: Duration = Duration::from_millis(1200);
+/// Length of the queue of the leader's requests; it makes one at a time in an epoch.
+const REQUEST_QUEUE: usize = 8;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// What comes of the thread.
+/// What the thread reports to the main loop.
 pub enum UpgradeEvent {
-    /// The switch to compact records is on record.
+    /// The switch to compact records is stored.
     Format(FormatRecord),
-    /// What became of a request of the leader of that term.
+    /// The result of a request that the leader of that epoch made.
     Reply(Epoch, Reply),
 }
 
-/// What this controller knows of the versions.
+/// The versions of the controllers and the record format, as far as known here.
 pub(super) struct Upgrade {
     pub(super) versions: VersionTable,
-    /// The switch to compact records, once this controller knows it to be on record.
+    /// The switch to compact records, once this controller knows that it is stored.
     format: Option<FormatRecord>,
-    all_new: bool,
+    all_read_compact: bool,
     requests: Sender<(Epoch, Step)>,
 }
 
@@ -45,36 +46,36 @@
         inbox: Sender<Message>,
     ) -> Upgrade {
         let platform = &settings.platform;
-        let (requests, rx) = bounded(REQUESTS);
-        let state = StateClient::new(platform.services.state, TIMEOUT);
+        let (requests, receiver) = bounded(REQUEST_QUEUE);
+        let state = StateClient::new(platform.services.state, REQUEST_TIMEOUT);
         let announcer = Announcer::new(state, platform.label.clone(), instance);
         spawn("versions", move || {
-            serve(announcer, clock, &rx, &inbox);
+            serve(announcer, clock, &receiver, &inbox);
         });
         let others = platform.seeds.iter().map(|seed| seed.label.clone());
         Upgrade {
             versions: VersionTable::new(platform.label.clone(), others),
             format: None,
-            all_new: false,
+            all_read_compact: false,
             requests,
         }
     }
 
-    /// Records are written in a form that this version can't read.
+    /// Whether records are written in a format that this version can't read.
     fn is_too_old(&self, version: ControllerVersion) -> bool {
         self.format.is_some_and(|f| reads(version) < f.records)
     }
 
-    /// For operators.
+    /// The versions for the overview, as JSON.
     pub(super) fn overview(&self) -> serde_json::Value {
-        let known = |(label, version): (&Label, Option<_>)| {
+        let entry = |(label, version): (&Label, Option<_>)| {
             let view = match version {
                 Some((v, source)) => serde_json::json!({ "version": v, "known_by": source }),
                 None => serde_json::Value::Null,
             };
             (label.to_string(), view)
         };
-        let controllers: serde_json::Map<_, _> = self.versions.all().map(known).collect();
+        let controllers: serde_json::Map<_, _> = self.versions.all().map(entry).collect();
         let too_old = self.versions.all().filter_map(|(label, version)| {
             let (version, _) = version?;
             self.is_too_old(version).then_some(label)
@@ -89,24 +90,24 @@
     }
 }
 
-/// Tells the version of this process, and makes the leader's requests in between.
+/// Announces the version of this process, and executes the leader's requests in between.
 fn serve(
     mut announcer: Announcer<StateClient>,
     clock: Clock,
     requests: &Receiver<(Epoch, Step)>,
     inbox: &Sender<Message>,
 ) {
-    let mut due = Some(clock.now());
+    let mut announce_at = Some(clock.now());
     loop {
-        let request = match due {
+        let request = match announce_at {
             Some(at) => requests.recv_timeout((at - clock.now()).std()),
             None => requests.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
-        let news = match request {
-            Ok((epoch, step)) => UpgradeEvent::Reply(epoch, make(announcer.state(), &step)),
+        let event = match request {
+            Ok((epoch, step)) => UpgradeEvent::Reply(epoch, execute(announcer.state(), &step)),
             Err(RecvTimeoutError::Timeout) => {
                 let found = announcer.step();
-                due = match found {
+                announce_at = match found {
                     Some(_) => None,
                     None => Some(clock.now() + announcer.pause()),
                 };
@@ -115,13 +116,13 @@
             }
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        if inbox.send(Message::Upgrade(news)).is_err() {
+        if inbox.send(Message::Upgrade(event)).is_err() {
             return;
         }
     }
 }
 
-fn make(state: &impl State, step: &Step) -> Reply {
+fn execute(state: &impl State, step: &Step) -> Reply {
     match step {
         Step::ReadVersions => {
             let page = state.page(VERSIONS, None, 200);
@@ -133,24 +134,24 @@
 }
 
 impl Node {
-    /// Takes the versions that pings have told.
+    /// Records the versions that pings have reported.
     pub(super) fn note_versions(&mut self) {
         for (label, reported) in self.peers.versions() {
             if let Some(version) = self.upgrade.versions.record_ping(&label, reported) {
-                tracing::info!(%label, %version, source = "ping", "version of a controller");
+                tracing::info!(%label, %version, source = "ping", "controller version changed");
                 if self.upgrade.is_too_old(version) {
-                    tracing::warn!(%label, %version, "a controller can't read the records");
+                    tracing::warn!(%label, %version, "controller version too old to read the stored records");
                 }
             }
         }
-        let all_new = self.upgrade.versions.all_read(RecordFormat::Compact);
-        if all_new && !self.upgrade.all_new {
-            tracing::info!("all controllers run a version that reads compact records");
+        let all_read_compact = self.upgrade.versions.all_read(RecordFormat::Compact);
+        if all_read_compact && !self.upgrade.all_read_compact {
+            tracing::info!("all controllers support compact records");
         }
-        self.upgrade.all_new = all_new;
+        self.upgrade.all_read_compact = all_read_compact;
     }
 
-    /// Whether that controller is known to understand what needs this version.
+    /// Whether that controller is known to run at least this version.
     pub(super) fn understands(&mut self, label: &Label, needs: ControllerVersion) -> bool {
         if !self.upgrade.versions.understands(label, needs) {
             self.note_versions();
@@ -158,7 +159,8 @@
         self.upgrade.versions.understands(label, needs)
     }
 
-    /// As the leader: makes the switch once all controllers read compact records.
+    /// As the leader: takes the next step of the switch, which is made once all controllers
+    /// support compact records.
     pub(super) fn advance_format_switch(&mut self, now: Time) {
         self.note_versions();
         let Role::Leader(leadership) = &mut self.role else {
@@ -175,7 +177,7 @@
                 .try_send((leadership.epoch, step))
                 .is_err()
         {
-            // It was not sent; what is stored is read before the next one.
+            // The request was not sent; the stored format is read before the next one.
             let failed = Reply::Format(Err(()));
             leadership
                 .switch
@@ -183,8 +185,8 @@
         }
     }
 
-    pub(super) fn handle_upgrade_event(&mut self, now: Time, news: UpgradeEvent) {
-        match news {
+    pub(super) fn handle_upgrade_event(&mut self, now: Time, event: UpgradeEvent) {
+        match event {
             UpgradeEvent::Format(record) => self.set_record_format(now, record),
             UpgradeEvent::Reply(epoch, reply) => self.switch_reply(now, epoch, reply),
         }
@@ -203,21 +205,21 @@
         {
             Decision::Nothing => {}
             Decision::Compact(record) => {
-                tracing::info!(%epoch, "the switch to compact records is on record");
+                tracing::info!(%epoch, "switch to compact records committed");
                 self.set_record_format(now, record);
             }
             Decision::Deposed => {
-                tracing::warn!(%epoch, "the leader's key is no longer ours");
+                tracing::warn!(%epoch, "leadership lost: the leader's key was changed by another controller");
                 self.step_down(now, LeadershipEnd::KeyLost);
             }
         }
     }
 
-    /// The switch is on record: this holds for every term from now on.
+    /// Records that the switch is stored; it holds for every epoch from now on.
     pub(super) fn set_record_format(&mut self, now: Time, record: FormatRecord) {
         if self.upgrade.format.is_none() {
             let since_ms = record.since;
-            tracing::info!(since_ms, "records are written in the compact form");
+            tracing::info!(since_ms, "writing records in the compact format");
         }
         self.upgrade.format = Some(record);
         let version = crate::versions::JOB_CHAINS;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -379,7 +379,7 @@
             reachable: true,
             supports_request: t.understands(&leader, ask.needs()),
         };
-        matches!(route(ask, Some(known)), Route::PassOn(..))
+        matches!(route(ask, Some(known)), Route::Forward(..))
     };
     for version in [None, Some(OLD), Some(OWN)] {
         if let Some(v) = version {
--- a/tests/world/followers.rs
+++ b/tests/world/followers.rs
@@ -134,10 +134,10 @@
     /// What a controller that does not lead makes of it.
     fn follow(&mut self, i: usize, q: ReqId, ask: &Ask) {
         match route(ask, self.known_leader(i, ask)) {
-            Route::PassOn(leader, _) => self.go(index(&leader), q, Leg::PassedOn(i)),
+            Route::Forward(leader, _) => self.go(index(&leader), q, Leg::PassedOn(i)),
             Route::ReadFinal(id) => self.go(i, q, Leg::Read(id)),
             Route::Answer(a) => self.go(i, q, Leg::Told(a)),
-            Route::NoLeaderForReport => self.go(i, q, Leg::Told(no_leader())),
+            Route::NoLeaderForHeartbeat => self.go(i, q, Leg::Told(no_leader())),
         }
     }
 
