--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,7 +1,7 @@
 //! Client of the cloud: machine types, machines rented and returned, and the list.
 
 use crate::ids::Host;
-use crate::sched::HireResult;
+use crate::sched::RentalResult;
 use crate::store::client::{agent, finish};
 use crate::wire::cloud::{Flavor, Flavors, Hire, HostList, Hosts};
 use serde::Serialize;
@@ -45,18 +45,18 @@
     }
 
     /// Rents machines; idempotent by the name of the request.
-    pub fn rent(&self, request: &Hire) -> HireResult {
+    pub fn rent(&self, request: &Hire) -> RentalResult {
         match self.post("/hosts", request) {
             Some((200, body)) => match serde_json::from_slice::<Hosts>(&body) {
-                Ok(rented) => HireResult::Ok(rented.hosts),
-                Err(_) => HireResult::Unclear,
+                Ok(rented) => RentalResult::Ok(rented.hosts),
+                Err(_) => RentalResult::Unclear,
             },
             Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
-                HireResult::NoCapacity
+                RentalResult::NoCapacity
             }
-            Some((429 | 503, _)) => HireResult::Busy,
-            Some((400, _)) => HireResult::Invalid,
-            _ => HireResult::Unclear,
+            Some((429 | 503, _)) => RentalResult::Busy,
+            Some((400, _)) => RentalResult::Invalid,
+            _ => RentalResult::Unclear,
         }
     }
 
--- a/src/node/asks.rs
+++ b/src/node/asks.rs
@@ -250,7 +250,7 @@
             && answer.status < FIRST_RETRYABLE_STATUS
             && t.sched.may_start(now)
         {
-            answer.valid_us = Some((t.sched.proven_until() - p.since).0);
+            answer.valid_us = Some((t.sched.leadership_valid_until() - p.since).0);
         }
         self.latency.saturating_record((now - p.since).0);
         let in_time = now - p.since <= p.limit;
--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -98,7 +98,7 @@
         let election = self.request_log.election;
         let connections = self.server.metrics();
         let look_ups = match &self.role {
-            Role::Leader(term) => term.sched.look_up_counts(),
+            Role::Leader(term) => term.sched.lookup_counts(),
             _ => LookUpCounts::default(),
         };
         tracing::info!(
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -6,7 +6,7 @@
 use super::{Node, Role, Term};
 use crate::election::{ElectionOutcome, LeaderRecord};
 use crate::ids::{Epoch, Label, ReqId, Stamp};
-use crate::sched::{Config, Event, Sched};
+use crate::sched::{Config, Event, Scheduler};
 use crate::store::commit::Committer;
 use crate::time::{Span, Time, wall};
 use crate::versions::Switch;
@@ -92,7 +92,7 @@
         self.proven = proven;
         if let Role::Leader(term) = &self.role {
             let epoch = term.epoch;
-            self.event(now, epoch, Event::Proven(proven));
+            self.event(now, epoch, Event::LeadershipConfirmed(proven));
         }
     }
 
@@ -130,7 +130,7 @@
         let _ = self.cloud.send(CloudRequest::Refresh);
         if !self.flavors.is_empty() {
             let known = self.flavors.clone();
-            self.event(now, epoch, Event::Flavors(known));
+            self.event(now, epoch, Event::MachineTypes(known));
         }
     }
 
@@ -147,7 +147,7 @@
             commit.add_litter(key, stamp);
         }
         let config = Config::from(&self.settings);
-        let mut sched = Sched::new(config, epoch, self.proven, now, wall());
+        let mut sched = Scheduler::new(config, epoch, self.proven, now, wall());
         let token = epoch.base();
         tracing::info!(%epoch, token, jobs = loaded.jobs.len(), "leading");
         // The time of day first: no suspension between the two makes it too late.
@@ -194,7 +194,7 @@
         let after = self.clock.now();
         let rest = Span((after - before).0 * PASS_REST_FACTOR).min(MAX_PASS_REST);
         if let Some(term) = self.term(epoch) {
-            term.sched.rest(after + rest);
+            term.sched.defer_pass(after + rest);
         }
     }
 }
--- a/src/node/load.rs
+++ b/src/node/load.rs
@@ -145,8 +145,8 @@
     for (_, mut j) in jobs {
         // What is loaded is stored: versions go on from 1.
         for p in &mut j.parts {
-            p.ver = 1;
-            p.stored = 1;
+            p.version = 1;
+            p.stored_version = 1;
         }
         l.jobs.push(j);
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -20,7 +20,7 @@
 use crate::ids::{Epoch, Instance, JobId, Label, ReqId, TxnId};
 use crate::peer::{FromPeers, Own, Peers};
 use crate::sched::job::Final;
-use crate::sched::{Effect, Event, Sched};
+use crate::sched::{Effect, Event, Scheduler};
 use crate::settings::{Settings, Sizes};
 use crate::store::budget::Budget;
 use crate::store::client::ReadError;
@@ -151,7 +151,7 @@
 
 struct Term {
     epoch: Epoch,
-    sched: Sched,
+    sched: Scheduler,
     commit: Committer,
     /// What readers are shown of the unfinished jobs.
     board: Board,
@@ -407,7 +407,7 @@
                 self.flavors = f.clone();
                 if let Role::Leader(t) = &self.role {
                     let epoch = t.epoch;
-                    self.event(now, epoch, Event::Flavors(f));
+                    self.event(now, epoch, Event::MachineTypes(f));
                 }
             }
             Msg::Event(epoch, e) => self.event(now, epoch, e),
@@ -476,7 +476,7 @@
                     };
                     let _ = self.agents.send(direct_call);
                 }
-                Effect::Hire(h) => {
+                Effect::Rent(h) => {
                     let _ = self.cloud.send(CloudRequest::Rent(epoch, h));
                 }
                 Effect::Release(hosts) => {
@@ -530,7 +530,7 @@
                         }
                     }
                 }
-                let until = t.sched.proven_until();
+                let until = t.sched.leadership_valid_until();
                 (now < until).then(|| Published {
                     jobs: t.board.publish(),
                     until: self.clock.moment(until),
@@ -553,9 +553,9 @@
         if let Role::Leader(t) = &self.role {
             let epoch = t.epoch;
             let away = self.peers.out_of_reach();
-            self.event(now, epoch, Event::OutOfReach(away));
+            self.event(now, epoch, Event::Unreachable(away));
             if std::mem::take(&mut self.behind) {
-                self.event(now, epoch, Event::Behind);
+                self.event(now, epoch, Event::Overloaded);
             }
             self.event_with_pass(now, epoch, Event::Tick(wall()));
         }
--- a/src/node/threads/cloud.rs
+++ b/src/node/threads/cloud.rs
@@ -108,7 +108,7 @@
             CloudRequest::Rent(of, hire) if of == epoch => {
                 self.wait_for_budget();
                 let result = self.client.rent(&hire);
-                self.send(epoch, Event::Hired(hire, result));
+                self.send(epoch, Event::RentalResult(hire, result));
             }
             CloudRequest::Return(of, hosts) if of == epoch => {
                 self.wait_for_budget();
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -1,8 +1,8 @@
 //! Whether a submission can be taken: what is refused, and as what.
 
-use super::job::{Job, LATER, LEAST_PART, compact_part_size, part_size};
+use super::job::{Job, LATER_GROWTH_BYTES, MIN_PART_TASKS, compact_part_size, part_size};
 use super::needs::Needs;
-use super::{Room, Sched};
+use super::{Room, Scheduler};
 use crate::ids::Zone;
 use crate::store::RecordFormat;
 use crate::store::limits::VALUE_MARGIN;
@@ -12,14 +12,14 @@
 use crate::wire::user::{JobSpec, Kind};
 
 /// The answer to a submission that names more unfinished jobs than its record holds.
-pub(super) fn too_many_names() -> Answer {
+pub(super) fn too_many_dependencies() -> Answer {
     let text = "Awaits: too many jobs that are not done yet to be stored with this one";
     Answer::later(text, 5)
 }
 
-impl Sched {
+impl Scheduler {
     /// Why a job can never run, if so; `Err` when that can't be told yet.
-    pub(super) fn never_runs(&self, s: &JobSpec) -> Result<Option<String>, String> {
+    pub(super) fn unsatisfiable(&self, s: &JobSpec) -> Result<Option<String>, String> {
         let Some(limit) = self.teams.limit(&s.team) else {
             return Ok(Some(format!("Crew: no team {}", s.team)));
         };
@@ -31,11 +31,11 @@
         if let Some(part) = limit.lacks(&need.scaled(at_once)) {
             return Ok(Some(format!("{part}: more than the team's limit")));
         }
-        if self.flavors.is_empty() {
+        if self.machine_types.is_empty() {
             return Err("machine types are not known yet".into());
         }
         let allowed = |f: &&Flavor| s.builds.as_ref().is_none_or(|b| b.contains(&f.build));
-        let types: Vec<&Flavor> = self.flavors.values().filter(allowed).collect();
+        let types: Vec<&Flavor> = self.machine_types.values().filter(allowed).collect();
         if types.is_empty() {
             return Ok(Some("Builds: no such machine type".into()));
         }
@@ -74,14 +74,14 @@
 
     pub(super) fn new_job(&self, now: Time, spec: JobSpec) -> Job {
         let usual = match self.record_format {
-            RecordFormat::Legacy => part_size(self.cfg.value_kb),
+            RecordFormat::Legacy => part_size(self.config.value_kb),
             RecordFormat::Compact => compact_part_size(self.smallest_value()),
         };
         let of_size = |size| Job::new(spec.clone(), self.next_seq, now, self.wall, size);
         let mut job = of_size(usual);
         // Beside long names fewer tasks fit.
-        while !self.fits_smallest(&job) && job.part_size > LEAST_PART {
-            job = of_size(job.part_size - LEAST_PART);
+        while !self.fits_smallest(&job) && job.part_size > MIN_PART_TASKS {
+            job = of_size(job.part_size - MIN_PART_TASKS);
         }
         job
     }
@@ -89,12 +89,12 @@
     /// Its first record can be written under the smallest limits that are known to
     /// come, whatever becomes of its tasks.
     fn fits_smallest(&self, job: &Job) -> bool {
-        job.most_values(self.smallest_value()) <= self.cfg.smallest.txn_ops
+        job.max_values(self.smallest_value()) <= self.config.min_limits.txn_ops
     }
 
     /// Bytes of the smallest value that is known to come.
     fn smallest_value(&self) -> usize {
-        let kb = self.cfg.value_kb.min(self.cfg.smallest.value_kb);
+        let kb = self.config.value_kb.min(self.config.min_limits.value_kb);
         ((kb * 1024.0) as usize).saturating_sub(VALUE_MARGIN)
     }
 
@@ -107,15 +107,15 @@
         if self.record_format == RecordFormat::Compact {
             return false;
         }
-        let size = part_size(self.cfg.value_kb);
-        let room = (self.cfg.value_kb * 1024.0) as usize;
-        let first = job.encode(0).to_string().len() + LATER;
+        let size = part_size(self.config.value_kb);
+        let room = (self.config.value_kb * 1024.0) as usize;
+        let first = job.encode(0).to_string().len() + LATER_GROWTH_BYTES;
         first + size.min(job.spec.tasks) as usize * 42 > room
     }
 
     /// Its first record would be small enough but for the names of jobs that are not
     /// done. They become fewer with time, so it is no reason to refuse the job for good.
-    pub(super) fn names_too_many(&self, job: &Job) -> bool {
+    pub(super) fn has_too_many_dependencies(&self, job: &Job) -> bool {
         if job.needs.is_empty() || !self.too_large(job) {
             return false;
         }
@@ -126,7 +126,7 @@
 
     /// What a submission gets that would be refused, now that nothing is known of
     /// a job of that name.
-    pub(super) fn refusal(&self, now: Time, body: &[u8]) -> Answer {
+    pub(super) fn refusal_answer(&self, now: Time, body: &[u8]) -> Answer {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
             Err(e) => return Answer::error(400, &e),
@@ -134,9 +134,11 @@
         if spec.needs.contains(&spec.id) {
             return Answer::error(422, "Awaits: a job can't need itself");
         }
-        match self.never_runs(&spec) {
+        match self.unsatisfiable(&spec) {
             Ok(Some(text)) => Answer::error(422, &text),
-            Ok(None) if self.names_too_many(&self.new_job(now, spec.clone())) => too_many_names(),
+            Ok(None) if self.has_too_many_dependencies(&self.new_job(now, spec.clone())) => {
+                too_many_dependencies()
+            }
             Ok(None) if self.too_large(&self.new_job(now, spec)) => {
                 let text = "Builds: the job's description is too large to be stored";
                 Answer::error(400, text)
--- a/src/sched/allowed_zones.rs
+++ b/src/sched/allowed_zones.rs
@@ -3,7 +3,7 @@
 //! for a job: asked for each machine, it made the work of a pass grow with machines
 //! times tasks times tasks.
 
-use super::Sched;
+use super::Scheduler;
 use super::job::Job;
 use crate::ids::Zone;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,13 +22,13 @@
 
 impl AllowedZones {
     /// Judged against the tasks of the job as they are now.
-    pub fn of(s: &Sched, job: &Job) -> AllowedZones {
+    pub fn of(s: &Scheduler, job: &Job) -> AllowedZones {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
             return AllowedZones::All;
         }
         let mut counts: BTreeMap<&Zone, u32> = BTreeMap::new();
-        for live in job.live.values() {
+        for live in job.active.values() {
             match s.machines.get(&live.host) {
                 Some(m) if !m.zone.as_str().is_empty() => *counts.entry(&m.zone).or_default() += 1,
                 _ => return AllowedZones::Undecided,
--- a/src/sched/audit.rs
+++ b/src/sched/audit.rs
@@ -1,17 +1,17 @@
 //! Sums that are kept up as things happen, held against the plain computation.
 
-use super::{Room, Sched};
+use super::{Room, Scheduler};
 use crate::ids::Team;
 use std::collections::BTreeMap;
 
-impl Sched {
+impl Scheduler {
     /// What does not add up; nothing, unless there is a mistake in the code.
     pub fn audit(&self) -> Vec<String> {
         let mut wrong = vec![];
         let mut by_team: BTreeMap<&Team, Room> = BTreeMap::new();
         let mut lives = 0;
         for j in self.jobs.values() {
-            for (t, l) in &j.live {
+            for (t, l) in &j.active {
                 *by_team.entry(&j.spec.team).or_default() += j.need;
                 lives += 1;
                 let task = crate::ids::TaskId {
@@ -23,7 +23,7 @@
                     wrong.push(format!("{task} has no place on {}", l.host));
                 }
             }
-            let listed = j.live.len() as u32 + j.done_count;
+            let listed = j.active.len() as u32 + j.done_count;
             if listed > j.spec.tasks {
                 wrong.push(format!("{}: {listed} of {}", j.id(), j.spec.tasks));
             }
--- a/src/sched/beats.rs
+++ b/src/sched/beats.rs
@@ -1,6 +1,6 @@
 //! Answers to workers' heartbeats: who is entitled to one, and when it leaves.
 
-use super::Sched;
+use super::Scheduler;
 use super::machine::{Life, Machine, SentAnswer};
 use super::report::{Delivery, ReportSource};
 use crate::ids::{Host, Label, ReqId, Seq, Session};
@@ -26,7 +26,7 @@
     newest: bool,
 }
 
-impl Sched {
+impl Scheduler {
     /// Takes a heartbeat, which came by way of the controller `via` if not directly,
     /// and answers it now or holds the answer back.
     pub(super) fn beat(&mut self, now: Time, req: ReqId, body: &[u8], via: Option<Label>) {
@@ -60,7 +60,7 @@
         }
         if newest && self.worth_holding(now, &host, freed) {
             self.reports_held += 1;
-            self.held.insert(host, beat);
+            self.held_heartbeats.insert(host, beat);
         } else {
             self.answer_beat(now, &host, beat);
         }
@@ -74,12 +74,15 @@
     /// A worker has one heartbeat in flight, so it has given up an earlier one that
     /// still waits for its answer. False if a newer one waits: then this is a copy.
     fn supersedes_waiting(&mut self, host: &Host, beat: &Beat) -> bool {
-        let waiting = self.held.get(host).or(self.at_fence.get(host));
+        let waiting = self
+            .held_heartbeats
+            .get(host)
+            .or(self.fenced_heartbeats.get(host));
         if waiting.is_some_and(|waiting| waiting.order >= beat.order) {
             return false;
         }
-        let earlier = self.held.remove(host);
-        if let Some(earlier) = earlier.or_else(|| self.at_fence.remove(host)) {
+        let earlier = self.held_heartbeats.remove(host);
+        if let Some(earlier) = earlier.or_else(|| self.fenced_heartbeats.remove(host)) {
             self.answer(earlier.req, Answer::later("a newer report is here", 1));
         }
         true
@@ -130,13 +133,13 @@
             self.reports_refused += 1;
             return self.answer(beat.req, Answer::later("its zone is being taken back", 1));
         }
-        self.at_fence.insert(host.clone(), beat);
+        self.fenced_heartbeats.insert(host.clone(), beat);
     }
 
     /// Answers that waited at a fence: those whose zone is open, and those that
     /// have waited for too long.
     pub(super) fn answer_at_fence(&mut self, now: Time) {
-        for (host, beat) in std::mem::take(&mut self.at_fence) {
+        for (host, beat) in std::mem::take(&mut self.fenced_heartbeats) {
             self.answer_beat(now, &host, beat);
         }
     }
@@ -144,26 +147,27 @@
     /// What the worker is to do next will be known in a moment: its answer can
     /// wait for that, which saves a direct call and further heartbeats.
     fn worth_holding(&self, now: Time, host: &Host, freed: bool) -> bool {
-        if self.cfg.hold == Span::ZERO || !self.may_start(now) {
+        if self.config.heartbeat_hold == Span::ZERO || !self.may_start(now) {
             return false;
         }
         let able = |machine: &Machine| machine.life == Life::Up && machine.direct.is_none();
-        let waits = self.unsent.contains(host) || freed && !self.fleet.short.is_empty();
+        let waits =
+            self.machines_with_unsent_runs.contains(host) || freed && !self.fleet.short.is_empty();
         waits && self.machines.get(host).is_some_and(able)
     }
 
     /// Answers to heartbeats that need not, or may not, wait any longer; `passed`: a
     /// placement pass has just ended.
     pub(super) fn answer_held(&mut self, now: Time, passed: bool) {
-        let hold = self.cfg.hold;
-        let unsent = &self.unsent;
+        let hold = self.config.heartbeat_hold;
+        let unsent = &self.machines_with_unsent_runs;
         let due = |(host, beat): (&Host, &Beat)| {
             let idle = passed && !unsent.contains(host);
             (idle || now - beat.since >= hold).then(|| host.clone())
         };
-        let hosts: Vec<Host> = self.held.iter().filter_map(due).collect();
+        let hosts: Vec<Host> = self.held_heartbeats.iter().filter_map(due).collect();
         for host in hosts {
-            if let Some(beat) = self.held.remove(&host) {
+            if let Some(beat) = self.held_heartbeats.remove(&host) {
                 self.answer_beat(now, &host, beat);
             }
         }
@@ -171,8 +175,8 @@
 
     /// When the next held answer is due.
     pub(super) fn held_until(&self) -> Option<Time> {
-        let first = self.held.values().map(|beat| beat.since).min();
-        first.map(|since| since + self.cfg.hold)
+        let first = self.held_heartbeats.values().map(|beat| beat.since).min();
+        first.map(|since| since + self.config.heartbeat_hold)
     }
 }
 
--- a/src/sched/catchup.rs
+++ b/src/sched/catchup.rs
@@ -16,7 +16,7 @@
 use super::job::Phase;
 use super::machine::Life;
 use super::place::allowed;
-use super::{Effect, Sched};
+use super::{Effect, Scheduler};
 use crate::ids::{CallId, Host, Session, TaskId, Token};
 use crate::time::{Span, Time};
 use crate::wire::user::Kind;
@@ -54,7 +54,7 @@
     done: bool,
 }
 
-impl Sched {
+impl Scheduler {
     /// Asks machines that were listed as running and have not reported yet.
     pub(super) fn request_reports(&mut self, now: Time, hosts: Vec<Host>) {
         let least_room_first = |host: &Host| {
@@ -108,7 +108,7 @@
         };
         self.probes.under_way.insert(call, now);
         self.probes.sent += 1;
-        self.out.push(Effect::Orders {
+        self.effects.push(Effect::Orders {
             call,
             host,
             addr,
@@ -121,7 +121,7 @@
         let machine = self.machines.get(host)?;
         // Calls into a zone that is cut off hold up all others.
         let zone = &machine.zone;
-        let silent = self.watch.silent(zone) || self.fences.inherited(zone).is_some();
+        let silent = self.zone_monitor.silent(zone) || self.fences.inherited(zone).is_some();
         let busy = machine.direct.is_some() || now < machine.no_push_until;
         let known = machine.reported && machine.doubt.is_none();
         machine.addr.clone().filter(|_| !silent && !busy && !known)
@@ -149,12 +149,12 @@
         };
         // Whoever told the worker before us is not listened to any more.
         live.inherited = false;
-        live.sent = false;
-        live.told = None;
+        live.run_sent = false;
+        live.run_sent_in = None;
         live.placed = now;
         self.probes.resumed += 1;
-        self.unsent.insert(host.clone());
-        self.ready.insert(host.clone());
+        self.machines_with_unsent_runs.insert(host.clone());
+        self.machines_to_push.insert(host.clone());
         true
     }
 
@@ -165,7 +165,7 @@
             return false;
         };
         let spec = &job.spec;
-        let stopped = job.cancelled || job.closing.is_some() || job.held() || job.blocked();
+        let stopped = job.cancelled || job.closing_state.is_some() || job.held() || job.blocked();
         let anywhere = spec.kind == Kind::Array && !spec.one_zone && !spec.spread;
         let left = self.teams.left(&spec.team);
         let fits = machine.capacity.covers(&machine.used) && left.at_least_zero() == left;
@@ -174,7 +174,7 @@
 
     /// Logs the progress once a second until all is as it was.
     pub(super) fn tell_progress(&mut self, now: Time) {
-        let over = self.probes.done || now - self.began > MAX_PROGRESS_TIME;
+        let over = self.probes.done || now - self.leading_since > MAX_PROGRESS_TIME;
         if over || now < self.probes.progress_at {
             return;
         }
@@ -183,7 +183,7 @@
         let attempts = self.attempt_progress();
         self.probes.done = machines.heard == machines.up && attempts.unproven == 0;
         tracing::info!(
-            after_s = (now - self.began).as_secs(),
+            after_s = (now - self.leading_since).as_secs(),
             machines = machines.up,
             heard = machines.heard,
             unconfirmed = machines.unconfirmed,
@@ -193,7 +193,7 @@
             unproven = attempts.unproven,
             not_begun = attempts.not_begun,
             resumed = self.probes.resumed,
-            writes = ?self.dirty.lengths(),
+            writes = ?self.write_queue.lengths(),
             done = self.probes.done,
             "catching up"
         );
@@ -212,7 +212,7 @@
 
     fn attempt_progress(&self) -> AttemptProgress {
         let mut progress = AttemptProgress::default();
-        for live in self.jobs.values().flat_map(|job| job.live.values()) {
+        for live in self.jobs.values().flat_map(|job| job.active.values()) {
             match live.phase {
                 Phase::Placed if live.inherited => progress.unproven += 1,
                 Phase::Placed => progress.not_begun += 1,
--- a/src/sched/dependencies.rs
+++ b/src/sched/dependencies.rs
@@ -10,7 +10,7 @@
 //! is stored, by every leader anew, and for ever. So it is told at once, and its own
 //! record is written when there is time.
 
-use super::Sched;
+use super::Scheduler;
 use super::job::Job;
 use super::records::Purpose;
 use crate::ids::{JobId, TaskIx};
@@ -155,11 +155,11 @@
         }
         let whole = |(_, a): &(usize, &After)| !a.each;
         let conditions = self.spec.after.iter().enumerate().filter(whole);
-        conditions.fold(0, |all, (n, _)| all | 1u32 << n) & !self.met != 0
+        conditions.fold(0, |all, (n, _)| all | 1u32 << n) & !self.conditions_met != 0
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// A new job is taken, or found on record: what it depends on may have come about
     /// already.
     pub(super) fn register_dependencies(&mut self, now: Time, id: &JobId) {
@@ -189,7 +189,7 @@
         if let Some(j) = self.jobs.get_mut(id)
             && let Some(other) = j.counterpart().cloned()
         {
-            j.shut();
+            j.close_tasks();
             let parts = self.jobs.get(&other).map_or(0, |p| p.parts.len());
             for part in 0..parts {
                 self.open_counterparts(&other, part, Some(id));
@@ -242,7 +242,7 @@
             return;
         };
         let Some(j) = self.jobs.get(id) else { return };
-        if j.parts[part].stored < j.parts[part].ver {
+        if j.parts[part].stored_version < j.parts[part].version {
             // What came since is stored later, and told then.
             return;
         }
@@ -266,7 +266,7 @@
                 continue;
             };
             for t in &done {
-                self.replan |= child.open(*t);
+                self.replan |= child.open_task(*t);
             }
         }
     }
@@ -323,16 +323,16 @@
             return;
         };
         let mut never = None;
-        let before = j.met;
+        let before = j.conditions_met;
         for (n, a) in j.spec.after.iter().enumerate() {
-            if a.job != *parent || j.met >> n & 1 == 1 {
+            if a.job != *parent || j.conditions_met >> n & 1 == 1 {
                 continue;
             }
             match judge(a.when, came) {
-                Some(true) => j.met |= 1 << n,
+                Some(true) => j.conditions_met |= 1 << n,
                 // Told once: released, the hold came back with each new leader.
-                Some(false) if j.never >> n & 1 == 0 => {
-                    j.never |= 1 << n;
+                Some(false) if j.conditions_unmeetable >> n & 1 == 0 => {
+                    j.conditions_unmeetable |= 1 << n;
                     never = Some(a.when);
                 }
                 _ => {}
@@ -340,11 +340,11 @@
         }
         if came == ParentOutcome::Over(JobState::Done) && j.counterpart() == Some(parent) {
             for t in (0..j.spec.tasks).map(TaskIx) {
-                j.open(t);
+                j.open_task(t);
             }
         }
-        if j.met != before {
-            j.touch(0, &mut self.dirty, Purpose::Start);
+        if j.conditions_met != before {
+            j.mark_changed(0, &mut self.write_queue, Purpose::Start);
             self.replan = true;
         }
         if let Some(when) = never {
@@ -369,9 +369,9 @@
             return self.all_needs_met(now, id);
         }
         // A later leader reads again what became of those that are still on record.
-        if j.needs_met_unsaved >= SAVE_MET_NEEDS && j.parts[0].stored > 0 {
+        if j.needs_met_unsaved >= SAVE_MET_NEEDS && j.parts[0].stored_version > 0 {
             j.needs_met_unsaved = 0;
-            j.touch(0, &mut self.dirty, Purpose::Progress);
+            j.mark_changed(0, &mut self.write_queue, Purpose::Progress);
         }
     }
 
@@ -385,10 +385,10 @@
         };
         self.next_seq += 1;
         j.seq = seq;
-        j.ready = now;
+        j.ready_since = now;
         j.ready_at = Some(wall);
-        if j.parts[0].ver > 0 {
-            j.touch(0, &mut self.dirty, Purpose::Progress);
+        if j.parts[0].version > 0 {
+            j.mark_changed(0, &mut self.write_queue, Purpose::Progress);
         }
         tracing::debug!(job = %id, class = %j.spec.class, "all that it needs is done");
         self.note_ready_to_run(now, id);
@@ -403,7 +403,7 @@
             self.arrivals.note(now, j);
         }
         if quick {
-            self.pass_at = now;
+            self.next_pass_at = now;
         }
         self.book(now, id, JobEvent::Came);
     }
@@ -414,17 +414,17 @@
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
-        if j.cancelled_with.is_some() || j.closing == Some(JobState::Done) {
+        if j.cancelled_with.is_some() || j.closing_state == Some(JobState::Done) {
             return;
         }
         tracing::info!(job = %id, with = %parent, "cancelled with a job that it needs");
         j.cancelled_with = Some(parent.clone());
         j.cancelled = true;
         // Told at once, whatever is stored of this job.
-        j.cancel_ver = 0;
-        j.touch(0, &mut self.dirty, Purpose::Progress);
+        j.cancel_version = 0;
+        j.mark_changed(0, &mut self.write_queue, Purpose::Progress);
         self.stop_all(now, id);
-        self.finish_if_over(id);
+        self.finish_if_complete(id);
         self.withdraw_from_parents(id);
         self.announce(id, ParentOutcome::Cancelled);
         self.replan = true;
@@ -435,9 +435,9 @@
     /// this one anything else. So no proof of the leadership is asked for.
     pub(super) fn cancelled_for_ever(&self, id: &JobId) -> Option<Answer> {
         let j = self.jobs.get(id)?;
-        let accepted = j.parts[0].stored > 0;
+        let accepted = j.parts[0].stored_version > 0;
         (accepted && j.cancelled_with.is_some()).then(|| {
-            let body = super::users::view(id, JobState::Cancelled, j.done_count, 0);
+            let body = super::requests::job_view_json(id, JobState::Cancelled, j.done_count, 0);
             Answer::new(200, body)
         })
     }
@@ -470,7 +470,7 @@
     /// What a new leader finds waiting.
     pub(super) fn load_dependencies(&mut self, now: Time) {
         let waits = |j: &Job| j.blocked() || j.counterpart().is_some();
-        let blocked = |j: &&Job| waits(j) && j.closing.is_none();
+        let blocked = |j: &&Job| waits(j) && j.closing_state.is_none();
         let ids: Vec<JobId> = self
             .jobs
             .values()
--- a/src/sched/direct.rs
+++ b/src/sched/direct.rs
@@ -1,10 +1,10 @@
 //! Direct calls: commands that go straight to a worker, not to lose the time until its
 //! next heartbeat, and what their answers prove.
 
-use super::job::{Live, Phase};
+use super::job::{ActiveAttempt, Phase};
 use super::machine::{Life, Machine};
 use super::report::{Delivery, ReportSource};
-use super::{DirectResult, Effect, Sched};
+use super::{DirectResult, Effect, Scheduler};
 use crate::ids::{CallId, Host, JobId, Token};
 use crate::time::{Span, Time};
 use crate::wire::worker::{Order, Orders};
@@ -16,15 +16,15 @@
 const MAX_INTERVALS_SINCE_HEARD: f64 = 1.5;
 
 /// The attempt is stored or about to be, and no command has left for it.
-fn awaits_command(live: &Live) -> bool {
-    live.phase == Phase::Placed && !live.sent
+fn awaits_command(live: &ActiveAttempt) -> bool {
+    live.phase == Phase::Placed && !live.run_sent
 }
 
-impl Sched {
+impl Scheduler {
     /// Sends what waits for this worker, with the answer that is held for it or by a
     /// direct call.
     pub(super) fn push(&mut self, now: Time, host: &Host) {
-        if let Some(beat) = self.held.remove(host) {
+        if let Some(beat) = self.held_heartbeats.remove(host) {
             return self.answer_beat(now, host, beat);
         }
         let Some(addr) = self.callable_address(now, host) else {
@@ -48,7 +48,7 @@
             session: machine.session,
             orders,
         };
-        self.out.push(Effect::Orders {
+        self.effects.push(Effect::Orders {
             call,
             host: host.clone(),
             addr,
@@ -59,13 +59,13 @@
     /// Where the worker listens, if a direct call to it may be made now.
     fn callable_address(&self, now: Time, host: &Host) -> Option<String> {
         let machine = self.machines.get(host)?;
-        let fresh = Span::secs(self.cfg.workers.report_s * MAX_INTERVALS_SINCE_HEARD);
+        let fresh = Span::secs(self.config.workers.report_s * MAX_INTERVALS_SINCE_HEARD);
         let callable = machine.reported
             && machine.life == Life::Up
             && machine.direct.is_none()
             && machine.doubt.is_none()
             // Calls to a zone that is cut off hold up those to others.
-            && !self.watch.silent(&machine.zone)
+            && !self.zone_monitor.silent(&machine.zone)
             && now >= machine.no_push_until
             && now - machine.reached < fresh;
         machine.addr.clone().filter(|_| callable)
@@ -95,24 +95,24 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        for live in job.live.values().filter(|live| awaits_command(live)) {
-            self.ready.insert(live.host.clone());
+        for live in job.active.values().filter(|live| awaits_command(live)) {
+            self.machines_to_push.insert(live.host.clone());
         }
     }
 
     /// Sends what has become ready during this event.
     pub(super) fn push_ready(&mut self, now: Time) {
-        for host in std::mem::take(&mut self.ready) {
+        for host in std::mem::take(&mut self.machines_to_push) {
             self.push(now, &host);
         }
     }
 
     /// Tries all machines again for which commands wait.
     pub(super) fn push_all(&mut self, now: Time) {
-        for host in std::mem::take(&mut self.unsent) {
+        for host in std::mem::take(&mut self.machines_with_unsent_runs) {
             if self.any_awaits_command(&host) {
                 self.push(now, &host);
-                self.unsent.insert(host);
+                self.machines_with_unsent_runs.insert(host);
             }
         }
     }
@@ -123,7 +123,7 @@
         };
         machine.slots.keys().any(|task| {
             let job = self.jobs.get(&task.job);
-            let live = job.and_then(|job| job.live.get(&task.ix));
+            let live = job.and_then(|job| job.active.get(&task.ix));
             live.is_some_and(awaits_command)
         })
     }
@@ -169,7 +169,7 @@
             DirectResult::Refused => {
                 machine.no_push_until = now + FAILED_CALL_BACKOFF;
                 let zone = machine.zone.clone();
-                self.watch.unanswered(&zone);
+                self.zone_monitor.unanswered(&zone);
             }
             DirectResult::Unclear => {
                 // It may be carried out minutes from now, unless the worker has
@@ -177,7 +177,7 @@
                 machine.no_push_until = now + FAILED_CALL_BACKOFF;
                 machine.doubt_until(token);
                 let zone = machine.zone.clone();
-                self.watch.unanswered(&zone);
+                self.zone_monitor.unanswered(&zone);
             }
         }
     }
--- a/src/sched/estimate.rs
+++ b/src/sched/estimate.rs
@@ -13,7 +13,7 @@
     if job.spec.kind == Kind::Service {
         return ENDLESS;
     }
-    Span::secs(job.median.unwrap_or(job.spec.estimate_s))
+    Span::secs(job.median_runtime.unwrap_or(job.spec.estimate_s))
 }
 
 /// The median that replaces the owner's estimate, once there are enough.
--- a/src/sched/fences.rs
+++ b/src/sched/fences.rs
@@ -8,7 +8,7 @@
 //! A later leader relies on the record of the very epoch before its own and on
 //! no other: a leader in between may have answered without knowing of it.
 
-use super::Sched;
+use super::Scheduler;
 use super::machine::Machine;
 use crate::ids::{Epoch, Zone};
 use crate::time::{Span, Time, Wall};
@@ -137,7 +137,7 @@
     Time(now.0.saturating_sub(ago.0))
 }
 
-impl Sched {
+impl Scheduler {
     /// The record of fenced zones, if it is to be written, and its version.
     pub fn fences_to_write(&mut self) -> Option<(FenceRecord, u64)> {
         self.fences.next_write(self.epoch)
@@ -156,7 +156,7 @@
             return;
         }
         for (zone, since) in record.since {
-            let at = moment(now, wall, Wall(since), self.cfg.clock_error);
+            let at = moment(now, wall, Wall(since), self.config.clock_error);
             let ago_s = now.0 as f64 / 1e6 - at.0 as f64 / 1e6;
             tracing::info!(%zone, ago_s, "not answered under the term before");
             self.fences.inherited.insert(zone.clone(), at);
@@ -170,10 +170,10 @@
     pub(super) fn raise_fence(&mut self, now: Time, zone: &Zone) {
         let inherited = self.fences.inherited(zone);
         let answered = self.fences.answered.get(zone).copied();
-        let at = answered.or(inherited).unwrap_or(self.began);
+        let at = answered.or(inherited).unwrap_or(self.leading_since);
         // Earlier leaders may have gone on for a while after our beginning, but
         // for those of which the leader before us left word.
-        let earlier = inherited.unwrap_or(self.began + self.cfg.report_grace());
+        let earlier = inherited.unwrap_or(self.leading_since + self.config.report_grace());
         let at = at.max(earlier);
         // The time of day was told with this very moment, or read after it:
         // what goes on record is never too early.
--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -5,7 +5,7 @@
 use super::job::Phase;
 use super::machine::{Life, Machine};
 use super::place::allowed;
-use super::{Effect, Sched};
+use super::{Effect, Scheduler};
 use crate::ids::{Build, Epoch, Host, JobId, Label, TaskId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::cloud::{Hire, Listed};
@@ -185,7 +185,7 @@
     Span::secs(boot_s * 2.5 + 10.0)
 }
 
-impl Sched {
+impl Scheduler {
     /// Rents for what found no room, and returns what idles.
     pub(super) fn plan_fleet(&mut self, now: Time) {
         if !self.may_start(now) {
@@ -239,7 +239,7 @@
             machine.build = listed.build.clone();
             machine.zone = listed.zone.clone();
             machine.spot = listed.spot;
-            if let Some(flavor) = self.flavors.get(&machine.build) {
+            if let Some(flavor) = self.machine_types.get(&machine.build) {
                 machine.set_flavor(flavor);
             }
         }
@@ -258,7 +258,7 @@
     /// Until when the lease of a worker that we have just met may have been
     /// renewed: an earlier leader may go on for a while after our beginning.
     pub(super) fn maybe_renewed(&self, now: Time) -> Time {
-        now.max(self.began + self.cfg.report_grace())
+        now.max(self.leading_since + self.config.report_grace())
     }
 
     /// Machines that fell silent, never came up or are about to be taken.
@@ -274,7 +274,7 @@
             let has_worker = machine.life != Life::Booting;
             match machine.life {
                 Life::Booting => {
-                    let boot_s = self.flavors.get(&machine.build).map(|f| f.boot_s);
+                    let boot_s = self.machine_types.get(&machine.build).map(|f| f.boot_s);
                     let limit = late_boot(boot_s.unwrap_or(DEFAULT_BOOT_S));
                     // A new leader has not heard from those that are up.
                     if now - machine.hired > limit && !zone_kept && silence.settled {
@@ -285,7 +285,7 @@
                 Life::Up => {
                     machine.end_quarantine(now);
                     // One that comes back has as long as any other to report.
-                    let returned = self.watch.zones.returned(&machine.zone);
+                    let returned = self.zone_monitor.zones.returned(&machine.zone);
                     let heard = machine.heard.max(returned).max(silence.awake);
                     let cut_off = self.fleet.cut_off(now, &machine.via);
                     let silent = now - heard > silence.limit_for(cut_off) && silence.is_theirs;
@@ -315,21 +315,21 @@
 
     /// What the silence of machines means at the moment.
     fn silence(&self, now: Time) -> Silence {
-        let workers = &self.cfg.workers;
+        let workers = &self.config.workers;
         let heartbeats_s = workers.report_s * 1.25 * 2.0 + 2.0;
-        let share_of_lease_s = workers.lease_s * self.cfg.tuning.silent_share;
+        let share_of_lease_s = workers.lease_s * self.config.tuning.silent_share;
         let limit = Span::secs(share_of_lease_s.max(heartbeats_s));
         // Zones in trouble are one matter, and machines that fall silent another.
         let watched = |machine: &&Machine| {
-            machine.life == Life::Up && machine.certain && !self.watch.silent(&machine.zone)
+            machine.life == Life::Up && machine.certain && !self.zone_monitor.silent(&machine.zone)
         };
-        let awake = self.awake;
+        let awake = self.resumed_at;
         let is_silent = |machine: &&Machine| now - machine.heard.max(awake) > limit;
         let all = self.machines.values().filter(watched).count();
         let silent = self.machines.values().filter(watched).filter(is_silent);
         // When most fall silent at once, the fault is likely on our side.
         let is_ours = all > 2 && silent.count() * 2 > all;
-        let settled = now - self.began.max(awake) > limit;
+        let settled = now - self.leading_since.max(awake) > limit;
         Silence {
             limit,
             limit_cut_off: limit.max(Span::secs(workers.lease_s)),
@@ -358,7 +358,7 @@
         {
             machine.life = Life::Leaving { next: now };
         }
-        self.watch.ended(&zone, tasks.len());
+        self.zone_monitor.ended(&zone, tasks.len());
         if !tasks.is_empty() {
             tracing::info!(%host, tasks = tasks.len(), "lease has run out, tasks restart");
         }
@@ -373,7 +373,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get(&task.ix) else {
+        let Some(live) = job.active.get(&task.ix) else {
             return;
         };
         let machine = self.machines.get(&live.host);
@@ -404,7 +404,7 @@
         job.errors += 1;
         job.error_hosts.insert(host.clone());
         let works_elsewhere = job.done_count > 0;
-        if job.fails_everywhere() {
+        if job.failed_on_many_machines() {
             return self.fails_everywhere(now, &task.job);
         }
         let Some(machine) = self.machines.get_mut(host) else {
@@ -418,7 +418,7 @@
             tracing::info!(%host, fails = machine.fails, "quarantined");
             machine.quarantined = true;
             machine.quarantined_at = now;
-            self.forgive(host);
+            self.discard_failures_on(host);
         }
     }
 
@@ -483,7 +483,7 @@
     }
 
     fn idles_for_long(&self, now: Time, machine: &Machine) -> bool {
-        let tuning = &self.cfg.tuning;
+        let tuning = &self.config.tuning;
         let limit_s = if machine.spot {
             tuning.idle_spot_s
         } else {
@@ -515,7 +515,7 @@
             }
         }
         if !hosts.is_empty() {
-            self.out.push(Effect::Release(hosts));
+            self.effects.push(Effect::Release(hosts));
         }
     }
 
@@ -537,7 +537,7 @@
             for task in tasks {
                 self.gone_by(now, &task, Some(Failure::Lost), false);
             }
-            self.watch.given_back(&zone);
+            self.zone_monitor.given_back(&zone);
             self.machines.remove(&host);
             self.fleet.gone.insert(host);
         }
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -5,7 +5,7 @@
 use crate::sched::allowed_zones::AllowedZones;
 use crate::sched::job::Job;
 use crate::sched::machine::{Life, Machine};
-use crate::sched::{Effect, HireResult, Room, Sched};
+use crate::sched::{Effect, RentalResult, Room, Scheduler};
 use crate::time::{Span, Time};
 use crate::wire::cloud::{Flavor, Hire};
 use std::collections::BTreeMap;
@@ -62,13 +62,13 @@
     kind: MachineKind,
 }
 
-impl Sched {
+impl Scheduler {
     /// Repeats the rental requests that had no answer, when they are due.
     pub(super) fn repeat_rental_requests(&mut self, now: Time) {
         for request in self.fleet.requests.values_mut() {
             if request.repeat_at.is_some_and(|at| now >= at) {
                 request.repeat_at = None;
-                self.out.push(Effect::Hire(request.hire.clone()));
+                self.effects.push(Effect::Rent(request.hire.clone()));
             }
         }
     }
@@ -180,7 +180,7 @@
 
     fn request_machines(&mut self, now: Time, kind: MachineKind, machines: f64) {
         // A zone that comes back is rented in by degrees.
-        let open = self.watch.open(now, &kind.zone);
+        let open = self.zone_monitor.open(now, &kind.zone);
         let max = (MAX_MACHINES_PER_REQUEST as f64 * open).ceil() as u32;
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
         self.fleet.counter += 1;
@@ -194,7 +194,7 @@
         };
         tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
             spot = hire.spot, count, "renting");
-        self.out.push(Effect::Hire(hire.clone()));
+        self.effects.push(Effect::Rent(hire.clone()));
         let request = RentalRequest {
             hire,
             repeat_at: None,
@@ -207,7 +207,7 @@
     /// show all that was rented before this leadership, only jobs that came in since are
     /// rented for.
     fn rented_before(&self, now: Time, job: &Job) -> bool {
-        job.seq < self.fleet.first_own && now < self.began + self.cfg.oldest_list
+        job.seq < self.fleet.first_own && now < self.leading_since + self.config.max_list_age
     }
 
     /// What is on its way, by kind: machines that boot or are asked for, and
@@ -216,7 +216,7 @@
         let mut all: BTreeMap<MachineKind, Coming> = BTreeMap::new();
         for request in self.fleet.requests.values() {
             let hire = &request.hire;
-            if self.watch.silent(&hire.zone) {
+            if self.zone_monitor.silent(&hire.zone) {
                 continue;
             }
             let coming = all.entry(MachineKind::of_request(hire)).or_default();
@@ -225,7 +225,7 @@
         }
         for machine in self.machines.values() {
             // Nothing can be counted on in a zone that is silent.
-            if self.watch.silent(&machine.zone) {
+            if self.zone_monitor.silent(&machine.zone) {
                 continue;
             }
             let of_machine = self.coming_of(now, machine);
@@ -257,7 +257,7 @@
 
     /// What the tasks of a machine leave before one rented now would be up.
     fn freed_soon(&self, now: Time, machine: &Machine) -> Coming {
-        let soon = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+        let soon = Span::secs(self.boot_s(&machine.build) * self.config.tuning.wait_share);
         let mut freed = Room::default();
         let mut staying = 0;
         for slot in machine.slots.values() {
@@ -289,7 +289,7 @@
             demand.is_none_or(|(demand, allowed)| suits(*demand, allowed, kind))
         };
         let mut kinds = vec![];
-        for flavor in self.flavors.values() {
+        for flavor in self.machine_types.values() {
             let tasks = Room::of_flavor(flavor).times(need);
             if tasks == 0 {
                 continue;
@@ -320,7 +320,11 @@
         let mut offers = vec![];
         // What is rented in a zone that is lost boots and is paid for, and never
         // reports.
-        for zone in flavor.zones.iter().filter(|zone| !self.watch.silent(zone)) {
+        for zone in flavor
+            .zones
+            .iter()
+            .filter(|zone| !self.zone_monitor.silent(zone))
+        {
             let spot = flavor.spot_price.map(|price| (true, price));
             for (spot, price) in spot.into_iter().chain([(false, flavor.price)]) {
                 let kind = MachineKind {
@@ -346,11 +350,13 @@
 
     /// How long a machine of that type boots, in seconds.
     pub(in crate::sched) fn boot_s(&self, build: &Build) -> f64 {
-        self.flavors.get(build).map_or(0.0, |flavor| flavor.boot_s)
+        self.machine_types
+            .get(build)
+            .map_or(0.0, |flavor| flavor.boot_s)
     }
 
     fn tasks_per_machine(&self, kind: &MachineKind, need: &Room) -> f64 {
-        let flavor = self.flavors.get(&kind.build);
+        let flavor = self.machine_types.get(&kind.build);
         flavor.map_or(0.0, |flavor| Room::of_flavor(flavor).times(need) as f64)
     }
 
@@ -385,7 +391,7 @@
         let kinds = self.kinds_for(now, &least_task, None, &self.machines_by_zone());
         let mut kinds = kinds.into_iter().map(|priced| priced.kind);
         let kind = kinds.find(|kind| !plain || !kind.spot)?;
-        let whole = Room::of_flavor(self.flavors.get(&kind.build)?);
+        let whole = Room::of_flavor(self.machine_types.get(&kind.build)?);
         let lacking = if plain {
             keep.plain.minus(&free.plain)
         } else {
@@ -395,10 +401,10 @@
     }
 
     /// The cloud's answer to a rental request.
-    pub(in crate::sched) fn hired(&mut self, now: Time, hire: Hire, result: HireResult) {
+    pub(in crate::sched) fn hired(&mut self, now: Time, hire: Hire, result: RentalResult) {
         let kind = MachineKind::of_request(&hire);
         match result {
-            HireResult::Ok(hosts) => {
+            RentalResult::Ok(hosts) => {
                 self.fleet.requests.remove(&hire.name);
                 let rented = hosts.len() as u32;
                 if rented < hire.count {
@@ -415,19 +421,19 @@
                     self.rent(now);
                 }
             }
-            HireResult::NoCapacity => {
+            RentalResult::NoCapacity => {
                 tracing::info!(request = %hire.name, zone = %hire.zone, spot = hire.spot, "none to rent");
                 self.fleet.requests.remove(&hire.name);
                 self.fleet.refused.insert(kind, now);
                 // The next kind is asked for at once.
                 self.rent(now);
             }
-            HireResult::Invalid => {
+            RentalResult::Invalid => {
                 tracing::warn!(request = %hire.name, "rental request refused as invalid");
                 self.fleet.requests.remove(&hire.name);
                 self.fleet.refused.insert(kind, now);
             }
-            HireResult::Busy | HireResult::Unclear => {
+            RentalResult::Busy | RentalResult::Unclear => {
                 if let Some(request) = self.fleet.requests.get_mut(&hire.name) {
                     request.repeats += 1;
                     let delay_s = request.repeats.min(MAX_RETRY_DELAY_S);
@@ -439,7 +445,7 @@
 
     fn add_rented(&mut self, now: Time, host: Host, hire: &Hire) {
         let token = self.base_token();
-        let flavor = self.flavors.get(&hire.build);
+        let flavor = self.machine_types.get(&hire.build);
         let machine = self.machines.entry(host.clone()).or_insert_with(|| {
             let (build, zone) = (hire.build.clone(), hire.zone.clone());
             let mut machine = Machine::new(host, build, zone, hire.spot, now, token);
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -1,9 +1,9 @@
 //! Gang scheduling: room for all tasks is held before the first starts, one attempt
 //! number serves all, and they end together.
 
-use super::Sched;
+use super::Scheduler;
 use super::fleet::Short;
-use super::job::{Job, Live, Phase};
+use super::job::{ActiveAttempt, Job, Phase};
 use super::machine::{ENDLESS, Life, Machine};
 use super::order::Order;
 use super::place::{Candidate, Score, View, allowed};
@@ -44,7 +44,7 @@
     hosts: Vec<Host>,
 }
 
-impl Sched {
+impl Scheduler {
     /// Starts the whole gang, or a lost member of one that still waits.
     /// Answers what found no room.
     pub(super) fn place_gang(
@@ -59,7 +59,7 @@
         if self.teams.left(&job.spec.team).times(&job.need) < pending {
             return None;
         }
-        if let Some(live) = job.live.values().next() {
+        if let Some(live) = job.active.values().next() {
             let attempt = live.attempt;
             if !takes_replacement(job, attempt) {
                 return None;
@@ -190,14 +190,14 @@
         let overdue = job.overdue(now);
         for machine in self.machines.values() {
             let kept = held.contains(&machine.host) && !(overdue && machine.kept_long(now));
-            if !allowed(&job.spec, machine) || kept || self.watch.silent(&machine.zone) {
+            if !allowed(&job.spec, machine) || kept || self.zone_monitor.silent(&machine.zone) {
                 continue;
             }
             if let Some(soon_free) = self.soon_free(now, job, machine) {
                 zones.entry(&machine.zone).or_default().push(soon_free);
             }
         }
-        let rentable = self.flavors.values().flat_map(|flavor| &flavor.zones);
+        let rentable = self.machine_types.values().flat_map(|flavor| &flavor.zones);
         let wanted = |zone: &&Zone| job.spec.zone.as_ref().is_none_or(|only| only == *zone);
         for zone in rentable.filter(wanted) {
             zones.entry(zone).or_default();
@@ -223,7 +223,7 @@
         if free > 0 {
             return Some(soon_free(Span::ZERO, free));
         }
-        let boot = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+        let boot = Span::secs(self.boot_s(&machine.build) * self.config.tuning.wait_share);
         let empty_after = machine.remaining(now).map_or(Span::ZERO, |(_, high)| high);
         let overruns = || machine.slots.values().any(|slot| slot.overruns(now));
         (empty_after < boot && !overruns()).then(|| soon_free(empty_after, whole))
@@ -237,7 +237,7 @@
         if job.spec.kind != Kind::Gang {
             return;
         }
-        if job.live.is_empty() {
+        if job.active.is_empty() {
             job.gang_ran = false;
         } else if job.gang_ran {
             self.stop_members(now, id, 0.0);
@@ -257,7 +257,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let going_on = job.live.iter().filter(|(_, live)| live.stop.is_none());
+        let going_on = job.active.iter().filter(|(_, live)| live.stop.is_none());
         let tasks: Vec<_> = going_on.map(|(task, _)| *task).collect();
         for task in tasks {
             self.stop(now, id, task, leeway_s);
@@ -269,9 +269,10 @@
 /// on machines must be gone first.
 fn takes_replacement(job: &Job, attempt: Attempt) -> bool {
     // After a failover it isn't known yet whether it waits or has run.
-    let known = |live: &Live| !(live.sent && live.phase == Phase::Placed);
-    let waits = |live: &Live| live.stop.is_none() && live.attempt == attempt && known(live);
-    !job.gang_ran && job.live.values().all(waits)
+    let known = |live: &ActiveAttempt| !(live.run_sent && live.phase == Phase::Placed);
+    let waits =
+        |live: &ActiveAttempt| live.stop.is_none() && live.attempt == attempt && known(live);
+    !job.gang_ran && job.active.values().all(waits)
 }
 
 /// Fills the machines in their order, those of one zone if it is given; none if they do
--- a/src/sched/hearing.rs
+++ b/src/sched/hearing.rs
@@ -13,8 +13,8 @@
 //! tell it all there is to tell. What it has is gone by the usual proofs: a later
 //! session, the release carried out, a lease that expired since the last 200.
 
-use super::Sched;
-use super::job::{Live, Phase};
+use super::Scheduler;
+use super::job::{ActiveAttempt, Phase};
 use super::machine::{Machine, SentAnswer};
 use crate::ids::{Host, TaskId, Token};
 use crate::time::{Span, Time};
@@ -74,7 +74,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Notes what a heartbeat shows of the answer to the one before; `shown`: the
     /// attempts of ours on it.
     pub(super) fn note_hearing(
@@ -118,19 +118,21 @@
 
     /// Whether the last answer should have kept the worker's lease up.
     fn answered_in_time(&self, now: Time, host: &Host) -> bool {
-        let lease = Span::secs(self.cfg.workers.lease_s).shrunk() - MAX_ANSWER_DELAY;
+        let lease = Span::secs(self.config.workers.lease_s).shrunk() - MAX_ANSWER_DELAY;
         let machine = self.machines.get(host);
         machine.is_some_and(|machine| now < machine.answered + lease)
     }
 
     /// Whether all that this answer told to run is shown, or has been seen before.
     fn has_begun(&self, host: &Host, answer: SentAnswer, shown: &BTreeSet<TaskId>) -> bool {
-        let waits = |live: &Live| live.phase == Phase::Placed && live.told == Some(answer.seq);
+        let waits = |live: &ActiveAttempt| {
+            live.phase == Phase::Placed && live.run_sent_in == Some(answer.seq)
+        };
         let begun = |task: &TaskId| {
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.live.get(&task.ix));
+                .and_then(|job| job.active.get(&task.ix));
             !live.is_some_and(waits) || shown.contains(task)
         };
         let machine = self.machines.get(host);
@@ -149,7 +151,7 @@
         // What was not told to start there can start elsewhere at once.
         let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
         for task in tasks {
-            if self.live_mut(&task).is_some_and(|live| !live.sent) {
+            if self.live_mut(&task).is_some_and(|live| !live.run_sent) {
                 self.gone(now, &task);
             }
         }
@@ -159,7 +161,7 @@
     /// heartbeats show says nothing of them: a flood of jobs must not make most of a
     /// fleet count as unreachable.
     pub(super) fn keeps_up(&self, now: Time) -> bool {
-        now - self.behind > RECOVERY_AFTER_OVERLOAD
+        now - self.overloaded_at > RECOVERY_AFTER_OVERLOAD
     }
 
     /// Something on the machine is to end: what was stopped or is no longer ours,
@@ -173,7 +175,7 @@
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.live.get(&task.ix));
+                .and_then(|job| job.active.get(&task.ix));
             live.is_some_and(|live| live.stop.is_some() || live.phase == Phase::Placed)
         };
         let running_strays = machine.strays.values().any(|ended| !ended);
--- a/src/sched/inheritance.rs
+++ b/src/sched/inheritance.rs
@@ -8,7 +8,7 @@
 
 use super::job::Job;
 use super::machine::ENDLESS;
-use super::{Sched, estimate};
+use super::{Scheduler, estimate};
 use crate::ids::JobId;
 use crate::time::{Span, Time};
 use crate::wire::user::Priority;
@@ -116,7 +116,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// What the job passes up has changed, or is new.
     pub(super) fn pass_up(&mut self, id: &JobId) {
         if let Some(j) = self.jobs.get(id).filter(|j| !j.needs.is_empty()) {
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -3,7 +3,7 @@
 pub mod compact;
 mod record;
 
-pub use record::{LATER, LEAST_PART, compact_part_size, part_size};
+pub use record::{LATER_GROWTH_BYTES, MIN_PART_TASKS, compact_part_size, part_size};
 
 use super::inheritance::Inherited;
 use super::needs::Needs;
@@ -31,13 +31,13 @@
 /// One start of a task. It holds its machine, quota and zone until it is
 /// proven gone.
 #[derive(Clone, Debug)]
-pub struct Live {
+pub struct ActiveAttempt {
     pub attempt: Attempt,
     pub host: Host,
     /// Where that is; not known of what was stored without it.
     pub place: Option<Place>,
     /// Version of its part of the job that must be stored before `run` leaves.
-    pub ver: u64,
+    pub required_version: u64,
     pub phase: Phase,
     pub placed: Time,
     pub placed_wall: Wall,
@@ -45,9 +45,9 @@
     /// Placed under an earlier leader, and not seen before it ran.
     pub inherited: bool,
     /// The report in whose answer `run` was last sent.
-    pub told: Option<Seq>,
+    pub run_sent_in: Option<Seq>,
     /// `run` has left by some way or other.
-    pub sent: bool,
+    pub run_sent: bool,
     pub stop: Option<Stop>,
     /// It was stopped for having run for too long.
     pub timed_out: bool,
@@ -62,8 +62,8 @@
 /// A share of a job's tasks that is stored as one record.
 #[derive(Clone, Debug, Default)]
 pub struct Part {
-    pub ver: u64,
-    pub stored: u64,
+    pub version: u64,
+    pub stored_version: u64,
     /// It waits to be written, for this purpose.
     pub queued: Option<Purpose>,
     /// Fields of a later version, which are not to be lost.
@@ -73,7 +73,7 @@
 type Rest = serde_json::Map<String, serde_json::Value>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
+pub enum ReplyKind {
     Accept,
     Known,
     Cancel,
@@ -88,26 +88,26 @@
     pub seq: u64,
     pub arrived: Time,
     /// When the last job that it needs was done; when it arrived, if it needs none.
-    pub ready: Time,
+    pub ready_since: Time,
     pub submitted: Wall,
     pub cancelled: bool,
     /// Version of the first part that says so; told only once stored.
-    pub cancel_ver: u64,
+    pub cancel_version: u64,
     /// Nothing is left to do; the final state is being stored.
-    pub closing: Option<JobState>,
+    pub closing_state: Option<JobState>,
     /// Transactions with the final state that were sent and of which it isn't known
     /// whether they were carried out: others may have read it there already.
     pub unresolved_final_writes: u32,
     done: Vec<u64>,
     pub done_count: u32,
-    fresh: u32,
-    retry: BTreeSet<TaskIx>,
-    pub live: BTreeMap<TaskIx, Live>,
+    next_unstarted: u32,
+    retry_tasks: BTreeSet<TaskIx>,
+    pub active: BTreeMap<TaskIx, ActiveAttempt>,
     pub parts: Vec<Part>,
     pub part_size: u32,
     pub runtimes: Vec<f64>,
     /// Of the runtimes; kept, since every pass asks for it.
-    pub median: Option<f64>,
+    pub median_runtime: Option<f64>,
     pub backoff_until: Time,
     /// Since when some of it has waited to start, without a break.
     pub waiting_since: Option<Time>,
@@ -117,24 +117,24 @@
     failed_before: u32,
     /// All tasks of the gang's attempt were running at some time.
     pub gang_ran: bool,
-    pub waiters: Vec<(u64, ReqId, Waiting)>,
+    pub waiters: Vec<(u64, ReqId, ReplyKind)>,
     pub holds: Holds,
     /// What of that is stored for certain: nobody is shown more, as it could go
     /// back; and the version of the first part with the latest change.
-    pub shown: Holds,
-    pub holds_ver: u64,
+    pub stored_holds: Holds,
+    pub holds_version: u64,
     /// Version of the first part with the latest release; nothing starts
     /// before that is stored.
-    pub release_ver: u64,
+    pub release_version: u64,
     /// Failures that count.
-    pub attempts: Attempts,
+    pub failure_counts: Attempts,
     pub history: History,
     pub ended: Option<Wall>,
     /// Which of the conditions to start are met, a bit each.
-    pub met: u32,
+    pub conditions_met: u32,
     /// Which can't be met any more, and were told so by a hold: released, that
     /// hold does not come back.
-    pub never: u32,
+    pub conditions_unmeetable: u32,
     /// Jobs that are to be done before anything of this one starts.
     pub needs: Needs,
     /// How many of them were done since the job was last stored.
@@ -147,18 +147,18 @@
     pub(super) inherited: Inherited,
     /// Of a job whose tasks wait for those of another: which need not wait any
     /// more, and how many still do.
-    opened: Vec<u64>,
-    closed: u32,
+    open_tasks: Vec<u64>,
+    closed_count: u32,
     /// A part of its record could not be read.
     pub damaged: bool,
     /// Fields of a later version, which are not to be lost.
-    rest: Rest,
+    unknown_fields: Rest,
 }
 
 /// A job that failed on so many machines and worked on none is at fault.
-const MACHINES_TO_BLAME: usize = 3;
+const MIN_FAILED_MACHINES: usize = 3;
 /// Enough finished tasks for a median that later ones hardly move.
-const RUNTIMES_KEPT: usize = 15;
+const MAX_RUNTIMES: usize = 15;
 
 /// The final state of a job, kept for ever.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
@@ -176,21 +176,21 @@
             spec,
             seq,
             arrived: now,
-            ready: now,
+            ready_since: now,
             submitted: wall,
             cancelled: false,
-            cancel_ver: 0,
-            closing: None,
+            cancel_version: 0,
+            closing_state: None,
             unresolved_final_writes: 0,
             done: vec![0; n.div_ceil(64) as usize],
             done_count: 0,
-            fresh: 0,
-            retry: BTreeSet::new(),
-            live: BTreeMap::new(),
+            next_unstarted: 0,
+            retry_tasks: BTreeSet::new(),
+            active: BTreeMap::new(),
             parts: vec![Part::default(); n.div_ceil(part_size) as usize],
             part_size,
             runtimes: vec![],
-            median: None,
+            median_runtime: None,
             backoff_until: Time::default(),
             waiting_since: None,
             errors: 0,
@@ -199,23 +199,23 @@
             gang_ran: false,
             waiters: vec![],
             holds: Holds::default(),
-            shown: Holds::default(),
-            holds_ver: 0,
-            release_ver: 0,
-            attempts: Attempts::default(),
+            stored_holds: Holds::default(),
+            holds_version: 0,
+            release_version: 0,
+            failure_counts: Attempts::default(),
             history: History::new(At(wall.0)),
             ended: None,
-            met: 0,
-            never: 0,
+            conditions_met: 0,
+            conditions_unmeetable: 0,
             needs: needs.into_iter().collect(),
             needs_met_unsaved: 0,
             ready_at: None,
             cancelled_with: None,
             inherited: Inherited::default(),
-            opened: vec![],
-            closed: 0,
+            open_tasks: vec![],
+            closed_count: 0,
             damaged: false,
-            rest: Rest::default(),
+            unknown_fields: Rest::default(),
         }
     }
 
@@ -233,7 +233,7 @@
 
     /// It is cancelled, and a later leader will find that.
     pub fn cancellation_stored(&self) -> bool {
-        self.cancelled && self.parts[0].stored >= self.cancel_ver
+        self.cancelled && self.parts[0].stored_version >= self.cancel_version
     }
 
     /// The state to show to users, of what is stored.
@@ -248,8 +248,8 @@
     }
 
     pub fn running(&self) -> u32 {
-        let on = |l: &&Live| matches!(l.phase, Phase::Running | Phase::Saving);
-        self.live.values().filter(on).count() as u32
+        let on = |l: &&ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
+        self.active.values().filter(on).count() as u32
     }
 
     pub fn is_done(&self, t: TaskIx) -> bool {
@@ -260,26 +260,26 @@
         if !self.is_done(t) {
             self.done[t.0 as usize / 64] |= 1 << (t.0 % 64);
             self.done_count += 1;
-            self.retry.remove(&t);
+            self.retry_tasks.remove(&t);
         }
     }
 
     /// It has failed on several machines and succeeded on none: the fault is
     /// likely its own.
-    pub fn fails_everywhere(&self) -> bool {
+    pub fn failed_on_many_machines(&self) -> bool {
         let before = self.failed_before as usize;
-        self.done_count == 0 && self.error_hosts.len().max(before) >= MACHINES_TO_BLAME
+        self.done_count == 0 && self.error_hosts.len().max(before) >= MIN_FAILED_MACHINES
     }
 
     /// Tasks that neither run nor are done.
     pub fn pending(&self) -> u32 {
-        if self.cancelled || self.closing.is_some() || self.held() || self.blocked() {
+        if self.cancelled || self.closing_state.is_some() || self.held() || self.blocked() {
             return 0;
         }
         if self.spec.kind == Kind::Gang && self.done_count > 0 {
             return 0; // It completes together, or has.
         }
-        self.spec.tasks - self.done_count - self.live.len() as u32 - self.closed
+        self.spec.tasks - self.done_count - self.active.len() as u32 - self.closed_count
     }
 
     pub fn unfinished(&self) -> u32 {
@@ -288,13 +288,13 @@
 
     /// The next task to start, which is then no longer pending.
     pub fn take_pending(&mut self) -> Option<TaskIx> {
-        if let Some(t) = self.retry.pop_first() {
+        if let Some(t) = self.retry_tasks.pop_first() {
             return Some(t);
         }
-        while self.fresh < self.spec.tasks {
-            let t = TaskIx(self.fresh);
-            self.fresh += 1;
-            if !self.is_done(t) && !self.live.contains_key(&t) {
+        while self.next_unstarted < self.spec.tasks {
+            let t = TaskIx(self.next_unstarted);
+            self.next_unstarted += 1;
+            if !self.is_done(t) && !self.active.contains_key(&t) {
                 return Some(t);
             }
         }
@@ -303,43 +303,44 @@
 
     /// Tasks wait for their counterparts from now on, but for those that have
     /// begun already.
-    pub fn shut(&mut self) {
-        self.fresh = self.spec.tasks;
-        self.retry.clear();
-        self.opened = vec![0; self.done.len()];
-        self.closed = self.spec.tasks;
+    pub fn close_tasks(&mut self) {
+        self.next_unstarted = self.spec.tasks;
+        self.retry_tasks.clear();
+        self.open_tasks = vec![0; self.done.len()];
+        self.closed_count = self.spec.tasks;
         for t in (0..self.spec.tasks).map(TaskIx) {
-            if self.is_done(t) || self.live.contains_key(&t) {
-                self.open(t);
+            if self.is_done(t) || self.active.contains_key(&t) {
+                self.open_task(t);
             }
         }
     }
 
     /// The task's counterpart is done. True if it waited for that.
-    pub fn open(&mut self, t: TaskIx) -> bool {
+    pub fn open_task(&mut self, t: TaskIx) -> bool {
         let (word, bit) = (t.0 as usize / 64, 1 << (t.0 % 64));
-        match self.opened.get_mut(word) {
+        match self.open_tasks.get_mut(word) {
             Some(w) if *w & bit == 0 => *w |= bit,
             _ => return false,
         }
-        self.closed -= 1;
-        if !self.is_done(t) && !self.live.contains_key(&t) {
-            self.retry.insert(t);
+        self.closed_count -= 1;
+        if !self.is_done(t) && !self.active.contains_key(&t) {
+            self.retry_tasks.insert(t);
         }
         true
     }
 
     /// The task has been started before, and waits to be started again.
-    pub fn awaits_start(&self, t: TaskIx) -> bool {
+    pub fn is_startable(&self, t: TaskIx) -> bool {
         let (word, bit) = (t.0 as usize / 64, 1 << (t.0 % 64));
-        let open = self.opened.is_empty() || self.opened.get(word).is_some_and(|w| w & bit != 0);
-        t.0 < self.spec.tasks && open && !self.is_done(t) && !self.live.contains_key(&t)
+        let open =
+            self.open_tasks.is_empty() || self.open_tasks.get(word).is_some_and(|w| w & bit != 0);
+        t.0 < self.spec.tasks && open && !self.is_done(t) && !self.active.contains_key(&t)
     }
 
     /// A started task is gone without being done.
-    pub fn put_back(&mut self, t: TaskIx) {
-        if !self.is_done(t) && t.0 < self.fresh {
-            self.retry.insert(t);
+    pub fn requeue(&mut self, t: TaskIx) {
+        if !self.is_done(t) && t.0 < self.next_unstarted {
+            self.retry_tasks.insert(t);
         }
     }
 
@@ -350,7 +351,7 @@
     /// Everything that was ever changed in this part is stored.
     pub fn part_stored(&self, t: TaskIx) -> bool {
         let p = &self.parts[self.part_of(t)];
-        p.stored >= p.ver
+        p.stored_version >= p.version
     }
 
     /// The tasks of a part.
@@ -359,11 +360,11 @@
         (from, (from + self.part_size).min(self.spec.tasks))
     }
 
-    pub fn learn_runtime(&mut self, s: f64) {
-        if self.runtimes.len() < RUNTIMES_KEPT {
+    pub fn record_runtime(&mut self, s: f64) {
+        if self.runtimes.len() < MAX_RUNTIMES {
             // Tenths will do, and keep the record small.
             self.runtimes.push((s * 10.0).round() / 10.0);
-            self.median = crate::sched::estimate::median(&self.runtimes);
+            self.median_runtime = crate::sched::estimate::median(&self.runtimes);
         }
     }
 }
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -1,7 +1,7 @@
 //! How a job and its tasks are kept in the store.
 
 use super::compact::{StartedTask, TaskRecord};
-use super::{Job, Live, Phase, RUNTIMES_KEPT, Rest};
+use super::{ActiveAttempt, Job, MAX_RUNTIMES, Phase, Rest};
 use crate::ids::{Attempt, Host, TaskIx};
 use crate::sched::estimate;
 use crate::sched::needs::Needs;
@@ -17,7 +17,7 @@
 /// Bytes kept for the job itself in its first record.
 const HEADER: f64 = 1100.0;
 /// What holds and a history take at least, once there are any.
-pub const LATER: usize = 320;
+pub const LATER_GROWTH_BYTES: usize = 320;
 /// Bytes that a started task takes in a record, and one hold.
 const PER_TASK: f64 = 42.0;
 const HOLD: usize = 320;
@@ -123,8 +123,8 @@
         } else {
             words.iter().map(|w| format!("{w:016x}")).collect()
         };
-        let live = || self.live.range(TaskIx(from)..TaskIx(to));
-        let failures = self.attempts.encode(from, to);
+        let live = || self.active.range(TaskIx(from)..TaskIx(to));
+        let failures = self.failure_counts.encode(from, to);
         // What the tasks leave of the room that their number was made for.
         let used = PER_TASK as usize * live().count() + done.len() + failures.len();
         let left = (PER_TASK as usize * self.part_size as usize).saturating_sub(used);
@@ -142,16 +142,16 @@
     /// The tasks of a part, numbered from its first.
     fn task_record(&self, part: usize) -> TaskRecord {
         let (from, to) = self.part_range(part);
-        let failures = self.attempts.encode(from, to);
+        let failures = self.failure_counts.encode(from, to);
         let digit = |c: char| c.to_digit(16).unwrap_or(0) as u8;
-        let started = |(t, l): (&TaskIx, &Live)| StartedTask {
+        let started = |(t, l): (&TaskIx, &ActiveAttempt)| StartedTask {
             task: t.0 - from,
             attempt: l.attempt,
             host: l.host.clone(),
             placed: l.placed_wall,
             place: l.place.clone(),
         };
-        let live = self.live.range(TaskIx(from)..TaskIx(to));
+        let live = self.active.range(TaskIx(from)..TaskIx(to));
         TaskRecord {
             done: (from..to).map(|t| self.is_done(TaskIx(t))).collect(),
             failures: failures.chars().map(digit).collect(),
@@ -205,7 +205,8 @@
             };
             self.take_started(started, now, wall)?;
         }
-        self.attempts.decode(from, self.spec.tasks, &r.failures)?;
+        self.failure_counts
+            .decode(from, self.spec.tasks, &r.failures)?;
         self.parts[part].rest = r.rest;
         Some(())
     }
@@ -225,7 +226,8 @@
         }
         let digit = |n: &u8| char::from_digit(*n as u32, 16);
         let failures: Option<String> = r.failures.iter().map(digit).collect();
-        self.attempts.decode(from, self.spec.tasks, &failures?)
+        self.failure_counts
+            .decode(from, self.spec.tasks, &failures?)
     }
 
     /// A task that an earlier leader started.
@@ -234,22 +236,22 @@
             return None;
         }
         let ago = crate::time::Span::millis(wall.0.saturating_sub(started.placed.0));
-        let live = Live {
+        let live = ActiveAttempt {
             attempt: started.attempt,
             host: started.host,
             place: started.place,
-            ver: 0,
+            required_version: 0,
             phase: Phase::Placed,
             placed: Time(now.0.saturating_sub(ago.0)),
             placed_wall: started.placed,
             running_since: None,
             inherited: true,
-            told: None,
-            sent: true,
+            run_sent_in: None,
+            run_sent: true,
             stop: None,
             timed_out: false,
         };
-        self.live.insert(TaskIx(started.task), live);
+        self.active.insert(TaskIx(started.task), live);
         Some(())
     }
 
@@ -263,12 +265,12 @@
             runtimes: self.runtimes.clone(),
             first,
             holds,
-            met: self.met,
-            never: self.never,
+            met: self.conditions_met,
+            never: self.conditions_unmeetable,
             needs: self.needs.clone(),
             ready_at: self.ready_at.map(|w| w.0),
             history: Some(self.history.encode(history_bytes)),
-            rest: self.rest.clone(),
+            rest: self.unknown_fields.clone(),
         };
         serde_json::to_value(header).unwrap_or_default()
     }
@@ -336,7 +338,7 @@
 
     /// As many values as the first record may ever take in the compact form, with all
     /// its tasks started, failed before and held three times.
-    pub fn most_values(&self, value_bytes: usize) -> usize {
+    pub fn max_values(&self, value_bytes: usize) -> usize {
         let (from, to) = self.part_range(0);
         let text = "x".repeat(COMPACT_BASE + COMPACT_TASK_MOST * (to - from) as usize);
         let mut holds = Holds::default();
@@ -349,7 +351,7 @@
             });
         }
         let mut value = self.header(StoredPart::Compact(text), holds.abbreviated(), 0);
-        value["runtimes"] = vec![LONGEST_RUNTIME; RUNTIMES_KEPT].into();
+        value["runtimes"] = vec![LONGEST_RUNTIME; MAX_RUNTIMES].into();
         value["h"] = "x".repeat(COUNTS_MOST).into();
         if !self.needs.is_empty() {
             value["ready_at"] = u64::MAX.into();
@@ -366,19 +368,19 @@
         let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
         job.arrived = steady_time(now, wall, Wall(h.at));
         let ready = h.ready_at.map(|at| steady_time(now, wall, Wall(at)));
-        job.ready = ready.unwrap_or(job.arrived);
+        job.ready_since = ready.unwrap_or(job.arrived);
         job.ready_at = h.ready_at.map(Wall);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
-        job.median = estimate::median(&h.runtimes);
+        job.median_runtime = estimate::median(&h.runtimes);
         job.runtimes = h.runtimes;
         job.holds = h.holds;
-        job.shown = job.holds.clone();
-        (job.met, job.never) = (h.met, h.never);
+        job.stored_holds = job.holds.clone();
+        (job.conditions_met, job.conditions_unmeetable) = (h.met, h.never);
         let history = h.history.and_then(|v| History::decode(At(h.at), &v));
         job.history = history.unwrap_or_else(|| History::new(At(h.at)));
         job.failed_before = job.history.count(What::Failed);
-        job.rest = h.rest;
+        job.unknown_fields = h.rest;
         job.take_stored(0, h.first, now, wall)?;
         Some(job)
     }
@@ -399,11 +401,11 @@
 }
 
 /// Parts begin and end at whole words of the bit set.
-pub const LEAST_PART: u32 = 64;
+pub const MIN_PART_TASKS: u32 = 64;
 const MOST_PART: u32 = 512;
 
 fn whole_words(tasks: u32) -> u32 {
-    (tasks / LEAST_PART * LEAST_PART).clamp(LEAST_PART, MOST_PART)
+    (tasks / MIN_PART_TASKS * MIN_PART_TASKS).clamp(MIN_PART_TASKS, MOST_PART)
 }
 
 /// How many tasks share a record, so that a full one stays under the limit.
--- a/src/sched/life.rs
+++ b/src/sched/lifecycle.rs
@@ -2,10 +2,10 @@
 //! what was used. All of it is stored with the job's records, and told once it is.
 
 use super::dependencies::ParentOutcome;
-use super::job::{Final, Job, Live, Phase, Waiting};
+use super::job::{ActiveAttempt, Final, Job, Phase, ReplyKind};
 use super::records::Purpose;
-use super::users::view;
-use super::{Effect, Sched};
+use super::requests::job_view_json;
+use super::{Effect, Scheduler};
 use crate::ids::{Class, Host, JobId, ReqId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use crate::wire::peer::{Answer, Ask};
@@ -23,24 +23,24 @@
 /// Who puts the hold of a job that has failed too often.
 const LIMIT: &str = "retry-limit";
 
-impl Sched {
+impl Scheduler {
     /// Answers what can't be held or released, which is over; true if it did.
-    fn over(&mut self, now: Time, req: ReqId, id: &JobId, ask: &Ask) -> bool {
+    fn refuse_unless_active(&mut self, now: Time, req: ReqId, id: &JobId, ask: &Ask) -> bool {
         if let Some(f) = self.finals.get(id) {
-            let a = Answer::new(409, view(id, f.state, f.done, 0));
+            let a = Answer::new(409, job_view_json(id, f.state, f.done, 0));
             self.answer(req, a);
         } else if !self.may_start(now) {
-            self.no_proof(req);
+            self.answer_unconfirmed(req);
         } else if self.unreadable.contains_key(id) {
             self.answer(req, Answer::later("the job's record can't be read", 30));
         } else if !self.ancestors_known(id) {
             self.answer(req, Answer::later("what it needs is being looked up", 1));
         } else if let Some(j) = self.jobs.get_mut(id) {
-            if j.closing.is_some() {
+            if j.closing_state.is_some() {
                 // Told with its final state, once that is stored.
-                j.waiters.push((u64::MAX, req, Waiting::Hold(false)));
-            } else if j.cancelled && j.parts[0].stored >= j.cancel_ver {
-                let a = Answer::new(409, view(id, JobState::Cancelled, j.done_count, 0));
+                j.waiters.push((u64::MAX, req, ReplyKind::Hold(false)));
+            } else if j.cancelled && j.parts[0].stored_version >= j.cancel_version {
+                let a = Answer::new(409, job_view_json(id, JobState::Cancelled, j.done_count, 0));
                 self.answer(req, a);
             } else if j.cancelled {
                 self.answer(req, Answer::later("the job is being cancelled", 1));
@@ -48,7 +48,7 @@
                 return false;
             }
         } else {
-            self.look_up(now, req, id.clone(), ask.clone());
+            self.look_up_final(now, req, id.clone(), ask.clone());
         }
         true
     }
@@ -58,7 +58,7 @@
             Ok(r) => r,
             Err(e) => return self.answer(req, Answer::error(400, &e)),
         };
-        if self.over(now, req, &id, &Ask::Hold(id.to_string(), body)) {
+        if self.refuse_unless_active(now, req, &id, &Ask::Hold(id.to_string(), body)) {
             return;
         }
         let hold = Hold {
@@ -69,7 +69,7 @@
         };
         tracing::info!(job = %id, kind = ?hold.kind, by = %hold.by, stop = r.stop, "held");
         self.put_hold(now, &id, hold, Purpose::Now);
-        self.tell_stored(req, &id, true);
+        self.answer_when_stored(req, &id, true);
         if r.stop {
             self.stop_running(now, &id);
         }
@@ -83,28 +83,29 @@
         };
         if j.holds.put(hold) {
             j.history.note(What::Held, wall.into());
-            j.holds_ver = j.touch(0, &mut self.dirty, purpose);
+            j.holds_version = j.mark_changed(0, &mut self.write_queue, purpose);
         }
-        self.call_back(now, id);
+        self.stop_unstarted(now, id);
         self.replan = true;
     }
 
     /// Ends what has not begun. A command that is under way may still start it;
     /// then it is told to end as soon as it is seen.
-    fn call_back(&mut self, now: Time, id: &JobId) {
+    fn stop_unstarted(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
         let leeway = j.spec.save_s + 1.0;
-        let begun = |l: &Live| matches!(l.phase, Phase::Running | Phase::Saving);
+        let begun = |l: &ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
         if j.spec.kind == Kind::Gang {
             // It begins together or not at all.
-            if !j.gang_ran && !j.live.values().any(begun) {
+            if !j.gang_ran && !j.active.values().any(begun) {
                 self.stop_gang(now, id);
             }
             return;
         }
         // What an earlier leader placed may run, unseen as yet.
-        let on_its_way = |l: &Live| l.phase == Phase::Placed && l.stop.is_none() && !l.inherited;
-        let some = j.live.iter().filter(|(_, l)| on_its_way(l));
+        let on_its_way =
+            |l: &ActiveAttempt| l.phase == Phase::Placed && l.stop.is_none() && !l.inherited;
+        let some = j.active.iter().filter(|(_, l)| on_its_way(l));
         let tasks: Vec<TaskIx> = some.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop(now, id, t, leeway);
@@ -118,7 +119,7 @@
             return self.stop_gang(now, id);
         }
         let leeway = j.spec.save_s + 1.0;
-        let goes_on = j.live.iter().filter(|(_, l)| l.stop.is_none());
+        let goes_on = j.active.iter().filter(|(_, l)| l.stop.is_none());
         let tasks: Vec<TaskIx> = goes_on.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop(now, id, t, leeway);
@@ -130,31 +131,31 @@
             Ok(r) => r,
             Err(e) => return self.answer(req, Answer::error(400, &e)),
         };
-        if self.over(now, req, &id, &Ask::Release(id.to_string(), body)) {
+        if self.refuse_unless_active(now, req, &id, &Ask::Release(id.to_string(), body)) {
             return;
         }
-        if self.take_hold(&id, r.kind, &r.by)
+        if self.remove_hold(&id, r.kind, &r.by)
             && r.kind == HoldKind::System
             && let Some(j) = self.jobs.get_mut(&id)
         {
             // Whoever lets it go on wants it tried anew.
             for part in j.parts_with_failures() {
-                j.touch(part, &mut self.dirty, Purpose::Now);
+                j.mark_changed(part, &mut self.write_queue, Purpose::Now);
             }
-            j.attempts.reset();
+            j.failure_counts.reset();
         }
-        self.tell_stored(req, &id, false);
+        self.answer_when_stored(req, &id, false);
     }
 
     /// Answers once all that is known of the job's holds is stored; also where
     /// nothing has changed, as what was asked first may not be stored yet.
-    fn tell_stored(&mut self, req: ReqId, id: &JobId, held: bool) {
+    fn answer_when_stored(&mut self, req: ReqId, id: &JobId, held: bool) {
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
-        let ver = j.parts[0].ver;
-        if j.parts[0].stored < ver {
-            return j.waiters.push((ver, req, Waiting::Hold(held)));
+        let ver = j.parts[0].version;
+        if j.parts[0].stored_version < ver {
+            return j.waiters.push((ver, req, ReplyKind::Hold(held)));
         }
         let a = self.hold_answer(id, held);
         self.answer(req, a);
@@ -177,7 +178,7 @@
 
     /// Nothing starts before the release is stored: a new leader would find
     /// the job held, and tasks that began all the same. False: it was not held.
-    fn take_hold(&mut self, id: &JobId, kind: HoldKind, by: &str) -> bool {
+    fn remove_hold(&mut self, id: &JobId, kind: HoldKind, by: &str) -> bool {
         let wall = self.wall;
         let Some(j) = self.jobs.get_mut(id) else {
             return false;
@@ -187,15 +188,15 @@
         }
         tracing::info!(job = %id, ?kind, by, "released");
         j.history.note(What::Released, wall.into());
-        j.release_ver = j.touch(0, &mut self.dirty, Purpose::Now);
-        j.holds_ver = j.release_ver;
+        j.release_version = j.mark_changed(0, &mut self.write_queue, Purpose::Now);
+        j.holds_version = j.release_version;
         self.replan = true;
         true
     }
 
     /// An attempt ended without being done. What follows for the job is stored
     /// along with that.
-    pub(super) fn note_failure(&mut self, now: Time, t: &TaskId, l: &Live, why: Failure) {
+    pub(super) fn note_failure(&mut self, now: Time, t: &TaskId, l: &ActiveAttempt, why: Failure) {
         let wall = self.wall;
         let faulty = self.machines.get(&l.host).is_some_and(|m| m.quarantined);
         let Some(j) = self.jobs.get_mut(&t.job) else {
@@ -211,9 +212,13 @@
         if why == Failure::Error && faulty || j.cancelled {
             return;
         }
-        let rule = self.rules.get(&j.spec.class).copied().unwrap_or_default();
+        let rule = self
+            .retry_policies
+            .get(&j.spec.class)
+            .copied()
+            .unwrap_or_default();
         let of = (t.ix.0, j.spec.tasks);
-        match j.attempts.failed(of, l.host.as_str(), why, &rule) {
+        match j.failure_counts.failed(of, l.host.as_str(), why, &rule) {
             RetryDecision::NotCounted => {}
             RetryDecision::RetryAfter(pause) => {
                 let pause = Span(pause.as_micros() as u64);
@@ -236,41 +241,45 @@
 
     /// A machine has turned out to be faulty: what failed there does not count,
     /// and who was held for it goes on.
-    pub(super) fn forgive(&mut self, host: &Host) {
+    pub(super) fn discard_failures_on(&mut self, host: &Host) {
         let mut free = vec![];
         for j in self.jobs.values_mut() {
             let parts = j.parts_with_failures();
-            if !j.attempts.forgive(host.as_str()) {
+            if !j.failure_counts.forgive(host.as_str()) {
                 continue;
             }
             for p in parts {
-                j.touch(p, &mut self.dirty, Purpose::Progress);
+                j.mark_changed(p, &mut self.write_queue, Purpose::Progress);
             }
-            let rule = self.rules.get(&j.spec.class).copied().unwrap_or_default();
-            if j.failed_too_often() && !j.attempts.exhausted(&rule) {
+            let rule = self
+                .retry_policies
+                .get(&j.spec.class)
+                .copied()
+                .unwrap_or_default();
+            if j.failed_too_often() && !j.failure_counts.exhausted(&rule) {
                 free.push(j.id().clone());
             }
         }
         for id in free {
             tracing::info!(job = %id, %host, "its machine was faulty");
             // The failures elsewhere stay counted.
-            self.take_hold(&id, HoldKind::System, "hookworks");
+            self.remove_hold(&id, HoldKind::System, "hookworks");
         }
     }
 
     /// Lines of jobs that have changed since they were last asked for; `Err`:
     /// it is over, with the state that it came to.
     pub fn take_changed(&mut self) -> Vec<(JobId, Result<Line, Option<JobState>>)> {
-        let changed = std::mem::take(&mut self.dirty.changed);
+        let changed = std::mem::take(&mut self.write_queue.changed);
         let mut lines = Vec::with_capacity(changed.len());
         for id in changed {
             if !self.ancestors_known(&id) {
-                self.dirty.changed.insert(id);
+                self.write_queue.changed.insert(id);
                 continue;
             }
             match self.jobs.get(&id) {
                 // What is not stored is not told: it could go back.
-                Some(j) if j.parts[0].stored == 0 => {}
+                Some(j) if j.parts[0].stored_version == 0 => {}
                 Some(j) if j.cancelled && !j.cancellation_stored() => {}
                 Some(j) => lines.push((id, Ok(j.detail().line()))),
                 None => {
@@ -283,9 +292,9 @@
     }
 
     /// What the whole record of a job says; of a finished one it is read.
-    pub(super) fn show(&mut self, now: Time, req: ReqId, id: JobId) {
+    pub(super) fn show_job(&mut self, now: Time, req: ReqId, id: JobId) {
         if !self.may_start(now) {
-            return self.no_proof(req);
+            return self.answer_unconfirmed(req);
         }
         if self.unreadable.contains_key(&id) {
             return self.answer(req, Answer::later("the job's record can't be read", 30));
@@ -293,8 +302,8 @@
         if !self.ancestors_known(&id) {
             return self.answer(req, Answer::later("what it needs is being looked up", 1));
         }
-        let open = |j: &Job| j.closing.is_none() || j.cancelled_with.is_some();
-        let stored = |j: &Job| j.parts[0].stored > 0 && open(j);
+        let open = |j: &Job| j.closing_state.is_none() || j.cancelled_with.is_some();
+        let stored = |j: &Job| j.parts[0].stored_version > 0 && open(j);
         match self.jobs.get(&id) {
             Some(j) if stored(j) && (!j.cancelled || j.cancellation_stored()) => {
                 let body = serde_json::to_string(&j.detail()).unwrap_or_default();
@@ -304,13 +313,15 @@
             None if !JobId::well_formed(id.as_str()) => {
                 self.answer(req, Answer::error(404, "no such job"));
             }
-            None if self.record_reads >= MAX_RECORDS || !self.look_ups.has(now, 1.0) => {
+            None if self.record_reads_in_flight >= MAX_RECORDS
+                || !self.lookup_budget.has(now, 1.0) =>
+            {
                 self.answer(req, Answer::later("too many look-ups at a time", 1));
             }
             None => {
-                self.record_reads += 1;
-                self.look_ups.take(now, 1.0);
-                self.out.push(Effect::ReadRecord(req, id));
+                self.record_reads_in_flight += 1;
+                self.lookup_budget.take(now, 1.0);
+                self.effects.push(Effect::ReadRecord(req, id));
             }
         }
     }
@@ -322,10 +333,10 @@
         id: JobId,
         r: Result<Option<Value>, ()>,
     ) {
-        if self.named_read(now, req, &id, &r) {
+        if self.referenced_read(now, req, &id, &r) {
             return;
         }
-        self.record_reads = self.record_reads.saturating_sub(1);
+        self.record_reads_in_flight = self.record_reads_in_flight.saturating_sub(1);
         let detail = |v: Value| detail_of_record(&id, v);
         let a = match r {
             Err(()) => Answer::later("the state service does not answer", 1),
@@ -333,10 +344,10 @@
                 Some(d) => Answer::new(200, serde_json::to_string(&d).unwrap_or_default()),
                 None => Answer::later("the job's record can't be read", 30),
             },
-            Ok(None) if !self.may_start(now) => return self.no_proof(req),
+            Ok(None) if !self.may_start(now) => return self.answer_unconfirmed(req),
             // It may have been accepted since the read was asked for.
             Ok(None) if self.jobs.contains_key(&id) || self.finals.contains_key(&id) => {
-                return self.show(now, req, id);
+                return self.show_job(now, req, id);
             }
             Ok(None) => Answer::error(404, "no such job"),
         };
@@ -344,9 +355,9 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// A task has begun to run; it may have a limit.
-    pub(super) fn note_limit(&mut self, t: &TaskId, since: Time) {
+    pub(super) fn track_time_limit(&mut self, t: &TaskId, since: Time) {
         let limit = self.jobs.get(&t.job).and_then(|j| j.spec.limit_s);
         if let Some(s) = limit {
             self.time_limits.insert((since + Span::secs(s), t.clone()));
@@ -355,7 +366,7 @@
 
     /// Those that have run for longer than they may are told to save and end,
     /// and a while later to end at once.
-    pub(super) fn end_overlong(&mut self, now: Time) {
+    pub(super) fn enforce_time_limits(&mut self, now: Time) {
         while let Some((at, t)) = self.time_limits.first().cloned()
             && at <= now
         {
@@ -363,7 +374,7 @@
             let Some(j) = self.jobs.get(&t.job) else {
                 continue;
             };
-            let (Some(limit), Some(l)) = (j.spec.limit_s, j.live.get(&t.ix)) else {
+            let (Some(limit), Some(l)) = (j.spec.limit_s, j.active.get(&t.ix)) else {
                 continue;
             };
             let Some(since) = l.running_since else {
@@ -381,7 +392,7 @@
                 continue;
             }
             tracing::info!(task = %t, limit, "ran for longer than it may");
-            let again = now + Span::secs(saves + self.cfg.workers.report_s);
+            let again = now + Span::secs(saves + self.config.workers.report_s);
             if j.spec.kind == Kind::Gang {
                 self.stop_gang(now, &t.job);
             } else {
@@ -398,7 +409,7 @@
 impl Job {
     /// Nothing of it may start: it is held, or its release is not stored yet.
     pub fn held(&self) -> bool {
-        !self.holds.is_empty() || self.parts[0].stored < self.release_ver
+        !self.holds.is_empty() || self.parts[0].stored_version < self.release_version
     }
 
     /// Held by the scheduler, since a task has failed as often as it may.
@@ -411,13 +422,13 @@
     fn parts_with_failures(&self) -> Vec<usize> {
         let has = |p: &usize| {
             let (from, to) = self.part_range(*p);
-            !self.attempts.encode(from, to).is_empty()
+            !self.failure_counts.encode(from, to).is_empty()
         };
         (0..self.parts.len()).filter(has).collect()
     }
 
     /// A run of a task is over; what of it was of use.
-    pub(super) fn account(&mut self, now: Time, l: &Live, done: bool, kept: bool) {
+    pub(super) fn record_usage(&mut self, now: Time, l: &ActiveAttempt, done: bool, kept: bool) {
         let Some(since) = l.running_since else { return };
         let ran = (now - since).0 / 1000;
         let step = (self.spec.checkpoint_s * 1000.0) as u64;
@@ -442,7 +453,7 @@
 
     /// All that is known of the job.
     pub fn detail(&self) -> JobDetail {
-        let detail = self.facts().detail(self.job_view(), &self.shown);
+        let detail = self.summary().detail(self.job_view(), &self.stored_holds);
         JobDetail {
             needs: self.shown_needs(),
             needs_count: self.needs.len(),
@@ -455,9 +466,9 @@
         self.needs.iter().take(NEEDS_SHOWN).cloned().collect()
     }
 
-    fn facts(&self) -> Facts {
+    fn summary(&self) -> JobSummary {
         let s = &self.spec;
-        Facts {
+        JobSummary {
             class: s.class.clone(),
             team: s.team.clone(),
             tasks: s.tasks,
@@ -472,7 +483,7 @@
 
     /// The final record of a job that is over: its state, and its life.
     pub fn final_record(&self, f: Final) -> Value {
-        let facts = Some(self.facts());
+        let facts = Some(self.summary());
         let record = FinalRecord { end: f, facts };
         serde_json::to_value(record).unwrap_or_default()
     }
@@ -485,7 +496,7 @@
 
 /// What stays of a job besides its state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Facts {
+struct JobSummary {
     #[serde(rename = "c")]
     class: Class,
     #[serde(rename = "t")]
@@ -514,10 +525,10 @@
     end: Final,
     /// Of jobs that ended before there were histories there is none.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
-    facts: Option<Facts>,
+    facts: Option<JobSummary>,
 }
 
-impl Facts {
+impl JobSummary {
     fn detail(&self, job: JobView, holds: &Holds) -> JobDetail {
         let at = At(self.submitted);
         let h = History::decode(at, &self.history).unwrap_or_else(|| History::new(at));
@@ -561,7 +572,7 @@
         done: r.end.done,
         running: 0,
     };
-    let none = || Facts {
+    let none = || JobSummary {
         class: "".into(),
         team: "".into(),
         tasks: r.end.done,
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -15,9 +15,8 @@
 mod hearing;
 mod inheritance;
 pub mod job;
-mod life;
+mod lifecycle;
 pub mod machine;
-mod named_jobs;
 pub mod needs;
 mod order;
 mod overview;
@@ -25,20 +24,21 @@
 pub mod places;
 mod preempt;
 mod records;
+mod referenced_jobs;
 mod report;
+mod requests;
 mod room;
 mod served;
 mod spare;
 mod team;
-mod users;
 mod waiting;
 mod zones;
 
 pub use fences::FenceRecord;
-pub use life::detail_of_record;
-pub use records::{Dirty, DirtyQueue, Key, Purpose};
+pub use lifecycle::detail_of_record;
+pub use records::{Key, PendingWrite, Purpose, WriteQueue};
+pub use requests::{LookUpCounts, answer_final};
 pub use room::Room;
-pub use users::{LookUpCounts, answer_final};
 
 use crate::ids::{
     Attempt, Build, CallId, Class, Epoch, Host, JobId, Label, ReqId, TaskId, Token, Zone,
@@ -63,7 +63,7 @@
     /// A worker's report by way of another controller.
     Relayed(ReqId, Label, Vec<u8>),
     /// Controllers that can't be talked to at the moment.
-    OutOfReach(Vec<Label>),
+    Unreachable(Vec<Label>),
     /// A part of a job, or its final state, is in the store for certain.
     Stored(Key, u64),
     /// The state service refuses to store anything of this job for now.
@@ -75,15 +75,15 @@
     /// The same for the whole record, which somebody wants to see.
     RecordRead(ReqId, JobId, Result<Option<serde_json::Value>, ()>),
     Direct(CallId, Host, DirectResult),
-    Flavors(Vec<Flavor>),
+    MachineTypes(Vec<Flavor>),
     Listed(Vec<Listed>),
-    Hired(Hire, HireResult),
+    RentalResult(Hire, RentalResult),
     Released(Vec<Host>, bool),
     /// Leadership is proven as of this moment, when the renewal was sent.
-    Proven(Time),
+    LeadershipConfirmed(Time),
     Tick(Wall),
     /// Requests have waited here for so long that answers may come too late.
-    Behind,
+    Overloaded,
     /// The moment that `wake_at` named.
     Wake,
 }
@@ -102,7 +102,7 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub enum HireResult {
+pub enum RentalResult {
     Ok(Vec<Host>),
     NoCapacity,
     /// Not carried out; the same request may be sent again.
@@ -124,7 +124,7 @@
         addr: String,
         orders: Orders,
     },
-    Hire(Hire),
+    Rent(Hire),
     Release(Vec<Host>),
 }
 
@@ -137,26 +137,26 @@
     pub objectives: Vec<crate::settings::Objective>,
     pub value_kb: f64,
     /// The smallest limits that the state service is known to have at some time.
-    pub smallest: crate::settings::LimitValues,
+    pub min_limits: crate::settings::LimitValues,
     /// Finished jobs read one by one for whoever wants to see them, a second.
-    pub look_ups: f64,
+    pub lookup_reads_per_s: f64,
     pub leader_lease: Span,
-    pub pass_every: Span,
-    pub hold: Span,
+    pub pass_interval: Span,
+    pub heartbeat_hold: Span,
     /// When a zone counts as lost, and what follows.
     pub zones: hookworks_zones::Limits,
     /// Verdicts on zones are acted on, not only shown.
     pub act_on_zones: bool,
     /// Unfinished jobs; more are turned away.
-    pub most_jobs: usize,
+    pub max_jobs: usize,
     /// Final states kept at hand; older ones are read from the store.
-    pub finals: usize,
+    pub max_finals: usize,
     /// Room for classes and teams that are hardly served.
-    pub floor: hookworks_fairness::FairnessPolicy,
+    pub fairness: hookworks_fairness::FairnessPolicy,
     /// How far the time of day may be off.
     pub clock_error: Span,
     /// How old the cloud's list of machines may be at most.
-    pub oldest_list: Span,
+    pub max_list_age: Span,
     /// The other controllers and their zones.
     pub controllers: BTreeMap<Label, Zone>,
 }
@@ -166,23 +166,23 @@
         // Settings that can't be served were refused at start.
         let sizes = s.sizes().ok();
         Config {
-            most_jobs: sizes.map_or(LEAST_JOBS, |s| s.jobs),
-            finals: sizes.map_or(LEAST_JOBS, |s| s.finals),
+            max_jobs: sizes.map_or(DEFAULT_MAX_JOBS, |s| s.jobs),
+            max_finals: sizes.map_or(DEFAULT_MAX_JOBS, |s| s.finals),
             workers: s.platform.params.workers.clone(),
             tuning: s.tuning.clone(),
             teams: s.platform.params.teams.clone(),
             objectives: s.platform.params.objectives.clone(),
             value_kb: s.platform.params.state.value_kb,
-            smallest: s.platform.params.state.smallest(),
-            look_ups: s.platform.params.state.rps * LOOK_UPS,
+            min_limits: s.platform.params.state.smallest(),
+            lookup_reads_per_s: s.platform.params.state.rps * LOOKUP_REQUEST_SHARE,
             leader_lease: Span::secs(s.tuning.leader_lease_s),
-            pass_every: Span::secs(s.tuning.pass_ms / 1000.0),
-            hold: Span::secs(s.tuning.hold_ms / 1000.0),
+            pass_interval: Span::secs(s.tuning.pass_ms / 1000.0),
+            heartbeat_hold: Span::secs(s.tuning.hold_ms / 1000.0),
             zones: s.tuning.zones.limits(s.platform.params.workers.report_s),
             act_on_zones: s.tuning.zones.act,
-            floor: s.tuning.served.floor(),
+            fairness: s.tuning.served.floor(),
             clock_error: Span::secs(s.platform.params.clock_error_ms / 1000.0),
-            oldest_list: Span::secs(s.platform.params.cloud.list_lag_s * 2.0),
+            max_list_age: Span::secs(s.platform.params.cloud.list_lag_s * 2.0),
             controllers: s.platform.controllers(),
         }
     }
@@ -194,78 +194,78 @@
     }
 }
 
-pub struct Sched {
-    pub cfg: Config,
+pub struct Scheduler {
+    pub config: Config,
     pub epoch: Epoch,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<Host, Machine>,
-    pub flavors: BTreeMap<Build, Flavor>,
-    pub dirty: DirtyQueue,
+    pub machine_types: BTreeMap<Build, Flavor>,
+    pub write_queue: WriteQueue,
     /// The form in which records are written.
     record_format: RecordFormat,
     teams: team::Teams,
     /// Classes that want to start sooner than a machine can be rented.
-    quick: BTreeSet<Class>,
+    fast_start_classes: BTreeSet<Class>,
     /// How often tasks of a class may fail.
-    rules: BTreeMap<Class, RetryRule>,
+    retry_policies: BTreeMap<Class, RetryRule>,
     arrivals: spare::Arrivals,
     fleet: fleet::Fleet,
     probes: catchup::Probes,
-    books: served::Books,
-    watch: zones::Watch,
+    service_shares: served::Books,
+    zone_monitor: zones::Watch,
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
     finals_order: VecDeque<JobId>,
     dependencies: dependencies::Dependencies,
     inheritance: inheritance::InheritanceQueue,
-    look_ups_for_submissions: named_jobs::LookUps,
+    submission_lookups: referenced_jobs::Lookups,
     /// When running tasks reach their limit.
     time_limits: BTreeSet<(Time, TaskId)>,
-    reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
-    record_reads: usize,
-    look_ups: Budget,
+    pending_final_reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
+    record_reads_in_flight: usize,
+    lookup_budget: Budget,
     /// The same for polls of jobs that are over or unknown.
-    poll_reads: Budget,
-    look_up_counts: LookUpCounts,
-    counter: u64,
+    poll_budget: Budget,
+    lookup_counts: LookUpCounts,
+    id_counter: u64,
     next_seq: u64,
     next_call: u64,
-    proven: Time,
-    began: Time,
+    leadership_confirmed: Time,
+    leading_since: Time,
     /// The latest tick, and the end of the latest pause in which this process stood
     /// still: what was not heard meanwhile says nothing of others.
-    ticked: Time,
-    awake: Time,
+    last_tick: Time,
+    resumed_at: Time,
     /// When requests were last found to have waited for too long.
-    behind: Time,
+    overloaded_at: Time,
     wall: Wall,
     /// Something has changed that the next pass over the jobs should see.
     replan: bool,
     /// Passes gather what happens meanwhile: no next one before this moment.
-    pass_at: Time,
+    next_pass_at: Time,
     /// Nor before this one, however urgent: the rest has its share.
-    rests_until: Time,
-    preempt_at: Time,
-    sum_up_at: Time,
+    no_pass_before: Time,
+    next_preemption_at: Time,
+    next_summary_at: Time,
     /// The job with which the next pass goes on.
-    goes_on_at: Option<JobId>,
+    resume_pass_at: Option<JobId>,
     /// The last pass got no further than who is served ahead of that job.
-    stuck: bool,
+    pass_stalled: bool,
     /// Machines judged for tasks since the beginning: how much work placing is.
-    judged: std::cell::Cell<u64>,
+    machines_evaluated: std::cell::Cell<u64>,
     reports_held: u64,
     reports_refused: u64,
     /// Jobs just taken; written after the next pass, along with what it starts.
-    taken: Vec<JobId>,
+    newly_accepted: Vec<JobId>,
     /// Machines with attempts whose `run` has not left yet.
-    unsent: BTreeSet<Host>,
+    machines_with_unsent_runs: BTreeSet<Host>,
     /// Machines for which something has been stored since commands last left.
-    ready: BTreeSet<Host>,
+    machines_to_push: BTreeSet<Host>,
     /// Reports whose answers wait for what is being stored.
-    held: BTreeMap<Host, beats::Beat>,
+    held_heartbeats: BTreeMap<Host, beats::Beat>,
     /// Those that wait for their zone to be taken back on record.
-    at_fence: BTreeMap<Host, beats::Beat>,
-    out: Vec<Effect>,
+    fenced_heartbeats: BTreeMap<Host, beats::Beat>,
+    effects: Vec<Effect>,
     /// Jobs whose records can't be read, and whether what can be says that they
     /// were cancelled. They are left alone, but known.
     unreadable: BTreeMap<JobId, JobState>,
@@ -273,70 +273,76 @@
 
 /// Share of the state service's requests that look-ups may take: the rest is for
 /// what users and workers wait for.
-const LOOK_UPS: f64 = 0.1;
+const LOOKUP_REQUEST_SHARE: f64 = 0.1;
 /// Ticks come four times a second; so long without any, this process stood still.
-const STOOD_STILL: Span = Span(2_000_000);
+const MAX_TICK_GAP: Span = Span(2_000_000);
 /// Where sizes can't be told.
-const LEAST_JOBS: usize = 1000;
+const DEFAULT_MAX_JOBS: usize = 1000;
 /// How full the fleet is goes to the log so often.
-const SUM_UP_EVERY: Span = Span(10_000_000);
+const SUMMARY_INTERVAL: Span = Span(10_000_000);
 
-impl Sched {
-    pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: Wall) -> Sched {
-        let look_ups = 2.0 * cfg.look_ups;
-        Sched {
+impl Scheduler {
+    pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: Wall) -> Scheduler {
+        let look_ups = 2.0 * cfg.lookup_reads_per_s;
+        Scheduler {
             teams: team::Teams::new(&cfg.teams),
-            quick: BTreeSet::new(),
-            rules: cfg.tuning.rules(),
-            record_reads: 0,
-            look_ups: Budget::new(cfg.look_ups, (2.0 * cfg.look_ups).max(1.0)),
-            poll_reads: Budget::new(2.0 * cfg.look_ups, (4.0 * cfg.look_ups).max(1.0)),
-            look_up_counts: LookUpCounts::default(),
+            fast_start_classes: BTreeSet::new(),
+            retry_policies: cfg.tuning.rules(),
+            record_reads_in_flight: 0,
+            lookup_budget: Budget::new(
+                cfg.lookup_reads_per_s,
+                (2.0 * cfg.lookup_reads_per_s).max(1.0),
+            ),
+            poll_budget: Budget::new(
+                2.0 * cfg.lookup_reads_per_s,
+                (4.0 * cfg.lookup_reads_per_s).max(1.0),
+            ),
+            lookup_counts: LookUpCounts::default(),
             arrivals: Default::default(),
             fleet: fleet::Fleet::new(epoch),
             probes: Default::default(),
-            books: served::Books::new(cfg.floor),
-            watch: zones::Watch::new(&cfg, now),
+            service_shares: served::Books::new(cfg.fairness),
+            zone_monitor: zones::Watch::new(&cfg, now),
             fences: Default::default(),
-            cfg,
+            config: cfg,
             epoch,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            flavors: BTreeMap::new(),
-            dirty: DirtyQueue::default(),
+            machine_types: BTreeMap::new(),
+            write_queue: WriteQueue::default(),
             record_format: RecordFormat::default(),
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
             dependencies: dependencies::Dependencies::new(look_ups),
             inheritance: Default::default(),
-            look_ups_for_submissions: named_jobs::LookUps::new(look_ups),
+            submission_lookups: referenced_jobs::Lookups::new(look_ups),
             time_limits: BTreeSet::new(),
-            reads: HashMap::new(),
-            counter: 0,
+            pending_final_reads: HashMap::new(),
+            id_counter: 0,
             next_seq: 1,
             next_call: 1,
-            proven,
-            began: now,
-            ticked: now,
-            awake: Time::default(),
-            behind: Time::default(),
+            leadership_confirmed: proven,
+            leading_since: now,
+            last_tick: now,
+            resumed_at: Time::default(),
+            overloaded_at: Time::default(),
             wall,
             replan: false,
-            pass_at: now,
-            rests_until: Time::default(),
-            preempt_at: now,
-            sum_up_at: now,
-            goes_on_at: None,
-            stuck: false,
-            judged: Default::default(),
+            next_pass_at: now,
+            no_pass_before: Time::default(),
+            next_preemption_at: now,
+            next_summary_at: now,
+            resume_pass_at: None,
+            pass_stalled: false,
+            machines_evaluated: Default::default(),
             reports_held: 0,
             reports_refused: 0,
-            taken: vec![],
-            unsent: BTreeSet::new(),
-            ready: BTreeSet::new(),
-            held: BTreeMap::new(),
-            at_fence: BTreeMap::new(),
-            out: vec![],
+            newly_accepted: vec![],
+            machines_with_unsent_runs: BTreeSet::new(),
+            machines_to_push: BTreeSet::new(),
+            held_heartbeats: BTreeMap::new(),
+            fenced_heartbeats: BTreeMap::new(),
+            effects: vec![],
             unreadable: Default::default(),
         }
     }
@@ -355,15 +361,15 @@
 
     /// The only way in: an event at a time leads to effects.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
-        self.dirty.now = now;
+        self.write_queue.now = now;
         // One for a turn of the loop, not one for each of its messages: with a pass
         // due again after each, a turn took 5.8 s, and reports waited for it.
         let turn_ends = matches!(event, Event::Wake | Event::Tick(_));
-        let may_pass = turn_ends || self.cfg.pass_every == Span::ZERO;
+        let may_pass = turn_ends || self.config.pass_interval == Span::ZERO;
         match event {
-            Event::Ask(req, ask) => self.ask(now, req, ask),
+            Event::Ask(req, ask) => self.handle_request(now, req, ask),
             Event::Relayed(req, by, body) => self.beat(now, req, &body, Some(by)),
-            Event::OutOfReach(away) => {
+            Event::Unreachable(away) => {
                 for l in away {
                     self.fleet.out_of_reach.insert(l, now);
                 }
@@ -374,12 +380,14 @@
             Event::FinalRead(job, r) => self.final_read(now, job, r),
             Event::RecordRead(req, job, r) => self.record_read(now, req, job, r),
             Event::Direct(call, host, r) => self.direct_result(now, call, host, r),
-            Event::Flavors(f) => self.take_flavors(f),
+            Event::MachineTypes(f) => self.set_machine_types(f),
             Event::Listed(l) => self.listed(now, l),
-            Event::Hired(h, r) => self.hired(now, h, r),
+            Event::RentalResult(h, r) => self.hired(now, h, r),
             Event::Released(hosts, ok) => self.released(now, hosts, ok),
-            Event::Proven(t) => self.proven = self.proven.max(t),
-            Event::Behind => self.behind = now,
+            Event::LeadershipConfirmed(t) => {
+                self.leadership_confirmed = self.leadership_confirmed.max(t)
+            }
+            Event::Overloaded => self.overloaded_at = now,
             Event::Wake => {
                 self.push_ready(now);
                 self.answer_held(now, false);
@@ -393,36 +401,40 @@
         self.inherit();
         if may_pass && self.replan && now >= self.pass_due() && self.may_start(now) {
             self.replan = false;
-            self.pass_at = now + self.cfg.pass_every;
+            self.next_pass_at = now + self.config.pass_interval;
             self.place(now);
-            for id in std::mem::take(&mut self.taken) {
-                if let Some(j) = self.jobs.get_mut(&id).filter(|j| j.parts[0].stored == 0) {
-                    j.queue(0, &mut self.dirty, Purpose::Now);
+            for id in std::mem::take(&mut self.newly_accepted) {
+                if let Some(j) = self
+                    .jobs
+                    .get_mut(&id)
+                    .filter(|j| j.parts[0].stored_version == 0)
+                {
+                    j.enqueue_write(0, &mut self.write_queue, Purpose::Now);
                 }
             }
             self.answer_held(now, true);
         }
-        if self.cfg.pass_every == Span::ZERO {
+        if self.config.pass_interval == Span::ZERO {
             self.push_ready(now);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     fn pass_due(&self) -> Time {
-        self.pass_at.max(self.rests_until)
+        self.next_pass_at.max(self.no_pass_before)
     }
 
     /// No pass before this moment: the last one has taken so much that the rest is
     /// to have its turn.
-    pub fn rest(&mut self, until: Time) {
-        self.rests_until = until;
+    pub fn defer_pass(&mut self, until: Time) {
+        self.no_pass_before = until;
     }
 
     /// When `Wake` is due, if there is anything for it to do: the next pass,
     /// commands that may leave, answers that have waited.
     pub fn wake_at(&self) -> Option<Time> {
         let pass = self.replan.then_some(self.pass_due());
-        let ready = (!self.ready.is_empty()).then_some(Time::default());
+        let ready = (!self.machines_to_push.is_empty()).then_some(Time::default());
         let goes_on = self.dependencies.is_announcing() || !self.inheritance.is_empty();
         let goes_on = goes_on.then_some(Time::default());
         let due = [pass, ready, goes_on, self.held_until()];
@@ -431,38 +443,40 @@
 
     /// Leadership is proven at this moment; anything new needs that.
     pub fn may_start(&self, now: Time) -> bool {
-        now < self.proven_until()
+        now < self.leadership_valid_until()
     }
 
     /// Until when the leadership is proven.
-    pub fn proven_until(&self) -> Time {
-        self.proven + (self.cfg.leader_lease.shrunk() - Span::millis(50))
+    pub fn leadership_valid_until(&self) -> Time {
+        self.leadership_confirmed + (self.config.leader_lease.shrunk() - Span::millis(50))
     }
 
     /// Reports may be answered for a while after the last proof: in an outage of
     /// the state service for all. Who hears no other controller either may be the
     /// only one that has lost it, and its workers are served better elsewhere.
     pub fn may_report(&self, now: Time) -> bool {
-        self.may_start(now) || now < self.proven + self.cfg.report_grace() && !self.alone(now)
+        self.may_start(now)
+            || now < self.leadership_confirmed + self.config.report_grace()
+                && !self.is_isolated(now)
     }
 
     /// There are other controllers, and none of them can be talked to; unless it is
     /// this one that is too busy to hear them.
-    fn alone(&self, now: Time) -> bool {
+    fn is_isolated(&self, now: Time) -> bool {
         let away = |l| self.fleet.out_of_reach.get(l);
         let lately = |l| away(l).is_some_and(|t| now - *t < Span::secs(1.0));
-        let others = &self.cfg.controllers;
+        let others = &self.config.controllers;
         !others.is_empty() && self.keeps_up(now) && others.keys().all(lately)
     }
 
     fn next_token(&mut self) -> Token {
-        self.counter += 1;
-        Token(self.epoch.base() + self.counter)
+        self.id_counter += 1;
+        Token(self.epoch.base() + self.id_counter)
     }
 
     fn next_attempt(&mut self) -> Attempt {
-        self.counter += 1;
-        Attempt(self.epoch.base() + self.counter)
+        self.id_counter += 1;
+        Attempt(self.epoch.base() + self.id_counter)
     }
 
     fn base_token(&self) -> Token {
@@ -470,10 +484,10 @@
     }
 
     fn answer(&mut self, req: ReqId, a: Answer) {
-        self.out.push(Effect::Answer(req, a));
+        self.effects.push(Effect::Answer(req, a));
     }
 
-    fn take_flavors(&mut self, flavors: Vec<Flavor>) {
+    fn set_machine_types(&mut self, flavors: Vec<Flavor>) {
         let usable = |f: &Flavor| {
             let fine = f.cpus > 0.0 && f.gpus >= 0.0 && f.memory_gb >= 0.0;
             if !fine {
@@ -482,10 +496,10 @@
             fine
         };
         let flavors = flavors.into_iter().filter(usable);
-        self.flavors = flavors.map(|f| (f.build.clone(), f)).collect();
+        self.machine_types = flavors.map(|f| (f.build.clone(), f)).collect();
         self.note_quick();
         for m in self.machines.values_mut() {
-            if let Some(f) = self.flavors.get(&m.build) {
+            if let Some(f) = self.machine_types.get(&m.build) {
                 m.set_flavor(f);
             }
         }
@@ -505,7 +519,7 @@
             self.next_seq = self.next_seq.max(job.seq + 1);
             let id = job.id().clone();
             let estimate = estimate::of(&job);
-            for (t, l) in &job.live {
+            for (t, l) in &job.active {
                 let slot = Slot {
                     need: job.need,
                     start: l.placed,
@@ -524,7 +538,7 @@
                 }
                 // Earlier leaders may have answered its reports until now, and
                 // one that doesn't know of us yet may for some time to come.
-                m.answered = now.max(self.began + self.cfg.report_grace());
+                m.answered = now.max(self.leading_since + self.config.report_grace());
                 self.fences.bound(m);
                 m.doubt = Some(token);
                 m.used += job.need;
@@ -536,7 +550,7 @@
                 self.teams.add(&job.spec.team, &job.need);
             }
             self.jobs.insert(id.clone(), job);
-            self.finish_if_over(&id);
+            self.finish_if_complete(&id);
             // A cancelled job's tasks are to go; who told its user counts on it.
             if self.jobs.get(&id).is_some_and(|j| j.cancelled) {
                 self.stop_all(now, &id);
@@ -545,14 +559,14 @@
         self.fleet.first_own = self.next_seq;
         self.book_loaded(now);
         self.load_dependencies(now);
-        self.dirty.changed.extend(self.jobs.keys().cloned());
+        self.write_queue.changed.extend(self.jobs.keys().cloned());
         self.replan = true;
     }
 
-    fn remember_final(&mut self, id: &JobId, f: Final) {
+    fn cache_final(&mut self, id: &JobId, f: Final) {
         if self.finals.insert(id.clone(), f).is_none() {
             self.finals_order.push_back(id.clone());
-            if self.finals_order.len() > self.cfg.finals
+            if self.finals_order.len() > self.config.max_finals
                 && let Some(old) = self.finals_order.pop_front()
             {
                 self.finals.remove(&old);
@@ -561,10 +575,10 @@
     }
 
     fn tick(&mut self, now: Time) {
-        let pause = now - std::mem::replace(&mut self.ticked, now);
-        if pause > STOOD_STILL {
+        let pause = now - std::mem::replace(&mut self.last_tick, now);
+        if pause > MAX_TICK_GAP {
             tracing::warn!(seconds = pause.as_secs(), "stood still");
-            self.awake = now;
+            self.resumed_at = now;
         }
         self.push_ready(now);
         self.answer_held(now, false);
@@ -577,24 +591,24 @@
         self.push_all(now);
         self.look_at_shares(now);
         self.read_parents(now);
-        self.go_on_looking_up(now);
-        self.end_overlong(now);
+        self.continue_lookups(now);
+        self.enforce_time_limits(now);
         // What waits for time alone, such as a back-off, is tried again.
         self.replan = true;
-        if now >= self.sum_up_at {
-            self.sum_up_at = now + SUM_UP_EVERY;
-            self.sum_up(now);
+        if now >= self.next_summary_at {
+            self.next_summary_at = now + SUMMARY_INTERVAL;
+            self.log_summary(now);
             self.tell_shares();
         }
     }
 
     /// Reads of final states so far.
-    pub fn look_up_counts(&self) -> LookUpCounts {
-        self.look_up_counts
+    pub fn lookup_counts(&self) -> LookUpCounts {
+        self.lookup_counts
     }
 
     /// Machines judged for tasks so far, a measure of the work of placing.
-    pub fn judged(&self) -> u64 {
-        self.judged.get()
+    pub fn machines_evaluated(&self) -> u64 {
+        self.machines_evaluated.get()
     }
 }
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -3,7 +3,7 @@
 use super::fleet::Short;
 use super::inheritance::LATE_FACTOR;
 use super::job::Job;
-use super::{Room, Sched, estimate};
+use super::{Room, Scheduler, estimate};
 use crate::ids::{JobId, Team};
 use crate::settings::Objective;
 use crate::time::{Span, Time};
@@ -57,12 +57,12 @@
     /// Jobs with tasks to start, those first that are served first; ahead of them
     /// some tasks of those that are below the floor, which stand here twice. Also how
     /// many turns come before that of the job at which the last pass stopped.
-    pub fn served(&self, s: &Sched, now: Time) -> (Vec<Turn>, usize) {
+    pub fn served(&self, s: &Scheduler, now: Time) -> (Vec<Turn>, usize) {
         let waits = |j: &&Job| j.pending() > 0 && now >= j.backoff_until;
-        let lifted = s.books.lifted().filter_map(|id| s.jobs.get(id));
+        let lifted = s.service_shares.lifted().filter_map(|id| s.jobs.get(id));
         let lifted = lifted.filter(waits).map(|j| Turn {
             job: j.id().clone(),
-            most: s.books.lift(j.id()),
+            most: s.service_shares.lift(j.id()),
             lifted: true,
         });
         let waiting = s.jobs.values().filter(waits);
@@ -72,11 +72,11 @@
         v.sort_by(|a, b| a.0.partial_cmp(b.0).unwrap_or(std::cmp::Ordering::Equal));
         // What fails everywhere is tried a task at a time: with all of its tasks it
         // took the machines of others, and fetched its image on each, for nothing.
-        let one = |j: &&Job| j.fails_everywhere() && !j.works(now);
-        let rest = |j: &Job| 1 - j.live.len().min(1) as i64;
+        let one = |j: &&Job| j.failed_on_many_machines() && !j.works(now);
+        let rest = |j: &Job| 1 - j.active.len().min(1) as i64;
         let most = |id: &JobId| s.jobs.get(id).filter(one).map(rest);
         // Where the last pass stopped, after those that can't wait a turn.
-        let from = s.goes_on_at.as_ref();
+        let from = s.resume_pass_at.as_ref();
         let from = from.and_then(|id| v.iter().position(|x| x.1 == id));
         let (before, on) = v.split_at(from.unwrap_or(0));
         let (urgent, others): (Vec<_>, Vec<_>) = before.iter().partition(|x| x.0.tier <= URGENT);
@@ -90,7 +90,7 @@
         let mut all: Vec<Turn> = lifted.collect();
         let ahead = all.len() + those_ahead;
         all.extend(turns);
-        if s.stuck {
+        if s.pass_stalled {
             all.rotate_left(ahead);
             return (all, 0);
         }
@@ -98,7 +98,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     pub(super) fn order(&self, now: Time) -> Order {
         let within = self.within_guarantee();
         let mut whole = Room::default();
@@ -107,7 +107,7 @@
         }
         let rank = |j: &Job| {
             let within = within.contains(j.id());
-            let first = self.books.goes_first(j.id());
+            let first = self.service_shares.goes_first(j.id());
             let tier = match j.priority() {
                 _ if first => 0,
                 Priority::Production => 0,
@@ -123,7 +123,7 @@
             let seq = j.seq;
             (j.id().clone(), Rank { tier, due, seq })
         };
-        let served = |j: &&Job| j.needs.is_empty() || !j.live.is_empty();
+        let served = |j: &&Job| j.needs.is_empty() || !j.active.is_empty();
         let ranks = self.jobs.values().filter(served).map(rank).collect();
         let plain_wanted = self
             .jobs
@@ -171,7 +171,7 @@
         let run = estimate::of(j).as_secs();
         let run = if run > 1e9 { 0.0 } else { run };
         let arrived = j.arrived.0 as f64 / 1e6;
-        let ready = j.ready.0 as f64 / 1e6;
+        let ready = j.ready_since.0 as f64 / 1e6;
         let now = now.0 as f64 / 1e6;
         let mut best = f64::INFINITY;
         let mut take = |start: f64| {
@@ -188,7 +188,7 @@
         for due in [inherited.in_time, inherited.late].into_iter().flatten() {
             take(due.0 as f64 / 1e6 - run);
         }
-        for o in &self.cfg.objectives {
+        for o in &self.config.objectives {
             let mine = o.class.as_ref() == Some(&j.spec.class);
             let Some(s) = o.within_s else { continue };
             match o.kind.as_str() {
@@ -209,12 +209,12 @@
         let class =
             |o: &&Objective| o.kind == "finished" && o.class.as_ref() == Some(&j.spec.class);
         let aims = self
-            .cfg
+            .config
             .objectives
             .iter()
             .filter(class)
             .filter_map(|o| o.within_s);
-        let aims = aims.map(|s| j.ready + Span::secs(s));
+        let aims = aims.map(|s| j.ready_since + Span::secs(s));
         let deadline = j.spec.deadline_s.into_iter();
         let deadline = deadline.flat_map(|d| [d, LATE_FACTOR * d]);
         let deadline = deadline.map(|s| j.arrived + Span::secs(s));
@@ -231,8 +231,8 @@
             "guarantee" => within,
             _ => false,
         };
-        let aims = self.cfg.objectives.iter().filter(counts);
-        let by = aims.filter_map(|o| Some(j.ready + Span::secs(o.within_s?)));
+        let aims = self.config.objectives.iter().filter(counts);
+        let by = aims.filter_map(|o| Some(j.ready_since + Span::secs(o.within_s?)));
         by.filter(|t| *t > now).min()
     }
 }
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -2,7 +2,7 @@
 
 use super::job::{self, Job};
 use super::machine::Life;
-use super::{Room, Sched};
+use super::{Room, Scheduler};
 use crate::time::Time;
 use crate::wire::user::Kind;
 use std::collections::BTreeMap;
@@ -22,9 +22,9 @@
     })
 }
 
-impl Sched {
+impl Scheduler {
     /// How full the fleet is, for whoever reads the log.
-    pub(super) fn sum_up(&self, now: Time) {
+    pub(super) fn log_summary(&self, now: Time) {
         let fresh = self.heard_within();
         let (mut up, mut booting, mut spot) = (0, 0, 0);
         let (mut spot_used, mut starting) = (Room::default(), Room::default());
@@ -47,8 +47,8 @@
         }
         for j in self.jobs.values() {
             pending += j.need.scaled(j.pending() as i64);
-            let begins = |l: &&job::Live| l.running_since.is_none();
-            let n = j.live.values().filter(begins).count();
+            let begins = |l: &&job::ActiveAttempt| l.running_since.is_none();
+            let n = j.active.values().filter(begins).count();
             starting += j.need.scaled(n as i64);
         }
         tracing::info!(
@@ -62,7 +62,7 @@
             %starting,
             %free,
             %pending,
-            writes = ?self.dirty.lengths(),
+            writes = ?self.write_queue.lengths(),
             "fleet"
         );
     }
@@ -73,7 +73,7 @@
         for j in self.jobs.values() {
             let e = by_class.entry(j.spec.class.to_string()).or_default();
             e.0 += j.pending() as u64;
-            e.1 += j.live.len() as u64;
+            e.1 += j.active.len() as u64;
         }
         let (mut capacity, mut used) = (Room::default(), Room::default());
         let mut machines_up = 0;
@@ -84,7 +84,7 @@
                 capacity += m.capacity;
             }
         }
-        let writes = self.dirty.lengths();
+        let writes = self.write_queue.lengths();
         serde_json::json!({
             "epoch": self.epoch,
             "proven": self.may_start(now),
@@ -98,13 +98,13 @@
             "classes": by_class.into_iter().map(|(c, (p, l))|
                 (c, serde_json::json!({"pending": p, "started": l}))).collect::<serde_json::Map<_, _>>(),
             "teams": self.teams.overview(),
-            "served": self.books.view(),
-            "unwritten": self.dirty.len(),
+            "served": self.service_shares.view(),
+            "unwritten": self.write_queue.len(),
             "writes_waiting": {
                 "now": writes[0], "starts": writes[1], "ends": writes[2], "progress": writes[3],
             },
-            "look_ups": self.look_up_counts,
-            "judged": self.judged.get(),
+            "look_ups": self.lookup_counts,
+            "judged": self.machines_evaluated.get(),
             "reports_held": self.reports_held,
             "reports_refused": self.reports_refused,
             "rentals_under_way": self.fleet.under_way(),
@@ -118,7 +118,7 @@
             let short = self.fleet.short.iter().find(|s| s.job == *j.id());
             let left = self.teams.left(&j.spec.team).times(&j.need);
             let waits_for = match short {
-                _ if !j.live.is_empty() => "its members to be gone or replaced",
+                _ if !j.active.is_empty() => "its members to be gone or replaced",
                 _ if left < j.pending() as i64 => "its team's limit",
                 Some(_) => "machines",
                 None => "the next pass",
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -9,13 +9,13 @@
 
 use super::allowed_zones::AllowedZones;
 use super::fleet::Short;
-use super::job::{Job, Live, Phase};
+use super::job::{ActiveAttempt, Job, Phase};
 use super::machine::{ENDLESS, Machine, Slot};
 use super::order::{Order, Turn};
 use super::places::Place;
 use super::records::Purpose;
 use super::spare::Spare;
-use super::{Room, Sched, estimate};
+use super::{Room, Scheduler, estimate};
 use crate::ids::{Attempt, Host, JobId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use crate::wire::user::{JobSpec, Kind};
@@ -53,7 +53,7 @@
     pub kept: bool,
 }
 
-impl Sched {
+impl Scheduler {
     /// One pass over all that waits, or as much of it as one pass may judge: with
     /// 600 jobs waiting it once took a second, in which nobody was answered. The
     /// next one goes on where this one stopped, after the urgent.
@@ -63,8 +63,8 @@
         let mut short = vec![];
         let mut held = BTreeSet::new();
         let mut rest = &served[..];
-        let until = self.judged.get() + MAX_JUDGED_PER_PASS;
-        while !rest.is_empty() && self.judged.get() < until {
+        let until = self.machines_evaluated.get() + MAX_JUDGED_PER_PASS;
+        while !rest.is_empty() && self.machines_evaluated.get() < until {
             // What must be settled before the next is looked at goes by itself.
             let alone = |t: &Turn| self.jobs.get(&t.job).is_some_and(by_itself);
             let n = rest.iter().position(alone).unwrap_or(rest.len());
@@ -92,16 +92,16 @@
         short.extend(self.fleet.short.drain(..).filter(|s| left.contains(&s.job)));
         self.fleet.short = short;
         // Where those ahead take the whole pass, the next one does without them.
-        self.stuck = !rest.is_empty() && ahead > 0 && rest.len() + ahead >= served.len();
-        if !self.stuck {
-            self.goes_on_at = rest.first().map(|t| t.job.clone());
+        self.pass_stalled = !rest.is_empty() && ahead > 0 && rest.len() + ahead >= served.len();
+        if !self.pass_stalled {
+            self.resume_pass_at = rest.first().map(|t| t.job.clone());
         }
         for m in self.machines.values_mut() {
             let kept = held.contains(&m.host);
             m.kept_since = kept.then(|| m.kept_since.unwrap_or(now));
         }
-        if now >= self.preempt_at {
-            self.preempt_at = now + PREEMPTION_INTERVAL;
+        if now >= self.next_preemption_at {
+            self.next_preemption_at = now + PREEMPTION_INTERVAL;
             self.preempt(now, &order);
         }
     }
@@ -125,12 +125,12 @@
             if left == 0 {
                 break;
             }
-            if self.judged.get() >= until {
+            if self.machines_evaluated.get() >= until {
                 return (None, false);
             }
             // Where the first of its tasks is, all others have to be, and what one
             // of them takes closes no zone for the next.
-            if j.spec.one_zone && !j.spec.spread && !j.live.is_empty() {
+            if j.spec.one_zone && !j.spec.spread && !j.active.is_empty() {
                 return self.place_beside_others(now, id, held, order, until);
             }
             let Some(host) = self.choose(now, id, held, order) else {
@@ -176,7 +176,7 @@
         }
         let mut planner = Planner::new(self, now, turns, held, order);
         for turn in turns {
-            if self.judged.get() >= until {
+            if self.machines_evaluated.get() >= until {
                 break;
             }
             planner.serve(turn);
@@ -194,9 +194,9 @@
         order: &Order,
         m: &Machine,
     ) -> bool {
-        let judged = self.judged.get();
+        let judged = self.machines_evaluated.get();
         let plain = self.choose(now, id, held, order);
-        self.judged.set(judged);
+        self.machines_evaluated.set(judged);
         plain.as_ref() == Some(&m.host)
     }
 
@@ -244,7 +244,7 @@
 
     /// A machine that has been silent for longer takes nothing new.
     pub(super) fn heard_within(&self) -> Span {
-        Span::secs(self.cfg.workers.report_s * FRESH_HEARTBEAT_INTERVALS + FRESH_MARGIN_S)
+        Span::secs(self.config.workers.report_s * FRESH_HEARTBEAT_INTERVALS + FRESH_MARGIN_S)
     }
 
     pub(super) fn start(&mut self, now: Time, id: &JobId, host: &Host, attempt: Option<Attempt>) {
@@ -256,8 +256,8 @@
         let Some(ix) = j.take_pending() else { return };
         let est = estimate::of(j);
         let part = j.part_of(ix);
-        let quick = self.quick.contains(&j.spec.class);
-        self.books.started(id, ix);
+        let quick = self.fast_start_classes.contains(&j.spec.class);
+        self.service_shares.started(id, ix);
         let purpose = if quick { Purpose::Now } else { Purpose::Start };
         let machine = self.machines.get(host);
         let place = machine.map(|m| Place {
@@ -265,21 +265,21 @@
             build: m.build.clone(),
             spot: m.spot,
         });
-        let ver = j.touch(part, &mut self.dirty, purpose);
-        j.live.insert(
+        let ver = j.mark_changed(part, &mut self.write_queue, purpose);
+        j.active.insert(
             ix,
-            Live {
+            ActiveAttempt {
                 attempt,
                 host: host.clone(),
                 place,
-                ver,
+                required_version: ver,
                 phase: Phase::Placed,
                 placed: now,
                 placed_wall: wall,
                 running_since: None,
                 inherited: false,
-                told: None,
-                sent: false,
+                run_sent_in: None,
+                run_sent: false,
                 stop: None,
                 timed_out: false,
             },
@@ -298,14 +298,14 @@
             };
             m.slots.insert(task_id(id, ix), slot);
         }
-        self.unsent.insert(host.clone());
+        self.machines_with_unsent_runs.insert(host.clone());
         tracing::debug!(job = %id, class = %j.spec.class, task = %ix, %host, holds_image, "placed");
     }
 }
 
 /// Serves jobs in their order, and keeps account of what is left for the next.
 struct Planner<'a> {
-    sched: &'a Sched,
+    sched: &'a Scheduler,
     now: Time,
     order: &'a Order,
     held: &'a BTreeSet<Host>,
@@ -324,7 +324,7 @@
 
 impl<'a> Planner<'a> {
     fn new(
-        sched: &'a Sched,
+        sched: &'a Scheduler,
         now: Time,
         turns: &'a [Turn],
         held: &'a BTreeSet<Host>,
@@ -446,7 +446,7 @@
 }
 
 /// The machines that have room, but for those kept free for a gang.
-fn candidates<'a>(sched: &'a Sched, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
+fn candidates<'a>(sched: &'a Scheduler, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
     let fresh = sched.heard_within();
     let mut candidates = vec![];
     for machine in sched.machines.values().filter(|m| m.open(now, fresh)) {
@@ -500,13 +500,13 @@
 
 impl<'a> View<'a> {
     pub(super) fn of(
-        s: &'a Sched,
+        s: &'a Scheduler,
         now: Time,
         j: &'a Job,
         order: &Order,
         can_rent: bool,
     ) -> View<'a> {
-        let t = &s.cfg.tuning;
+        let t = &s.config.tuning;
         let est = estimate::of(j);
         let quick = s.is_quick(&j.spec.class);
         let spares_plain = j.spec.spot && order.plain_wanted;
@@ -519,7 +519,7 @@
             overdue: j.overdue(now),
             stalled: j.stalled(now),
             by_image: quick,
-            judged: &s.judged,
+            judged: &s.machines_evaluated,
             // What can't wait for a machine to boot does not rent one.
             can_rent: can_rent && !quick && !j.overdue(now),
             failed_all: j.error_hosts.len() >= s.machines.len(),
--- a/src/sched/places.rs
+++ b/src/sched/places.rs
@@ -6,7 +6,7 @@
 //! it, so it carries a checksum of those that it speaks of; where that doesn't
 //! fit any more, nothing is known.
 
-use super::job::Live;
+use super::job::ActiveAttempt;
 use crate::ids::{Build, Host, Zone};
 use serde::{Deserialize, Serialize};
 
@@ -51,7 +51,10 @@
 
 impl Places {
     /// None if not all are known, or if they don't fit into so many bytes.
-    pub fn of<'a>(live: impl Iterator<Item = &'a Live> + Clone, room: usize) -> Option<Places> {
+    pub fn of<'a>(
+        live: impl Iterator<Item = &'a ActiveAttempt> + Clone,
+        room: usize,
+    ) -> Option<Places> {
         let mut kinds: Vec<&Place> = vec![];
         let mut each = String::new();
         for l in live.clone() {
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -8,7 +8,7 @@
 use super::order::{Order, Rank};
 use super::place::{allowed, task_id};
 use super::spare::Spare;
-use super::{Room, Sched, estimate};
+use super::{Room, Scheduler, estimate};
 use crate::ids::{Host, JobId, TaskIx, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
@@ -70,7 +70,7 @@
 
 /// The tasks that could be stopped, the cheapest first, and those chosen so far.
 struct Selection<'a> {
-    sched: &'a Sched,
+    sched: &'a Scheduler,
     order: &'a Order,
     /// All machines' resources.
     whole: Room,
@@ -86,7 +86,7 @@
 }
 
 impl<'a> Selection<'a> {
-    fn new(sched: &'a Sched, now: Time, order: &'a Order) -> Selection<'a> {
+    fn new(sched: &'a Scheduler, now: Time, order: &'a Order) -> Selection<'a> {
         let (stopping, mut victims) = sched.stoppable(now, order);
         victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         let mut on_machine: BTreeMap<&Host, Vec<usize>> = BTreeMap::new();
@@ -191,7 +191,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Stops tasks for those that found no room and have a right to it.
     pub(super) fn preempt(&mut self, now: Time, order: &Order) {
         for (id, task) in self.chosen_stops(now, order) {
@@ -271,10 +271,10 @@
         let fresh = self.heard_within();
         let mut stopping = Room::default();
         let mut victims = vec![];
-        for job in self.jobs.values().filter(|job| !job.live.is_empty()) {
+        for job in self.jobs.values().filter(|job| !job.active.is_empty()) {
             let estimate_s = estimate::of(job).as_secs();
             let rank = order.rank(job.id());
-            for (task, live) in &job.live {
+            for (task, live) in &job.active {
                 if live.stop.is_some() {
                     stopping += job.need;
                     continue;
@@ -288,7 +288,7 @@
                 };
                 let is_array = job.spec.kind == Kind::Array;
                 // What was set aside for it is not taken away again.
-                let guarded = self.books.guards(&task_id(job.id(), *task));
+                let guarded = self.service_shares.guards(&task_id(job.id(), *task));
                 let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
                 if guarded || !is_array || nearly_done || !machine.open(now, fresh) {
                     continue;
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -2,7 +2,7 @@
 
 use super::dependencies::ParentOutcome;
 use super::job::{Final, Job};
-use super::{Effect, Sched};
+use super::{Effect, Scheduler};
 use crate::ids::{JobId, TaskIx};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
@@ -50,7 +50,7 @@
 
 /// A record that is to be written.
 #[derive(Clone, Debug)]
-pub struct Dirty {
+pub struct PendingWrite {
     pub job: JobId,
     pub part: usize,
     pub purpose: Purpose,
@@ -60,22 +60,22 @@
 /// Records to be written. A part may stand here for more than one purpose; it
 /// counts for the one that it names itself.
 #[derive(Default)]
-pub struct DirtyQueue {
+pub struct WriteQueue {
     pub(super) now: Time,
-    queues: [VecDeque<Dirty>; 4],
+    queues: [VecDeque<PendingWrite>; 4],
     /// Jobs of which readers see something that is out of date.
     pub(super) changed: HashSet<JobId>,
 }
 
-impl DirtyQueue {
+impl WriteQueue {
     /// The next to be written, with this share of the write budget left.
-    pub fn next(&mut self, now: Time, left: f64) -> Option<Dirty> {
+    pub fn next(&mut self, now: Time, left: f64) -> Option<PendingWrite> {
         // What a user or a quick start waits for passes even those: hundreds of jobs
         // of one task that ended within a minute took all changes there were.
         if let Some(d) = self.queues[Purpose::Now as usize].pop_front() {
             return Some(d);
         }
-        let old = |d: &Dirty| now - d.since > END_WITHIN;
+        let old = |d: &PendingWrite| now - d.since > END_WITHIN;
         let end = Purpose::End as usize;
         if self.queues[end].front().is_some_and(old) {
             return self.queues[end].pop_front();
@@ -87,7 +87,7 @@
         };
         for p in PURPOSES {
             let q = &mut self.queues[p as usize];
-            let gathers = |d: &Dirty| p == Purpose::Progress && now - d.since < gather;
+            let gathers = |d: &PendingWrite| p == Purpose::Progress && now - d.since < gather;
             if left >= RESERVE[p as usize] && q.front().is_some_and(|d| !gathers(d)) {
                 return q.pop_front();
             }
@@ -96,12 +96,12 @@
     }
 
     /// Whatever comes next, without regard to any budget.
-    pub fn pop(&mut self) -> Option<Dirty> {
+    pub fn pop(&mut self) -> Option<PendingWrite> {
         self.queues.iter_mut().find_map(|q| q.pop_front())
     }
 
     /// Could not be written now; it keeps its place.
-    pub fn put_back(&mut self, d: Dirty) {
+    pub fn push_front(&mut self, d: PendingWrite) {
         self.queues[d.purpose as usize].push_front(d);
     }
 
@@ -120,20 +120,20 @@
 
 impl Job {
     /// Notes a change; answers the version that must be stored for it.
-    pub fn touch(&mut self, part: usize, dirty: &mut DirtyQueue, purpose: Purpose) -> u64 {
-        self.parts[part].ver += 1;
+    pub fn mark_changed(&mut self, part: usize, dirty: &mut WriteQueue, purpose: Purpose) -> u64 {
+        self.parts[part].version += 1;
         dirty.changed.insert(self.spec.id.clone());
-        self.queue(part, dirty, purpose);
-        self.parts[part].ver
+        self.enqueue_write(part, dirty, purpose);
+        self.parts[part].version
     }
 
     /// The part is to be written, as it will be by then. What waits for less
     /// moves up: starts once waited behind the progress of all others.
-    pub fn queue(&mut self, part: usize, dirty: &mut DirtyQueue, purpose: Purpose) {
+    pub fn enqueue_write(&mut self, part: usize, dirty: &mut WriteQueue, purpose: Purpose) {
         let p = &mut self.parts[part];
         if p.queued.is_none_or(|q| purpose < q) {
             p.queued = Some(purpose);
-            dirty.queues[purpose as usize].push_back(Dirty {
+            dirty.queues[purpose as usize].push_back(PendingWrite {
                 job: self.spec.id.clone(),
                 part,
                 purpose,
@@ -143,7 +143,7 @@
     }
 
     /// Takes the part out of the queue; false if this entry is out of date.
-    pub fn unqueue(&mut self, part: usize, purpose: Purpose) -> bool {
+    pub fn dequeue_write(&mut self, part: usize, purpose: Purpose) -> bool {
         let p = &mut self.parts[part];
         let counts = p.queued == Some(purpose);
         if counts {
@@ -153,20 +153,20 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// What has become of a task is to be written.
     pub(super) fn note_progress(&mut self, id: &JobId, t: TaskIx) {
         if let Some(j) = self.jobs.get_mut(id) {
-            j.touch(j.part_of(t), &mut self.dirty, Purpose::Progress);
+            j.mark_changed(j.part_of(t), &mut self.write_queue, Purpose::Progress);
         }
     }
 
     /// Once nothing of a job is left to run, its final state gets stored.
-    pub(super) fn finish_if_over(&mut self, id: &JobId) {
+    pub(super) fn finish_if_complete(&mut self, id: &JobId) {
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
-        if j.closing.is_some() || !j.live.is_empty() {
+        if j.closing_state.is_some() || !j.active.is_empty() {
             return;
         }
         if j.spec.kind == Kind::Gang && j.done_count > 0 {
@@ -176,15 +176,15 @@
             }
         }
         if j.cancelled {
-            j.closing = Some(JobState::Cancelled);
+            j.closing_state = Some(JobState::Cancelled);
         } else if j.unfinished() == 0 {
-            j.closing = Some(JobState::Done);
+            j.closing_state = Some(JobState::Done);
         } else {
             return;
         }
         j.ended = Some(self.wall);
         let needed = !self.dependencies.children_of(id).is_empty();
-        let purpose = match j.closing {
+        let purpose = match j.closing_state {
             // That it is cancelled with another is on record by that one.
             _ if j.cancelled_with.is_some() => Purpose::Progress,
             // Others start once this is stored.
@@ -192,13 +192,13 @@
             Some(JobState::Done) if needed => Purpose::Start,
             _ => Purpose::End,
         };
-        j.touch(0, &mut self.dirty, purpose);
+        j.mark_changed(0, &mut self.write_queue, purpose);
     }
 
     pub fn final_of(&self, id: &JobId) -> Option<Final> {
         let j = self.jobs.get(id)?;
         Some(Final {
-            state: j.closing?,
+            state: j.closing_state?,
             done: j.done_count,
         })
     }
@@ -225,18 +225,18 @@
                 };
                 let cancelled_before = j.cancellation_stored();
                 let p = &mut j.parts[part];
-                p.stored = p.stored.max(ver);
+                p.stored_version = p.stored_version.max(ver);
                 let cancelled_now = j.cancellation_stored() && !cancelled_before;
-                self.dirty.changed.insert(id.clone());
+                self.write_queue.changed.insert(id.clone());
                 if part == 0 {
-                    if ver >= j.holds_ver {
-                        j.shown = j.holds.clone();
+                    if ver >= j.holds_version {
+                        j.stored_holds = j.holds.clone();
                     }
                     let (ready, rest) = std::mem::take(&mut j.waiters)
                         .into_iter()
                         .partition(|w| w.0 <= ver);
                     j.waiters = rest;
-                    self.tell_waiters(now, &id, ready);
+                    self.answer_waiters(now, &id, ready);
                 }
                 if cancelled_now {
                     self.announce(&id, ParentOutcome::Cancelled);
@@ -252,8 +252,8 @@
                 let Some(f) = self.final_of(&id) else {
                     return;
                 };
-                self.remember_final(&id, f);
-                self.dirty.changed.insert(id.clone());
+                self.cache_final(&id, f);
+                self.write_queue.changed.insert(id.clone());
                 let what = match f.state {
                     JobState::Cancelled => What::Cancelled,
                     _ => What::Done,
@@ -265,7 +265,7 @@
                 if let Some(j) = self.jobs.remove(&id) {
                     // Cancelled with one that it needs before its own first write.
                     let new = j.cancelled_with.is_some();
-                    self.tell_waiters_final(&id, j.waiters, f, new);
+                    self.answer_waiters_final(&id, j.waiters, f, new);
                 }
                 self.announce(&id, ParentOutcome::Over(f.state));
             }
@@ -296,16 +296,16 @@
         let waiters = std::mem::take(&mut j.waiters);
         // What was placed meanwhile never left: its record was not stored.
         self.stop_all(now, &id);
-        if self.jobs.get(&id).is_some_and(|j| j.live.is_empty()) {
+        if self.jobs.get(&id).is_some_and(|j| j.active.is_empty()) {
             self.jobs.remove(&id);
-            self.dirty.changed.insert(id.clone());
+            self.write_queue.changed.insert(id.clone());
         }
-        self.remember_final(&id, f);
-        self.tell_waiters_final(&id, waiters, f, false);
+        self.cache_final(&id, f);
+        self.answer_waiters_final(&id, waiters, f, false);
         self.announce(&id, ParentOutcome::Over(f.state));
     }
 
     pub(super) fn read_final(&mut self, id: &JobId) {
-        self.out.push(Effect::ReadFinal(id.clone()));
+        self.effects.push(Effect::ReadFinal(id.clone()));
     }
 }
--- a/src/sched/named_jobs.rs
+++ b/src/sched/referenced_jobs.rs
@@ -5,7 +5,7 @@
 //! what became of it, or, as all live jobs were loaded, that it was never accepted.
 
 use super::job::Final;
-use super::{Effect, Sched};
+use super::{Effect, Scheduler};
 use crate::ids::{JobId, ReqId};
 use crate::store::budget::Budget;
 use crate::time::{Span, Time};
@@ -28,7 +28,7 @@
 type Found = HashMap<JobId, (Final, Option<String>)>;
 
 /// A submission that names jobs of which this leader does not know all.
-struct LookUp {
+struct Lookup {
     spec: JobSpec,
     body: Vec<u8>,
     since: Time,
@@ -40,17 +40,17 @@
 }
 
 /// Look-ups under way, and what those found that took too long.
-pub(super) struct LookUps {
-    under_way: BTreeMap<ReqId, LookUp>,
+pub(super) struct Lookups {
+    under_way: BTreeMap<ReqId, Lookup>,
     kept: BTreeMap<JobId, (Time, Found)>,
     /// For submissions that name more jobs than may be read at once.
     budget: Budget,
 }
 
-impl LookUps {
+impl Lookups {
     /// At most so many reads a second for large submissions.
-    pub fn new(reads_per_s: f64) -> LookUps {
-        LookUps {
+    pub fn new(reads_per_s: f64) -> Lookups {
+        Lookups {
             under_way: BTreeMap::new(),
             kept: BTreeMap::new(),
             budget: Budget::new(reads_per_s, reads_per_s.max(1.0)),
@@ -59,7 +59,7 @@
 
     /// Reads that are under way, or will be without regard to the budget.
     fn reads(&self) -> usize {
-        let of_one = |l: &LookUp| match l.is_large() {
+        let of_one = |l: &Lookup| match l.is_large() {
             true => l.reading.len(),
             false => l.reading.len() + l.to_read.len(),
         };
@@ -78,16 +78,16 @@
     }
 }
 
-impl LookUp {
+impl Lookup {
     fn is_large(&self) -> bool {
         self.to_read.len() + self.reading.len() + self.found.len() > MAX_READS
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Looks at the jobs that a submission names. True: it is answered, or
     /// waits for reads; false: go on with it.
-    pub(super) fn look_up_named(
+    pub(super) fn look_up_referenced(
         &mut self,
         now: Time,
         req: ReqId,
@@ -104,19 +104,19 @@
         }
         if spec.needs.contains(&spec.id) {
             // It is refused, unless it was accepted by a version that knew of no needs.
-            self.look_up(now, req, spec.id.clone(), Ask::Submit(body.to_vec()));
+            self.look_up_final(now, req, spec.id.clone(), Ask::Submit(body.to_vec()));
             return true;
         }
-        let found = self.look_ups_for_submissions.kept.remove(&spec.id);
+        let found = self.submission_lookups.kept.remove(&spec.id);
         let found = found.map(|(_, found)| found).unwrap_or_default();
         let mut to_read = self.unknown_names(spec);
         to_read.retain(|id| !found.contains_key(id));
         if to_read.is_empty() {
-            return self.refuse_named(req, spec, &found);
+            return self.refuse_references(req, spec, &found);
         }
         // Its own record, too: a repeated submission is never refused.
         to_read.insert(spec.id.clone());
-        let look_up = LookUp {
+        let look_up = Lookup {
             spec: spec.clone(),
             body: body.to_vec(),
             since: now,
@@ -125,14 +125,14 @@
             found,
             answered: false,
         };
-        let reads = self.look_ups_for_submissions.reads();
+        let reads = self.submission_lookups.reads();
         if !look_up.is_large() && reads + look_up.to_read.len() > MAX_READS {
             self.answer(req, Answer::later("too many look-ups at a time", 1));
             return true;
         }
-        let all = &mut self.look_ups_for_submissions.under_way;
+        let all = &mut self.submission_lookups.under_way;
         all.insert(req, look_up);
-        self.read_named(now, req);
+        self.read_referenced(now, req);
         true
     }
 
@@ -151,8 +151,8 @@
     }
 
     /// Sends as many reads for a submission as may be under way.
-    fn read_named(&mut self, now: Time, req: ReqId) {
-        let all = &mut self.look_ups_for_submissions;
+    fn read_referenced(&mut self, now: Time, req: ReqId) {
+        let all = &mut self.submission_lookups;
         let reads = all.reads();
         let Some(l) = all.under_way.get_mut(&req).filter(|l| !l.answered) else {
             return;
@@ -170,19 +170,19 @@
                 all.budget.take(now, 1.0);
             }
             l.reading.insert(id.clone());
-            self.out.push(Effect::ReadRecord(req, id));
+            self.effects.push(Effect::ReadRecord(req, id));
         }
     }
 
     /// A record that a submission waits for; true if it was one.
-    pub(super) fn named_read(
+    pub(super) fn referenced_read(
         &mut self,
         now: Time,
         req: ReqId,
         id: &JobId,
         r: &Result<Option<Value>, ()>,
     ) -> bool {
-        let all = &mut self.look_ups_for_submissions;
+        let all = &mut self.submission_lookups;
         let Some(l) = all.under_way.get_mut(&req) else {
             return false;
         };
@@ -207,19 +207,19 @@
             // Nothing more is needed to refuse it; its own record is read first.
             self.stop_reading(req);
         }
-        self.read_named(now, req);
-        let all = &mut self.look_ups_for_submissions.under_way;
-        let over = |l: &LookUp| l.reading.is_empty() && (l.answered || l.to_read.is_empty());
+        self.read_referenced(now, req);
+        let all = &mut self.submission_lookups.under_way;
+        let over = |l: &Lookup| l.reading.is_empty() && (l.answered || l.to_read.is_empty());
         if all.get(&req).is_some_and(over)
             && let Some(l) = all.remove(&req)
         {
-            self.looked_up(now, req, l);
+            self.finish_lookup(now, req, l);
         }
         true
     }
 
     fn stop_reading(&mut self, req: ReqId) {
-        let all = &mut self.look_ups_for_submissions.under_way;
+        let all = &mut self.submission_lookups.under_way;
         if let Some(l) = all.get_mut(&req) {
             let own = l.to_read.take(&l.spec.id);
             l.to_read.clear();
@@ -228,40 +228,40 @@
     }
 
     /// All reads for a submission are over.
-    fn looked_up(&mut self, now: Time, req: ReqId, l: LookUp) {
+    fn finish_lookup(&mut self, now: Time, req: ReqId, l: Lookup) {
         if l.answered {
-            return self.look_ups_for_submissions.keep(now, &l.spec.id, l.found);
+            return self.submission_lookups.keep(now, &l.spec.id, l.found);
         }
         if let Some((f, _)) = l.found.get(&l.spec.id) {
             // It was over long ago.
             let f = *f;
-            self.remember_final(&l.spec.id, f);
-            self.ask(now, req, Ask::Submit(l.body));
+            self.cache_final(&l.spec.id, f);
+            self.handle_request(now, req, Ask::Submit(l.body));
         } else if !self.may_start(now) {
-            self.no_proof(req);
+            self.answer_unconfirmed(req);
         } else if self.jobs.contains_key(&l.spec.id) {
             // Submitted meanwhile by way of another request.
-            self.ask(now, req, Ask::Submit(l.body));
-        } else if !self.refuse_named(req, &l.spec, &l.found) {
+            self.handle_request(now, req, Ask::Submit(l.body));
+        } else if !self.refuse_references(req, &l.spec, &l.found) {
             for (id, (f, _)) in &l.found {
-                self.remember_final(id, *f);
+                self.cache_final(id, *f);
             }
             let mut spec = l.spec;
             let done = |id: &JobId| l.found.get(id).is_some_and(|f| f.0.state == JobState::Done);
             spec.needs.retain(|id| !done(id));
-            self.submit_named(now, req, spec, l.body);
+            self.submit_resolved(now, req, spec, l.body);
         }
     }
 
     /// Goes on with large submissions, and answers those that take too long.
-    pub(super) fn go_on_looking_up(&mut self, now: Time) {
-        let all = &mut self.look_ups_for_submissions;
+    pub(super) fn continue_lookups(&mut self, now: Time) {
+        let all = &mut self.submission_lookups;
         all.kept.retain(|_, (since, _)| now - *since < KEPT_FOR);
         let open = all.under_way.iter().filter(|(_, l)| !l.answered);
         let requests: Vec<ReqId> = open.map(|(req, _)| *req).collect();
         for req in requests {
-            self.read_named(now, req);
-            let all = &mut self.look_ups_for_submissions.under_way;
+            self.read_referenced(now, req);
+            let all = &mut self.submission_lookups.under_way;
             let Some(l) = all.get_mut(&req) else { continue };
             if !l.is_large() || now - l.since < ANSWER_WITHIN {
                 continue;
@@ -269,19 +269,19 @@
             l.answered = true;
             let over = l.reading.is_empty();
             self.answer(req, Answer::later("the jobs named are being looked up", 1));
-            if over && let Some(l) = self.look_ups_for_submissions.under_way.remove(&req) {
-                self.looked_up(now, req, l);
+            if over && let Some(l) = self.submission_lookups.under_way.remove(&req) {
+                self.finish_lookup(now, req, l);
             }
         }
     }
 
     /// Answers what can't be taken; true if it did.
-    fn refuse_named(&mut self, req: ReqId, spec: &JobSpec, found: &Found) -> bool {
+    fn refuse_references(&mut self, req: ReqId, spec: &JobSpec, found: &Found) -> bool {
         // What is not stored yet may never be; then this would wait for ever.
         let names = spec.after.iter().map(|a| &a.job).chain(&spec.needs);
         let being_stored = |id: &JobId| {
             let j = self.jobs.get(id);
-            j.is_some_and(|j| j.parts[0].stored == 0)
+            j.is_some_and(|j| j.parts[0].stored_version == 0)
         };
         for id in names {
             if being_stored(id) {
--- a/src/sched/report.rs
+++ b/src/sched/report.rs
@@ -4,9 +4,9 @@
 
 use super::dependencies::ParentOutcome;
 use super::hearing::SessionSeen;
-use super::job::{Live, Phase, Stop};
+use super::job::{ActiveAttempt, Phase, Stop};
 use super::machine::{Life, Machine};
-use super::{Sched, estimate};
+use super::{Scheduler, estimate};
 use crate::ids::{Attempt, Host, JobId, Seq, Session, TaskId, TaskIx};
 use crate::time::{Span, Time};
 use crate::wire::user::Kind;
@@ -100,7 +100,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Takes what a report says. False if a newer one was there before.
     pub(super) fn take_report(&mut self, now: Time, report: &Report, source: ReportSource) -> bool {
         let Some(session) = self.note_worker(now, report, source) else {
@@ -144,7 +144,7 @@
         machine.in_term |= sent_in_term;
         machine.certain |= sent_in_term;
         machine.note_report(now, report, source);
-        if let Some(flavor) = self.flavors.get(&machine.build) {
+        if let Some(flavor) = self.machine_types.get(&machine.build) {
             machine.set_flavor(flavor);
         }
         if !machine.reported || session != SessionSeen::Same {
@@ -195,9 +195,9 @@
         if proven {
             machine.doubt = None;
         }
-        let ended = |live: &&mut Live| {
+        let ended = |live: &&mut ActiveAttempt| {
             let seen = !live.inherited || live.phase != Phase::Placed;
-            live.sent && (proven || seen)
+            live.run_sent && (proven || seen)
         };
         let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
         for task in tasks {
@@ -209,8 +209,8 @@
     }
 
     /// The attempt of a task, if it has one.
-    pub(super) fn live_mut(&mut self, task: &TaskId) -> Option<&mut Live> {
-        self.jobs.get_mut(&task.job)?.live.get_mut(&task.ix)
+    pub(super) fn live_mut(&mut self, task: &TaskId) -> Option<&mut ActiveAttempt> {
+        self.jobs.get_mut(&task.job)?.active.get_mut(&task.ix)
     }
 
     /// Takes what a report says of a task. True if it is a live attempt of ours on
@@ -239,7 +239,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get_mut(&task.ix) else {
+        let Some(live) = job.active.get_mut(&task.ix) else {
             return;
         };
         let changed = live.phase != phase;
@@ -250,7 +250,7 @@
         if !changed {
             return;
         }
-        self.dirty.changed.insert(task.job.clone());
+        self.write_queue.changed.insert(task.job.clone());
         let fetched = matches!(phase, Phase::Waiting | Phase::Running);
         if fetched && let Some(machine) = self.machines.get_mut(host) {
             machine.saw_image(&job.spec.image, job.spec.image_gb);
@@ -262,7 +262,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get_mut(&task.ix) else {
+        let Some(live) = job.active.get_mut(&task.ix) else {
             return;
         };
         // Under an earlier leader it may have begun long ago: its placement, which is
@@ -270,7 +270,7 @@
         let since = if live.inherited { live.placed } else { now };
         live.running_since = Some(since);
         let after_s = (now - live.placed).as_secs();
-        let waited_s = (now - job.ready).as_secs();
+        let waited_s = (now - job.ready_since).as_secs();
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         tracing::debug!(%task, class = %job.spec.class, %host, after_s, waited_s, %image, gb, "running");
         let first_of_job = job.history.first_start().is_none();
@@ -282,7 +282,7 @@
         {
             slot.start = since;
         }
-        self.note_limit(task, since);
+        self.track_time_limit(task, since);
         if first_of_job {
             self.book(now, &task.job, Begun);
             self.announce(&task.job, ParentOutcome::Started);
@@ -342,23 +342,23 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let live = job.live.remove(&task.ix);
+        let live = job.active.remove(&task.ix);
         let inherited = live.as_ref().is_some_and(|live| live.inherited);
         if let Some(live) = &live {
-            job.account(now, live, true, false);
+            job.record_usage(now, live, true, false);
             job.history.note(JobEvent::Done, self.wall.into());
         }
-        job.attempts.done(task.ix.0);
+        job.failure_counts.done(task.ix.0);
         job.set_done(task.ix);
         job.errors = 0;
         if let Some(since) = running_since.filter(|_| !inherited) {
-            job.learn_runtime((now - since).as_secs());
+            job.record_runtime((now - since).as_secs());
             if job.runtimes.len() == estimate::ENOUGH {
                 self.refresh_estimates(&task.job);
             }
         }
         self.note_progress(&task.job, task.ix);
-        self.finish_if_over(&task.job);
+        self.finish_if_complete(&task.job);
     }
 
     /// An attempt that was given up had been done all the same: its task need not run
@@ -368,23 +368,23 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let waits = job.closing.is_none() && !job.cancelled && job.awaits_start(task.ix);
+        let waits = job.closing_state.is_none() && !job.cancelled && job.is_startable(task.ix);
         if job.spec.kind != Kind::Array || !waits {
             return;
         }
         tracing::debug!(%task, attempt = %report.attempt, "done under an attempt given up");
         job.history.note(JobEvent::Done, self.wall.into());
-        job.attempts.done(task.ix.0);
+        job.failure_counts.done(task.ix.0);
         job.set_done(task.ix);
         self.note_progress(&task.job, task.ix);
-        self.finish_if_over(&task.job);
+        self.finish_if_complete(&task.job);
     }
 
     /// Gives the running tasks of a job its present estimate.
     fn refresh_estimates(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let estimate = estimate::of(job);
-        for (ix, live) in &job.live {
+        for (ix, live) in &job.active {
             let task = TaskId {
                 job: id.clone(),
                 ix: *ix,
@@ -399,11 +399,11 @@
 
     /// The attempt's claim on machine, quota and zone ends.
     fn release_slot(&mut self, now: Time, task: &TaskId) {
-        self.books.gone(task);
+        self.service_shares.gone(task);
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get(&task.ix) else {
+        let Some(live) = job.active.get(&task.ix) else {
             return;
         };
         self.teams.sub(&job.spec.team, &job.need);
@@ -436,10 +436,10 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.remove(&task.ix) else {
+        let Some(live) = job.active.remove(&task.ix) else {
             return;
         };
-        job.account(now, &live, false, kept);
+        job.record_usage(now, &live, false, kept);
         if let Some(failure) = failure {
             self.note_failure(now, task, &live, failure);
         }
@@ -450,10 +450,10 @@
             // A gang completes together: this one's end was not reported.
             job.set_done(task.ix);
         }
-        job.put_back(task.ix);
+        job.requeue(task.ix);
         self.gang_lost_one(now, &task.job);
         self.note_progress(&task.job, task.ix);
-        self.finish_if_over(&task.job);
+        self.finish_if_complete(&task.job);
     }
 
     /// Attempts that a newer report does not show.
@@ -486,8 +486,8 @@
                 // It is not to start any more: gone once no command that may
                 // still be carried out could start it.
                 (Phase::Placed, Some(_)) => {
-                    let answered = live.told.is_none_or(|told| told < seq);
-                    !live.sent || (clear && source == ReportSource::Heartbeat && answered)
+                    let answered = live.run_sent_in.is_none_or(|told| told < seq);
+                    !live.run_sent || (clear && source == ReportSource::Heartbeat && answered)
                 }
                 _ => clear,
             };
@@ -557,23 +557,23 @@
     ) -> Option<Order> {
         let answers = delivery != Delivery::DirectCall;
         let job = self.jobs.get(&task.job)?;
-        let stored = job.parts[job.part_of(task.ix)].stored;
+        let stored = job.parts[job.part_of(task.ix)].stored_version;
         let live = self.live_mut(&task)?;
         let attempt = live.attempt;
         match (live.phase, live.stop) {
             (Phase::Placed, None) => {
-                if live.inherited || !may_run || stored < live.ver {
+                if live.inherited || !may_run || stored < live.required_version {
                     return None;
                 }
-                live.sent = true;
+                live.run_sent = true;
                 if answers {
-                    live.told = Some(seq);
+                    live.run_sent_in = Some(seq);
                 }
                 Some(Order::Run { task, attempt })
             }
             // It may begin after this report and before the answer: an answer that
             // renews the lease tells all that is to end. A call renews nothing.
-            (Phase::Placed, Some(_)) if !(answers && live.sent) => None,
+            (Phase::Placed, Some(_)) if !(answers && live.run_sent) => None,
             (_, Some(stop)) => Some(Order::Kill {
                 task,
                 attempt,
@@ -589,7 +589,7 @@
             // What it has done is on no record that we can read.
             None if self.unreadable.contains_key(&task.job) => false,
             Some(job) if task.ix.0 < job.spec.tasks => {
-                job.closing.is_none() && job.part_stored(task.ix)
+                job.closing_state.is_none() && job.part_stored(task.ix)
             }
             _ => true,
         }
@@ -606,7 +606,7 @@
         let Some(live) = self.live_mut(&task) else {
             return;
         };
-        if !live.sent {
+        if !live.run_sent {
             return self.gone(now, &task);
         }
         live.stop = Some(Stop { leeway_s });
@@ -614,6 +614,6 @@
         if unseen {
             self.outdate_call(&host);
         }
-        self.ready.insert(host);
+        self.machines_to_push.insert(host);
     }
 }
--- a/src/sched/users.rs
+++ b/src/sched/requests.rs
@@ -1,9 +1,9 @@
 //! What users ask: submissions, polls and cancellations.
 
-use super::Sched;
-use super::admission::too_many_names;
+use super::Scheduler;
+use super::admission::too_many_dependencies;
 use super::dependencies::ParentOutcome;
-use super::job::{Final, Job, Waiting};
+use super::job::{Final, Job, ReplyKind};
 use super::records::Purpose;
 use crate::ids::{JobId, ReqId};
 use crate::time::{Span, Time};
@@ -29,7 +29,7 @@
 /// Reads of old final states under way at a time.
 const MAX_READS: usize = 64;
 
-pub(super) fn view(id: &JobId, state: JobState, done: u32, running: u32) -> String {
+pub(super) fn job_view_json(id: &JobId, state: JobState, done: u32, running: u32) -> String {
     let v = JobView {
         id: id.clone(),
         state,
@@ -40,7 +40,7 @@
 }
 
 fn final_answer(id: &JobId, f: Final) -> Answer {
-    Answer::new(200, view(id, f.state, f.done, 0))
+    Answer::new(200, job_view_json(id, f.state, f.done, 0))
 }
 
 /// The answer for a final state that was read from the store.
@@ -48,8 +48,8 @@
     final_answer(id, f)
 }
 
-impl Sched {
-    pub(super) fn ask(&mut self, now: Time, req: ReqId, ask: Ask) {
+impl Scheduler {
+    pub(super) fn handle_request(&mut self, now: Time, req: ReqId, ask: Ask) {
         match ask {
             Ask::Report(body) => self.beat(now, req, &body, None),
             Ask::Submit(body) => match JobSpec::parse(&body) {
@@ -62,11 +62,11 @@
             Ask::Release(id, body) => self.release(now, req, id.as_str().into(), body),
             // Lists are made outside, from what is published.
             Ask::List(_) | Ask::Events(_) => self.answer(req, Answer::error(404, "no such path")),
-            Ask::Show(id) => self.show(now, req, id.as_str().into()),
+            Ask::Show(id) => self.show_job(now, req, id.as_str().into()),
         }
     }
 
-    pub(super) fn no_proof(&mut self, req: ReqId) {
+    pub(super) fn answer_unconfirmed(&mut self, req: ReqId) {
         let text = "leadership is not proven at the moment";
         self.answer(req, Answer::later(text, 1));
     }
@@ -82,61 +82,63 @@
         }
         if let Some(state) = self.unreadable.get(&id).filter(|_| self.may_start(now)) {
             // Accepted once, for certain.
-            let a = Answer::new(200, view(&id, *state, 0, 0));
+            let a = Answer::new(200, job_view_json(&id, *state, 0, 0));
             return self.answer(req, a);
         }
         if let Some(j) = self.jobs.get_mut(&id) {
-            if j.parts[0].stored == 0 && j.parts[0].ver > 0 {
-                let ver = j.parts[0].ver;
-                j.waiters.push((ver, req, Waiting::Known));
+            if j.parts[0].stored_version == 0 && j.parts[0].version > 0 {
+                let ver = j.parts[0].version;
+                j.waiters.push((ver, req, ReplyKind::Known));
                 return;
             }
             if !self.may_start(now) {
-                return self.no_proof(req);
+                return self.answer_unconfirmed(req);
             }
-            return self.tell_live(req, &id);
+            return self.answer_active(req, &id);
         }
         if !self.may_start(now) {
-            return self.no_proof(req);
+            return self.answer_unconfirmed(req);
         }
-        if self.look_up_named(now, req, &spec, &body) {
+        if self.look_up_referenced(now, req, &spec, &body) {
             return;
         }
-        self.submit_named(now, req, spec, body);
+        self.submit_resolved(now, req, spec, body);
     }
 
     /// The jobs that it names are known.
-    pub(super) fn submit_named(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
+    pub(super) fn submit_resolved(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
         let id = spec.id.clone();
         // A repeated submission must never get 400 or 422, so what would be
         // refused is only refused after a look at what is over already.
-        match self.never_runs(&spec) {
+        match self.unsatisfiable(&spec) {
             Err(e) => {
-                self.books.note(now, &spec.class, &spec.team, What::Refused);
+                self.service_shares
+                    .note(now, &spec.class, &spec.team, What::Refused);
                 return self.answer(req, Answer::later(&e, 1));
             }
-            Ok(Some(_)) => return self.look_up(now, req, id, Ask::Submit(body)),
+            Ok(Some(_)) => return self.look_up_final(now, req, id, Ask::Submit(body)),
             Ok(None) => {}
         }
-        if self.jobs.len() >= self.cfg.most_jobs {
-            self.books.note(now, &spec.class, &spec.team, What::Refused);
+        if self.jobs.len() >= self.config.max_jobs {
+            self.service_shares
+                .note(now, &spec.class, &spec.team, What::Refused);
             return self.answer(req, Answer::later("too many unfinished jobs", 10));
         }
         let mut job = self.new_job(now, spec);
-        if self.names_too_many(&job) {
-            return self.answer(req, too_many_names());
+        if self.has_too_many_dependencies(&job) {
+            return self.answer(req, too_many_dependencies());
         }
         if self.too_large(&job) {
-            return self.look_up(now, req, id, Ask::Submit(body));
+            return self.look_up_final(now, req, id, Ask::Submit(body));
         }
         self.next_seq += 1;
         // Written after the next pass, so that one write holds the job and
         // what it starts with.
-        job.parts[0].ver = 1;
-        job.waiters.push((1, req, Waiting::Accept));
-        self.taken.push(id.clone());
+        job.parts[0].version = 1;
+        job.waiters.push((1, req, ReplyKind::Accept));
+        self.newly_accepted.push(id.clone());
         // Its user waits: the next pass comes soon.
-        self.pass_at = self.pass_at.min(now + SOON);
+        self.next_pass_at = self.next_pass_at.min(now + SOON);
         let needs_none = job.needs.is_empty();
         self.jobs.insert(id.clone(), job);
         if needs_none {
@@ -146,7 +148,7 @@
         self.replan = true;
     }
 
-    fn tell_live(&mut self, req: ReqId, id: &JobId) {
+    fn answer_active(&mut self, req: ReqId, id: &JobId) {
         if !self.ancestors_known(id) {
             return self.answer(req, Answer::later("what it needs is being looked up", 1));
         }
@@ -154,14 +156,14 @@
             // Whoever reads the state service may have told the final state already:
             // any other answer could be older. It is known in a moment.
             if j.unresolved_final_writes > 0 {
-                return j.waiters.push((u64::MAX, req, Waiting::Known));
+                return j.waiters.push((u64::MAX, req, ReplyKind::Known));
             }
             // What is not stored is not told: it could go back.
-            if j.cancelled && j.parts[0].stored < j.cancel_ver {
+            if j.cancelled && j.parts[0].stored_version < j.cancel_version {
                 return self.answer(req, Answer::later("the job is being cancelled", 1));
             }
             // Done is told only once it is stored as the final state.
-            let a = Answer::new(200, view(id, j.state(), j.done_count, j.running()));
+            let a = Answer::new(200, job_view_json(id, j.state(), j.done_count, j.running()));
             self.answer(req, a);
         }
     }
@@ -174,7 +176,7 @@
         } else if let Some(a) = self.cancelled_for_ever(id) {
             self.answer(req, a);
         } else if !self.may_start(now) {
-            self.no_proof(req);
+            self.answer_unconfirmed(req);
         } else {
             return false;
         }
@@ -187,15 +189,15 @@
         }
         if let Some(state) = self.unreadable.get(&id) {
             // No user may conclude that it was forgotten.
-            let a = Answer::new(200, view(&id, *state, 0, 0));
+            let a = Answer::new(200, job_view_json(&id, *state, 0, 0));
             return self.answer(req, a);
         }
         match self.jobs.get(&id) {
-            Some(j) if j.parts[0].stored == 0 && j.parts[0].ver > 0 => {
+            Some(j) if j.parts[0].stored_version == 0 && j.parts[0].version > 0 => {
                 self.answer(req, Answer::later("the job is being stored", 1));
             }
-            Some(_) => self.tell_live(req, &id),
-            None => self.look_up(now, req, id.clone(), Ask::Poll(id.to_string())),
+            Some(_) => self.answer_active(req, &id),
+            None => self.look_up_final(now, req, id.clone(), Ask::Poll(id.to_string())),
         }
     }
 
@@ -205,33 +207,36 @@
         }
         if let Some(state) = self.unreadable.get(&id) {
             let a = match state {
-                JobState::Cancelled => Answer::new(200, view(&id, *state, 0, 0)),
+                JobState::Cancelled => Answer::new(200, job_view_json(&id, *state, 0, 0)),
                 _ => Answer::later("the job's record can't be read", 30),
             };
             return self.answer(req, a);
         }
         let Some(j) = self.jobs.get_mut(&id) else {
-            return self.look_up(now, req, id.clone(), Ask::Cancel(id.to_string()));
+            return self.look_up_final(now, req, id.clone(), Ask::Cancel(id.to_string()));
         };
-        if j.closing.is_some() {
-            j.waiters.push((u64::MAX, req, Waiting::Cancel));
+        if j.closing_state.is_some() {
+            j.waiters.push((u64::MAX, req, ReplyKind::Cancel));
             return;
         }
         if !j.cancelled {
             j.cancelled = true;
-            let ver = j.touch(0, &mut self.dirty, Purpose::Now);
-            j.cancel_ver = ver;
-            j.waiters.push((ver, req, Waiting::Cancel));
+            let ver = j.mark_changed(0, &mut self.write_queue, Purpose::Now);
+            j.cancel_version = ver;
+            j.waiters.push((ver, req, ReplyKind::Cancel));
             self.stop_all(now, &id);
-            self.finish_if_over(&id);
+            self.finish_if_complete(&id);
             self.withdraw_from_parents(&id);
             self.replan = true;
-        } else if j.parts[0].stored >= j.cancel_ver {
-            let a = Answer::new(200, view(&id, JobState::Cancelled, j.done_count, 0));
+        } else if j.parts[0].stored_version >= j.cancel_version {
+            let a = Answer::new(
+                200,
+                job_view_json(&id, JobState::Cancelled, j.done_count, 0),
+            );
             self.answer(req, a);
         } else {
-            let ver = j.cancel_ver;
-            j.waiters.push((ver, req, Waiting::Cancel));
+            let ver = j.cancel_version;
+            j.waiters.push((ver, req, ReplyKind::Cancel));
         }
     }
 
@@ -239,7 +244,7 @@
     /// gone at once.
     pub(super) fn stop_all(&mut self, now: Time, id: &JobId) {
         let tasks: Vec<_> = match self.jobs.get(id) {
-            Some(j) => j.live.keys().copied().collect(),
+            Some(j) => j.active.keys().copied().collect(),
             None => return,
         };
         for t in tasks {
@@ -247,35 +252,38 @@
         }
     }
 
-    pub(super) fn look_up(&mut self, now: Time, req: ReqId, id: JobId, ask: Ask) {
+    pub(super) fn look_up_final(&mut self, now: Time, req: ReqId, id: JobId, ask: Ask) {
         // No job of another form can ever have been accepted.
         if !JobId::well_formed(id.as_str()) {
             return self.answer(req, Answer::error(404, "no such job"));
         }
-        if self.reads.len() >= MAX_READS {
-            self.look_up_counts.too_many += 1;
+        if self.pending_final_reads.len() >= MAX_READS {
+            self.lookup_counts.too_many += 1;
             return self.answer(req, Answer::later("too many look-ups at a time", 1));
         }
-        let first = !self.reads.contains_key(&id);
+        let first = !self.pending_final_reads.contains_key(&id);
         // Questions take no more of the requests there are than their part, or all
         // of them, renewals of the leadership among them, are refused for a while.
         if first && matches!(ask, Ask::Poll(_)) {
-            if !self.poll_reads.has(now, 1.0) {
-                self.look_up_counts.over_budget += 1;
+            if !self.poll_budget.has(now, 1.0) {
+                self.lookup_counts.over_budget += 1;
                 return self.answer(req, Answer::later("too many look-ups at a time", 1));
             }
-            self.poll_reads.take(now, 1.0);
+            self.poll_budget.take(now, 1.0);
         }
-        self.reads.entry(id.clone()).or_default().push((req, ask));
+        self.pending_final_reads
+            .entry(id.clone())
+            .or_default()
+            .push((req, ask));
         if first {
-            self.look_up_counts.sent += 1;
+            self.lookup_counts.sent += 1;
             self.read_final(&id);
         }
     }
 
     pub(super) fn final_read(&mut self, now: Time, id: JobId, r: Result<Option<Final>, ()>) {
-        let asked = self.reads.remove(&id).unwrap_or_default();
-        self.look_up_counts.failed += r.is_err() as u64;
+        let asked = self.pending_final_reads.remove(&id).unwrap_or_default();
+        self.lookup_counts.failed += r.is_err() as u64;
         // A slow read says nothing of what has come to its end since it was sent.
         let r = match self.finals.get(&id) {
             Some(f) => Ok(Some(*f)),
@@ -283,7 +291,7 @@
         };
         match r {
             Ok(Some(f)) => {
-                self.remember_final(&id, f);
+                self.cache_final(&id, f);
                 self.announce(&id, ParentOutcome::Over(f.state));
             }
             Ok(None) => self.parent_is_absent(&id),
@@ -293,41 +301,41 @@
             let a = match (&r, &ask) {
                 (Err(()), _) => Answer::later("the state service does not answer", 1),
                 (Ok(Some(f)), Ask::Hold(..) | Ask::Release(..)) => {
-                    Answer::new(409, view(&id, f.state, f.done, 0))
+                    Answer::new(409, job_view_json(&id, f.state, f.done, 0))
                 }
                 (Ok(Some(f)), _) => final_answer(&id, *f),
                 (Ok(None), _) if !self.may_start(now) => {
-                    self.no_proof(req);
+                    self.answer_unconfirmed(req);
                     continue;
                 }
                 (Ok(None), _) if self.jobs.contains_key(&id) => {
                     Answer::later("the job is being stored", 1)
                 }
-                (Ok(None), Ask::Submit(body)) => self.refusal(now, body),
+                (Ok(None), Ask::Submit(body)) => self.refusal_answer(now, body),
                 (Ok(None), _) => Answer::error(404, "no such job"),
             };
             self.answer(req, a);
         }
     }
 
-    pub(super) fn tell_waiters(
+    pub(super) fn answer_waiters(
         &mut self,
         now: Time,
         id: &JobId,
-        ready: Vec<(u64, ReqId, Waiting)>,
+        ready: Vec<(u64, ReqId, ReplyKind)>,
     ) {
         for (_, req, what) in ready {
             // Cancelled is for ever. What else is stored may be out of date: a leader
             // that stood still once said queued of a job that was done by then.
-            if what != Waiting::Cancel && !self.may_start(now) {
-                self.no_proof(req);
+            if what != ReplyKind::Cancel && !self.may_start(now) {
+                self.answer_unconfirmed(req);
                 continue;
             }
             let (status, state) = match what {
-                Waiting::Accept => (201, JobState::Queued),
-                Waiting::Known => (200, JobState::Queued),
-                Waiting::Cancel => (200, JobState::Cancelled),
-                Waiting::Hold(held) => {
+                ReplyKind::Accept => (201, JobState::Queued),
+                ReplyKind::Known => (200, JobState::Queued),
+                ReplyKind::Cancel => (200, JobState::Cancelled),
+                ReplyKind::Hold(held) => {
                     let a = self.hold_answer(id, held);
                     self.answer(req, a);
                     continue;
@@ -339,23 +347,23 @@
             } else {
                 state
             };
-            self.answer(req, Answer::new(status, view(id, state, 0, 0)));
+            self.answer(req, Answer::new(status, job_view_json(id, state, 0, 0)));
         }
     }
 
     /// `new`: the job was not known to anybody before this write.
-    pub(super) fn tell_waiters_final(
+    pub(super) fn answer_waiters_final(
         &mut self,
         id: &JobId,
-        waiters: Vec<(u64, ReqId, Waiting)>,
+        waiters: Vec<(u64, ReqId, ReplyKind)>,
         f: Final,
         new: bool,
     ) {
         for (_, req, what) in waiters {
             let mut a = final_answer(id, f);
             match what {
-                Waiting::Hold(_) => a.status = 409,
-                Waiting::Accept if new => a.status = 201,
+                ReplyKind::Hold(_) => a.status = 409,
+                ReplyKind::Accept if new => a.status = 201,
                 _ => {}
             }
             self.answer(req, a);
