--- a/src/sched/served.rs
+++ b/src/sched/served.rs
@@ -9,7 +9,7 @@
 
 use super::job::Job;
 use super::place::by_itself;
-use super::{Room, Sched};
+use super::{Room, Scheduler};
 use crate::ids::{Class, JobId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use hookworks_fairness::{
@@ -137,15 +137,15 @@
 
 /// Since when a job has waited for a start of the tasks that it still has.
 fn waits_since(j: &Job) -> Time {
-    let latest = j.live.values().map(|l| l.placed).max();
-    latest.map_or(j.ready, |t| t.max(j.ready))
+    let latest = j.active.values().map(|l| l.placed).max();
+    latest.map_or(j.ready_since, |t| t.max(j.ready_since))
 }
 
-impl Sched {
+impl Scheduler {
     /// What a class may wait: the longest of its aims.
     fn patience(&self) -> BTreeMap<Class, Span> {
         let mut all: BTreeMap<Class, f64> = BTreeMap::new();
-        for o in &self.cfg.objectives {
+        for o in &self.config.objectives {
             if let (Some(c), Some(s)) = (&o.class, o.within_s) {
                 let longest = all.entry(c.clone()).or_default();
                 *longest = longest.max(s);
@@ -158,23 +158,24 @@
     pub(super) fn book_loaded(&mut self, now: Time) {
         for j in self.jobs.values().filter(|j| j.needs.is_empty()) {
             let (class, team) = (&j.spec.class, &j.spec.team);
-            self.books.note(now, class, team, What::Came);
-            self.books.came(class, j.spec.tasks);
+            self.service_shares.note(now, class, team, What::Came);
+            self.service_shares.came(class, j.spec.tasks);
             if j.history.first_start().is_some() {
-                self.books.note(now, class, team, What::Begun);
+                self.service_shares.note(now, class, team, What::Begun);
             }
         }
     }
 
     pub(super) fn book(&mut self, now: Time, id: &JobId, what: What) {
         if let Some(j) = self.jobs.get(id) {
-            self.books.note(now, &j.spec.class, &j.spec.team, what);
+            self.service_shares
+                .note(now, &j.spec.class, &j.spec.team, what);
             let class = &j.spec.class;
             match what {
-                What::Came => self.books.came(class, j.spec.tasks),
+                What::Came => self.service_shares.came(class, j.spec.tasks),
                 What::Begun => {
-                    if let Some(l) = self.books.largest.get_mut(class) {
-                        l.begun(j.spec.tasks as u64, now - j.ready);
+                    if let Some(l) = self.service_shares.largest.get_mut(class) {
+                        l.begun(j.spec.tasks as u64, now - j.ready_since);
                     }
                 }
                 _ => {}
@@ -184,20 +185,20 @@
 
     /// Makes the figures up, and decides who is below the floor.
     pub(super) fn look_at_shares(&mut self, now: Time) {
-        if now < self.books.look_at {
+        if now < self.service_shares.look_at {
             return;
         }
-        self.books.look_at = now + LOOK_EVERY;
+        self.service_shares.look_at = now + LOOK_EVERY;
         let patience = self.patience();
         let usual = Span::secs(PATIENCE_S);
         let mut by_class: BTreeMap<Class, Waits> = BTreeMap::new();
         let mut by_team: BTreeMap<Team, Waits> = BTreeMap::new();
         let mut unbegun: BTreeMap<Class, Vec<(u64, Span)>> = BTreeMap::new();
         // One that fails everywhere waits for its user, not for room.
-        let waits = |j: &&Job| j.pending() > 0 && !j.fails_everywhere();
+        let waits = |j: &&Job| j.pending() > 0 && !j.failed_on_many_machines();
         for j in self.jobs.values().filter(waits) {
             let (tasks, waited) = (j.pending() as u64, now - waits_since(j));
-            let came = now - j.ready;
+            let came = now - j.ready_since;
             let p = patience.get(&j.spec.class).copied().unwrap_or(usual);
             let class = by_class.entry(j.spec.class.clone()).or_default();
             class.note(tasks, came, waited, p);
@@ -208,7 +209,7 @@
                 class.push((j.spec.tasks as u64, came));
             }
         }
-        let b = &mut self.books;
+        let b = &mut self.service_shares;
         b.figures = (
             b.classes.figures(now, &by_class),
             b.teams.figures(now, &by_team),
@@ -228,14 +229,14 @@
     /// hundreds of them, a part of each at once took all writes there were, and the
     /// leader could not keep up.
     fn put_ahead(&mut self, now: Time) {
-        let floor = self.books.floor;
+        let floor = self.service_shares.floor;
         let waits = |j: &&Job| {
-            let begun = j.history.first_start().is_some() || !j.live.is_empty();
-            j.pending() > 0 && !begun && now >= j.backoff_until && !j.fails_everywhere()
+            let begun = j.history.first_start().is_some() || !j.active.is_empty();
+            j.pending() > 0 && !begun && now >= j.backoff_until && !j.failed_on_many_machines()
         };
         let ahead = |j: &Job| {
             let waiting = j.pending() as u64;
-            floor.goes_ahead(j.spec.tasks as u64, waiting, now - j.ready) as i64
+            floor.goes_ahead(j.spec.tasks as u64, waiting, now - j.ready_since) as i64
         };
         let mut late: Vec<(&Job, i64)> = self
             .jobs
@@ -244,7 +245,7 @@
             .map(|j| (j, ahead(j)))
             .filter(|(_, n)| *n > 0)
             .collect();
-        late.sort_by_key(|(j, _)| (j.ready, j.seq));
+        late.sort_by_key(|(j, _)| (j.ready_since, j.seq));
         let fleet: i64 = self.machines.values().map(|m| m.capacity.cpu).sum();
         let mut left = (fleet as f64 * AHEAD) as i64;
         let mut first = BTreeSet::new();
@@ -253,7 +254,11 @@
                 first.insert(j.id().clone());
                 left -= j.need.cpu * j.pending() as i64;
             } else {
-                let lifted = self.books.lifted.entry(j.id().clone()).or_default();
+                let lifted = self
+                    .service_shares
+                    .lifted
+                    .entry(j.id().clone())
+                    .or_default();
                 *lifted = n.max(*lifted);
                 left -= j.need.cpu * n;
             }
@@ -261,18 +266,18 @@
                 break;
             }
         }
-        self.books.first = first;
+        self.service_shares.first = first;
     }
 
     /// Room for the classes and teams below the floor, job by job.
     fn set_room_aside(&mut self) {
-        let floor = self.books.floor;
-        let (classes, teams) = &self.books.figures;
-        let mut classes: BTreeMap<Class, i64> = below(classes, &self.books.low.0, &floor);
-        let mut teams: BTreeMap<Team, i64> = below(teams, &self.books.low.1, &floor);
-        self.books.low.0 = classes.keys().cloned().collect();
-        self.books.low.1 = teams.keys().cloned().collect();
-        self.books.lifted.clear();
+        let floor = self.service_shares.floor;
+        let (classes, teams) = &self.service_shares.figures;
+        let mut classes: BTreeMap<Class, i64> = below(classes, &self.service_shares.low.0, &floor);
+        let mut teams: BTreeMap<Team, i64> = below(teams, &self.service_shares.low.1, &floor);
+        self.service_shares.low.0 = classes.keys().cloned().collect();
+        self.service_shares.low.1 = teams.keys().cloned().collect();
+        self.service_shares.lifted.clear();
         if classes.is_empty() && teams.is_empty() {
             return;
         }
@@ -281,7 +286,7 @@
             fleet += m.capacity;
         }
         for j in self.jobs.values() {
-            let uses = j.need.cpu * j.live.len() as i64;
+            let uses = j.need.cpu * j.active.len() as i64;
             if let Some(n) = classes.get_mut(&j.spec.class) {
                 *n += uses;
             }
@@ -298,7 +303,7 @@
         let mut classes = floor.budgets(part(c, t), &classes);
         let mut teams = floor.budgets(part(t, c), &teams);
         // Those that have waited for longest first.
-        let waits = |j: &&Job| j.pending() > 0 && !by_itself(j) && !j.fails_everywhere();
+        let waits = |j: &&Job| j.pending() > 0 && !by_itself(j) && !j.failed_on_many_machines();
         let mut waiting: Vec<&Job> = self.jobs.values().filter(waits).collect();
         waiting.sort_by_key(|j| (waits_since(j), j.seq));
         let mut lifted = BTreeMap::new();
@@ -314,7 +319,7 @@
             *left -= tasks * need;
             lifted.insert(j.id().clone(), tasks);
         }
-        self.books.lifted = lifted;
+        self.service_shares.lifted = lifted;
     }
 
     /// CPUs that a team's attempts take, all that are not proven gone.
@@ -337,8 +342,8 @@
             let all: Vec<String> = all.into_iter().map(one).collect();
             all.join("; ")
         };
-        let v = self.books.view();
-        let below = self.books.lifted().count();
+        let v = self.service_shares.view();
+        let below = self.service_shares.lifted().count();
         let one = |(k, f): (&String, &LargestFigures)| {
             let (from, begun, waiting) = (f.tasks_from, f.begun, f.waiting);
             let (longest, oldest) = (f.longest_s, f.oldest_s);
--- a/src/sched/spare.rs
+++ b/src/sched/spare.rs
@@ -3,7 +3,7 @@
 
 use super::job::Job;
 use super::machine::Machine;
-use super::{Room, Sched};
+use super::{Room, Scheduler};
 use crate::ids::Class;
 use crate::time::{Span, Time};
 use std::collections::{HashMap, VecDeque};
@@ -104,26 +104,29 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Classes with an aim for waiting that renting is too slow for. Known
     /// once the machine types are.
     pub(super) fn note_quick(&mut self) {
-        let boots = self.flavors.values().map(|f| f.boot_s * QUICKEST_BOOT);
+        let boots = self
+            .machine_types
+            .values()
+            .map(|f| f.boot_s * QUICKEST_BOOT);
         let boot = boots.fold(f64::INFINITY, f64::min);
-        let waits = self.cfg.objectives.iter().filter(|o| o.kind == "wait");
-        self.quick = waits
+        let waits = self.config.objectives.iter().filter(|o| o.kind == "wait");
+        self.fast_start_classes = waits
             .filter(|o| boot.is_finite() && o.within_s.is_some_and(|s| s < boot))
             .filter_map(|o| o.class.clone())
             .collect();
     }
 
     pub(super) fn is_quick(&self, class: &Class) -> bool {
-        self.quick.contains(class)
+        self.fast_start_classes.contains(class)
     }
 
     /// Room kept free for quick classes.
     pub(super) fn headroom(&self, now: Time) -> Spare {
-        self.arrivals.keep(now, self.cfg.tuning.headroom)
+        self.arrivals.keep(now, self.config.tuning.headroom)
     }
 
     /// All room that is free now.
--- a/src/sched/waiting.rs
+++ b/src/sched/waiting.rs
@@ -5,7 +5,7 @@
 //! [`PATIENCE`] is bound by none of them, so that it is left waiting for no more
 //! than 90 s.
 
-use super::Sched;
+use super::Scheduler;
 use super::job::Job;
 use super::machine::{Machine, Slot};
 use crate::time::{Span, Time};
@@ -30,13 +30,13 @@
 
     /// The same, and nothing of it was started meanwhile.
     pub(super) fn stalled(&self, now: Time) -> bool {
-        let started = self.live.values().map(|l| l.placed).max();
+        let started = self.active.values().map(|l| l.placed).max();
         self.overdue(now) && started.is_none_or(|t| now - t >= PATIENCE)
     }
 
     /// One of its tasks runs as it should, whatever failed before.
     pub(super) fn works(&self, now: Time) -> bool {
-        let since = self.live.values().filter_map(|l| l.running_since);
+        let since = self.active.values().filter_map(|l| l.running_since);
         since.min().is_some_and(|t| now - t >= WORKS_AFTER)
     }
 }
@@ -68,7 +68,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Since when each job waits.
     pub(super) fn note_waiting(&mut self, now: Time) {
         for j in self.jobs.values_mut() {
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -3,9 +3,9 @@
 //! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
 
 use super::fleet::late_boot;
-use super::job::{Job, Live, Phase};
+use super::job::{ActiveAttempt, Job, Phase};
 use super::machine::{Life, Machine};
-use super::{Config, Room, Sched, estimate};
+use super::{Config, Room, Scheduler, estimate};
 use crate::ids::{Host, Label, TaskId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
@@ -86,7 +86,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// New evidence of all zones, and what follows from it.
     pub(super) fn look_at_zones(&mut self, now: Time) {
         // A leader that can't prove that it is one may be cut off itself.
@@ -94,17 +94,17 @@
             return;
         }
         let seen = self.evidence(now);
-        for c in self.watch.zones.look(now, seen) {
+        for c in self.zone_monitor.zones.look(now, seen) {
             self.changed_zone(now, &c);
         }
-        if !self.watch.act {
+        if !self.zone_monitor.act {
             return;
         }
-        if self.watch.zones.troubled() || self.machines.values().any(|m| m.shut) {
+        if self.zone_monitor.zones.troubled() || self.machines.values().any(|m| m.shut) {
             self.shut_and_open(now);
         }
-        if now >= self.watch.plan_at {
-            self.watch.plan_at = now + PLAN_EVERY;
+        if now >= self.zone_monitor.plan_at {
+            self.zone_monitor.plan_at = now + PLAN_EVERY;
             self.move_from_lost(now);
         }
     }
@@ -114,33 +114,35 @@
         tracing::info!(zone = %c.zone, from = c.from.as_str(), to = c.to.as_str(),
             lasted_s = c.lasted.as_secs(), machines = e.machines, overdue = e.overdue,
             controllers = e.controllers, away = e.away, unanswered = e.unanswered,
-            late_boots = e.late_boots, tally = ?self.watch.tally.get(&c.zone), "zone");
+            late_boots = e.late_boots, tally = ?self.zone_monitor.tally.get(&c.zone), "zone");
         if c.to == State::Doubt && c.from == State::Well {
-            self.watch.tally.insert(c.zone.clone(), Tally::default());
+            self.zone_monitor
+                .tally
+                .insert(c.zone.clone(), Tally::default());
         }
-        let quiet = self.watch.zones.limits().quiet;
+        let quiet = self.zone_monitor.zones.limits().quiet;
         let heard = e.newest.is_some_and(|t| now - t < quiet);
-        if self.watch.act && c.to.silent() && !heard {
+        if self.zone_monitor.act && c.to.silent() && !heard {
             self.raise_fence(now, &c.zone);
         }
         self.replan = true;
     }
 
     fn evidence(&mut self, now: Time) -> BTreeMap<Zone, Evidence> {
-        let late = self.watch.zones.limits().overdue_after();
+        let late = self.zone_monitor.zones.limits().overdue_after();
         let mut all: BTreeMap<Zone, Evidence> = BTreeMap::new();
-        for f in self.flavors.values() {
+        for f in self.machine_types.values() {
             for z in &f.zones {
                 all.entry(z.clone()).or_default();
             }
         }
-        for (label, z) in &self.watch.controllers {
+        for (label, z) in &self.zone_monitor.controllers {
             let e = all.entry(z.clone()).or_default();
             e.controllers += 1;
             let away = self.fleet.out_of_reach.get(label);
             e.away += away.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
         }
-        for (z, n) in std::mem::take(&mut self.watch.unanswered) {
+        for (z, n) in std::mem::take(&mut self.zone_monitor.unanswered) {
             all.entry(z).or_default().unanswered += n;
         }
         for m in self.machines.values() {
@@ -158,10 +160,10 @@
                 Life::Up => {
                     e.machines += 1;
                     e.heard += m.reported_at.is_some() as u32;
-                    let gone = self.watch.zones.gone_since(&m.zone);
+                    let gone = self.zone_monitor.zones.gone_since(&m.zone);
                     e.back += gone.is_some_and(|t| m.reached > t) as u32;
                     e.newest = e.newest.max(m.reported_at);
-                    if now - m.reached.max(self.awake) > late {
+                    if now - m.reached.max(self.resumed_at) > late {
                         e.overdue += 1;
                         e.fell_silent = Some(match e.fell_silent {
                             None => (m.reached, m.reached),
@@ -177,14 +179,14 @@
 
     /// It should have come up long ago.
     fn boots_late(&self, now: Time, m: &Machine) -> bool {
-        let boot = self.flavors.get(&m.build).map_or(60.0, |f| f.boot_s);
+        let boot = self.machine_types.get(&m.build).map_or(60.0, |f| f.boot_s);
         now - m.hired > late_boot(boot)
     }
 
     /// Machines of zones in trouble take nothing new; those of one that comes
     /// back open by degrees, as they are heard.
     fn shut_and_open(&mut self, now: Time) {
-        let zones = &self.watch.zones;
+        let zones = &self.zone_monitor.zones;
         // How many of each zone that comes back may be open.
         let mut most: BTreeMap<&Zone, usize> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.life == Life::Up) {
@@ -229,7 +231,7 @@
             // It had no chance to be anything but idle.
             m.idle_since = now;
             let (z, n) = (m.zone.clone(), m.slots.len() as u64);
-            self.watch.tally.entry(z).or_default().returned += n;
+            self.zone_monitor.tally.entry(z).or_default().returned += n;
             self.replan = true;
         }
         for h in closed {
@@ -246,7 +248,7 @@
         m.shut = true;
         let tasks: Vec<TaskId> = m.slots.keys().cloned().collect();
         for t in tasks {
-            if self.live_mut(&t).is_some_and(|l| !l.sent) {
+            if self.live_mut(&t).is_some_and(|l| !l.run_sent) {
                 self.gone(now, &t);
             }
         }
@@ -254,7 +256,7 @@
 
     /// Gives back what is better started elsewhere, as far as that can be.
     fn move_from_lost(&mut self, now: Time) {
-        let zones = &self.watch.zones;
+        let zones = &self.zone_monitor.zones;
         let lost: Vec<(Zone, Span)> = zones
             .views(now)
             .into_iter()
@@ -292,7 +294,7 @@
                 m.life = Life::Leaving { next: now };
                 tracing::info!(host = %h, %zone, tasks = m.slots.len(), "given back for its work");
             }
-            let t = self.watch.tally.entry(zone).or_default();
+            let t = self.zone_monitor.tally.entry(zone).or_default();
             t.moved += moved;
         }
     }
@@ -301,7 +303,7 @@
         let lease = self.lease_bound();
         let stake = |t: &TaskId| {
             let j = self.jobs.get(&t.job)?;
-            let l = j.live.get(&t.ix)?;
+            let l = j.active.get(&t.ix)?;
             Some(self.stake(now, m, j, l))
         };
         Case {
@@ -312,7 +314,7 @@
         }
     }
 
-    fn stake(&self, now: Time, m: &Machine, j: &Job, l: &Live) -> Stake {
+    fn stake(&self, now: Time, m: &Machine, j: &Job, l: &ActiveAttempt) -> Stake {
         let size = j.need.share_of(&m.capacity);
         let est = estimate::of(j);
         let ran = match (l.phase, l.running_since) {
@@ -330,7 +332,7 @@
         // A gang goes on only as a whole: one that has lost a member, or is
         // being stopped, waits for nothing but the proof of the others' end.
         let whole =
-            j.live.len() as u32 == j.spec.tasks && j.live.values().all(|l| l.stop.is_none());
+            j.active.len() as u32 == j.spec.tasks && j.active.values().all(|l| l.stop.is_none());
         let standing = match j.spec.kind {
             Kind::Service => Standing::Replica,
             Kind::Gang if !whole || l.stop.is_some() => Standing::Broken,
@@ -365,7 +367,7 @@
             free += m.free().at_least_zero();
             whole += m.capacity;
             n += 1;
-            let soon = Span::secs(self.boot_s(&m.build) * self.cfg.tuning.wait_share);
+            let soon = Span::secs(self.boot_s(&m.build) * self.config.tuning.wait_share);
             within = within.max(soon);
             for (t, s) in &m.slots {
                 if s.remaining(now) < soon {
@@ -393,18 +395,23 @@
 
     /// Until when the lease of a worker may run, counted from the last answer.
     pub(super) fn lease_bound(&self) -> Span {
-        self.cfg.workers.lease_bound()
+        self.config.workers.lease_bound()
     }
 
     /// Machines of a zone in trouble are not given up for their silence: while
     /// it lasts, and for as long as others in their place would cost more.
     pub(super) fn keeps_zone(&self, now: Time, z: &Zone) -> bool {
-        let keep = self.watch.zones.limits().keep;
-        self.watch.silent(z) && self.watch.zones.silent_for(now, z) < keep
+        let keep = self.zone_monitor.zones.limits().keep;
+        self.zone_monitor.silent(z) && self.zone_monitor.zones.silent_for(now, z) < keep
     }
 
     pub(super) fn kept_zones(&self, now: Time) -> HashSet<Zone> {
-        let all = self.watch.zones.views(now).into_iter().map(|v| v.zone);
+        let all = self
+            .zone_monitor
+            .zones
+            .views(now)
+            .into_iter()
+            .map(|v| v.zone);
         all.filter(|z| self.keeps_zone(now, z)).collect()
     }
 
@@ -430,7 +437,7 @@
             }
             c.shut += m.shut as u32;
             c.tasks += m.slots.len();
-            if self.watch.silent(&m.zone) {
+            if self.zone_monitor.silent(&m.zone) {
                 c.tasks_out_of_reach += m.slots.len();
             }
         }
@@ -442,10 +449,15 @@
         let one = |v: hookworks_zones::View| {
             let mut o = serde_json::json!(v);
             o["work"] = serde_json::json!(counts.get(&v.zone));
-            o["since_trouble"] = serde_json::json!(self.watch.tally.get(&v.zone));
+            o["since_trouble"] = serde_json::json!(self.zone_monitor.tally.get(&v.zone));
             o
         };
-        self.watch.zones.views(now).into_iter().map(one).collect()
+        self.zone_monitor
+            .zones
+            .views(now)
+            .into_iter()
+            .map(one)
+            .collect()
     }
 }
 
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -18,7 +18,7 @@
 use super::limits::{LimitsInForce, TxnSize};
 use super::{FENCES, LEADER};
 use crate::ids::{JobId, Stamp, TxnId};
-use crate::sched::{Dirty, Purpose, Sched};
+use crate::sched::{PendingWrite, Purpose, Scheduler};
 use crate::settings::{LimitValues, StateLimits};
 use crate::time::Time;
 use crate::wire::state::Txn;
@@ -190,7 +190,7 @@
     }
 
     /// The next transaction to send, if any may be sent now.
-    pub fn next(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
+    pub fn next(&mut self, now: Time, sched: &mut Scheduler) -> Option<(TxnId, Txn)> {
         self.sum_up(now);
         if self.limits.recover(now) {
             self.set_budgets(now);
@@ -202,7 +202,7 @@
             return Some(fences);
         }
         self.queue_set_aside(now, sched);
-        if sched.dirty.is_empty() && self.litter.is_empty() {
+        if sched.write_queue.is_empty() && self.litter.is_empty() {
             return None;
         }
         let budget = self.writes.left(now) as usize;
@@ -218,8 +218,8 @@
         Some(self.send(now, draft))
     }
 
-    fn may_send(&mut self, now: Time, sched: &Sched) -> bool {
-        let lanes = if sched.dirty.lengths()[0] > 0 {
+    fn may_send(&mut self, now: Time, sched: &Scheduler) -> bool {
+        let lanes = if sched.write_queue.lengths()[0] > 0 {
             LANES_NOW
         } else {
             LANES
@@ -233,11 +233,11 @@
         (budget as f64 - draft.changes() as f64) / self.writes.burst()
     }
 
-    fn add_records(&mut self, now: Time, sched: &mut Sched, draft: &mut Draft) {
+    fn add_records(&mut self, now: Time, sched: &mut Scheduler, draft: &mut Draft) {
         let mut skipped = vec![];
         let alone = self.singly > 0;
         while (!alone || draft.works.is_empty())
-            && let Some(d) = sched.dirty.next(now, self.share_left(now, draft))
+            && let Some(d) = sched.write_queue.next(now, self.share_left(now, draft))
         {
             match self.add_record(sched, &d, draft) {
                 Taken::Yes => {}
@@ -247,17 +247,17 @@
                     if let Some(j) = sched.jobs.get_mut(&d.job) {
                         j.parts[d.part].queued = Some(d.purpose);
                     }
-                    sched.dirty.put_back(d);
+                    sched.write_queue.push_front(d);
                     break;
                 }
             }
         }
         for d in skipped.into_iter().rev() {
-            sched.dirty.put_back(d);
+            sched.write_queue.push_front(d);
         }
     }
 
-    fn add_record(&mut self, sched: &mut Sched, d: &Dirty, draft: &mut Draft) -> Taken {
+    fn add_record(&mut self, sched: &mut Scheduler, d: &PendingWrite, draft: &mut Draft) -> Taken {
         // Within one transaction a job may appear with several parts.
         if self.busy.contains(&d.job) && !draft.has_job(&d.job) {
             return Taken::Busy;
@@ -265,7 +265,7 @@
         let Some(j) = sched.jobs.get_mut(&d.job) else {
             return Taken::Yes;
         };
-        if !j.unqueue(d.part, d.purpose) || draft.has_end_of(&d.job) {
+        if !j.dequeue_write(d.part, d.purpose) || draft.has_end_of(&d.job) {
             return Taken::Yes;
         }
         let end = sched.final_of(&d.job);
@@ -354,7 +354,7 @@
 
     /// The record of fenced zones goes first: workers wait for it. It takes its
     /// turns like a job's record, under a name that no job has.
-    fn fences(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
+    fn fences(&mut self, now: Time, sched: &mut Scheduler) -> Option<(TxnId, Txn)> {
         let job = JobId::from("");
         if self.busy.contains(&job) {
             return None;
--- a/src/store/commit/outcomes.rs
+++ b/src/store/commit/outcomes.rs
@@ -7,7 +7,7 @@
 use super::{Committer, Sent, Step};
 use crate::ids::{JobId, Stamp, TxnId};
 use crate::sched::job::Final;
-use crate::sched::{Event, Key, Sched};
+use crate::sched::{Event, Key, Scheduler};
 use crate::store::Outcome;
 use crate::time::{Span, Time};
 use crate::wire::state::Item;
@@ -18,7 +18,7 @@
 /// Who waits for a write is told to come again once changes were refused for so long.
 const REFUSED_FOR: Span = Span(1_000_000);
 impl Committer {
-    fn requeue(&mut self, sched: &mut Sched, works: Vec<Work>) {
+    fn requeue(&mut self, sched: &mut Scheduler, works: Vec<Work>) {
         for w in works.into_iter().rev() {
             self.busy.remove(&w.job);
             Self::queue_again(sched, w);
@@ -26,20 +26,20 @@
     }
 
     /// A transaction with these has certainly not been carried out.
-    fn not_carried_out(sched: &mut Sched, works: &[Work]) {
+    fn not_carried_out(sched: &mut Scheduler, works: &[Work]) {
         for w in works.iter().filter(|w| matches!(w.what, What::End)) {
             sched.final_write_failed(&w.job);
         }
     }
 
-    fn queue_again(sched: &mut Sched, w: Work) {
+    fn queue_again(sched: &mut Scheduler, w: Work) {
         let part = match w.what {
             What::Part(p, _) => p,
             What::End => 0,
             What::Fences(_) => return sched.fences_again(),
         };
         if let Some(j) = sched.jobs.get_mut(&w.job) {
-            j.queue(part, &mut sched.dirty, w.purpose);
+            j.enqueue_write(part, &mut sched.write_queue, w.purpose);
         }
     }
 
@@ -49,7 +49,7 @@
         now: Time,
         id: TxnId,
         outcome: Outcome,
-        sched: &mut Sched,
+        sched: &mut Scheduler,
     ) -> (Vec<Event>, Vec<Step>) {
         let Some(sent) = self.under_way.remove(&id) else {
             return (vec![], vec![]);
@@ -77,7 +77,7 @@
         (events, vec![])
     }
 
-    fn carried_out(&mut self, works: Vec<Work>, stamp: Stamp, sched: &Sched) -> Vec<Event> {
+    fn carried_out(&mut self, works: Vec<Work>, stamp: Stamp, sched: &Scheduler) -> Vec<Event> {
         let mut events = vec![];
         for w in works {
             self.busy.remove(&w.job);
@@ -102,7 +102,12 @@
 
     /// Ours alone may write here, so these are earlier writes of our own whose
     /// answers were lost: read back, then go on from there.
-    fn conflict(&mut self, works: Vec<Work>, failed: &[String], sched: &mut Sched) -> Vec<Step> {
+    fn conflict(
+        &mut self,
+        works: Vec<Work>,
+        failed: &[String],
+        sched: &mut Scheduler,
+    ) -> Vec<Step> {
         Self::not_carried_out(sched, &works);
         let mut steps = vec![];
         let (hit, fine): (Vec<Work>, Vec<Work>) = works.into_iter().partition(|w| {
@@ -125,7 +130,7 @@
     }
 
     /// Nothing is carried out at the moment.
-    fn refused(&mut self, now: Time, works: Vec<Work>, sched: &mut Sched) -> Vec<Event> {
+    fn refused(&mut self, now: Time, works: Vec<Work>, sched: &mut Scheduler) -> Vec<Event> {
         self.rest_until = now + REST;
         Self::not_carried_out(sched, &works);
         // Whoever waits for these is told at once to come again.
@@ -136,7 +141,7 @@
     }
 
     /// It is sent again in smaller transactions and values, if that may help.
-    fn too_large(&mut self, now: Time, sent: Sent, sched: &mut Sched) -> Vec<Event> {
+    fn too_large(&mut self, now: Time, sent: Sent, sched: &mut Scheduler) -> Vec<Event> {
         if self.limits.refused_size(sent.size) {
             self.set_budgets(now);
             Self::not_carried_out(sched, &sent.works);
@@ -166,7 +171,7 @@
     }
 
     /// Who waits for these need not ask again: they are sent in a moment.
-    fn too_many(&mut self, now: Time, works: Vec<Work>, sched: &mut Sched) -> Vec<Event> {
+    fn too_many(&mut self, now: Time, works: Vec<Work>, sched: &mut Scheduler) -> Vec<Event> {
         let since = *self.refused_since.get_or_insert(now);
         if self.limits.refused_rate(now) {
             self.set_budgets(now);
@@ -182,7 +187,7 @@
     }
 
     /// Parts of a finished job that did not fit into its last transaction.
-    fn sweep(&mut self, sched: &Sched, job: &JobId) {
+    fn sweep(&mut self, sched: &Scheduler, job: &JobId) {
         let parts = sched.jobs.get(job).map_or(0, |j| j.parts.len());
         for part in 0..parts {
             let pieces = (1..).map(|n| piece_key(job, part, n));
@@ -201,7 +206,7 @@
         &mut self,
         key: String,
         r: Result<Option<Item>, ReadError>,
-        sched: &mut Sched,
+        sched: &mut Scheduler,
     ) -> (Vec<Event>, Vec<Step>) {
         let Ok(item) = r else {
             return (vec![], vec![Step::Read(key)]);
--- a/src/store/commit/records.rs
+++ b/src/store/commit/records.rs
@@ -41,7 +41,11 @@
         let puts = puts.map(|(key, value)| SizedChange::put(key, value));
         let puts = puts.collect();
         let keys = keys.into_iter().map(|key| KeyWrite { key, put: true });
-        (What::Part(part, job.parts[part].ver), keys.collect(), puts)
+        (
+            What::Part(part, job.parts[part].version),
+            keys.collect(),
+            puts,
+        )
     }
 
     pub(super) fn end_write(
--- a/src/store/commit/set_aside.rs
+++ b/src/store/commit/set_aside.rs
@@ -2,7 +2,7 @@
 
 use super::Committer;
 use crate::ids::JobId;
-use crate::sched::{Purpose, Sched};
+use crate::sched::{Purpose, Scheduler};
 use crate::time::{Span, Time};
 
 /// A record that the limits don't hold is tried again after so long at first, and at
@@ -30,7 +30,7 @@
     pub(super) fn put_aside(
         &mut self,
         now: Time,
-        sched: &mut Sched,
+        sched: &mut Scheduler,
         of: (JobId, usize),
         purpose: Purpose,
     ) {
@@ -53,14 +53,14 @@
     }
 
     /// What was set aside is tried again.
-    pub(super) fn queue_set_aside(&mut self, now: Time, sched: &mut Sched) {
+    pub(super) fn queue_set_aside(&mut self, now: Time, sched: &mut Scheduler) {
         self.set_aside.retain(|(job, part), aside| {
             let Some(j) = sched.jobs.get_mut(job) else {
                 return false;
             };
             if !aside.queued && aside.due <= now {
                 aside.queued = true;
-                j.queue(*part, &mut sched.dirty, aside.purpose);
+                j.enqueue_write(*part, &mut sched.write_queue, aside.purpose);
             }
             true
         });
--- a/tests/accelerators.rs
+++ b/tests/accelerators.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::sched::{Effect, Event, HireResult};
+use hookworks::sched::{Effect, Event, RentalResult};
 use hookworks::wire::cloud::Flavor;
 use hookworks::wire::cloud::Hire;
 use hookworks::wire::user::{JobSpec, Kind, Priority};
@@ -29,7 +29,7 @@
             (t.cpus, t.cpus_max, t.gpus, t.gpus_max) = (0.0, 0.0, 8.0, 40.0);
         }
     });
-    d.event(Event::Flavors(vec![g2()]));
+    d.event(Event::MachineTypes(vec![g2()]));
     d
 }
 
@@ -49,7 +49,7 @@
 
 fn hosts(d: &Desk, id: &str) -> Vec<String> {
     let j = &d.s.jobs[&JobId::from(id)];
-    j.live.values().map(|l| l.host.to_string()).collect()
+    j.active.values().map(|l| l.host.to_string()).collect()
 }
 
 #[test]
@@ -113,11 +113,11 @@
 /// Rental requests made since the last look.
 fn take_hires(d: &mut Desk) -> Vec<Hire> {
     let one = |e: &Effect| match e {
-        Effect::Hire(h) => Some(h.clone()),
+        Effect::Rent(h) => Some(h.clone()),
         _ => None,
     };
     let asked = d.fx.iter().filter_map(one).collect();
-    d.fx.retain(|e| !matches!(e, Effect::Hire(_)));
+    d.fx.retain(|e| !matches!(e, Effect::Rent(_)));
     asked
 }
 
@@ -132,7 +132,7 @@
             let hosts: Vec<Host> = names.map(|n| n.as_str().into()).collect();
             *next += h.count;
             rented.push((h.zone.to_string(), h.spot, h.count));
-            d.event(Event::Hired(h, HireResult::Ok(hosts)));
+            d.event(Event::RentalResult(h, RentalResult::Ok(hosts)));
         }
     }
     rented
@@ -145,7 +145,7 @@
 /// Everything placed on the machine runs there.
 fn runs(d: &mut Desk, mut r: Report) {
     for j in d.s.jobs.values() {
-        for (t, l) in j.live.iter().filter(|(_, l)| l.host == r.host) {
+        for (t, l) in j.active.iter().filter(|(_, l)| l.host == r.host) {
             let name = j.id().to_string();
             let t = task(&name, t.0, l.attempt, TaskState::Running);
             r.tasks.push(t);
@@ -198,7 +198,7 @@
             (t.cpus, t.cpus_max, t.gpus, t.gpus_max) = (0.0, 0.0, gpus, 40.0);
         }
     });
-    d.event(Event::Flavors(vec![g2()]));
+    d.event(Event::MachineTypes(vec![g2()]));
     for n in 1..=2 {
         d.beat(&machine(n, "a", false, 1));
     }
@@ -217,7 +217,7 @@
     d.wait(1.0);
     assert!(hosts(&d, "job-000002").is_empty());
     assert!(hosts(&d, "job-000003").is_empty());
-    let stopped = d.s.jobs[&JobId::from("job-000001")].live.values();
+    let stopped = d.s.jobs[&JobId::from("job-000001")].active.values();
     assert_eq!(stopped.filter(|l| l.stop.is_some()).count(), 0);
     d.beat(&machine(3, "a", false, 1));
     assert_eq!(hosts(&d, "job-000002").len(), 2);
@@ -231,7 +231,7 @@
         c.objectives[0].class = Some("gangs".into());
         c.objectives[0].within_s = Some(15.0);
     });
-    d.event(Event::Flavors(vec![g2()]));
+    d.event(Event::MachineTypes(vec![g2()]));
     for (n, z) in [(1, "a"), (2, "a"), (3, "b"), (4, "b")] {
         d.beat(&machine(n, z, false, 1));
     }
@@ -251,8 +251,8 @@
 fn an_image_that_takes_longer_than_the_aim_decides_before_the_fit() {
     let starts = |image_gb: f64| {
         let mut d = desk();
-        d.s.cfg.objectives[0].within_s = Some(12.0);
-        d.event(Event::Flavors(vec![g2()]));
+        d.s.config.objectives[0].within_s = Some(12.0);
+        d.event(Event::MachineTypes(vec![g2()]));
         for n in 1..=3 {
             d.beat(&machine(n, "a", false, 1));
         }
@@ -294,7 +294,7 @@
     for seq in 2..8 {
         d.wait(0.5);
         for h in take_hires(&mut d) {
-            d.event(Event::Hired(h, HireResult::NoCapacity));
+            d.event(Event::RentalResult(h, RentalResult::NoCapacity));
         }
         d.beat(&machine(3, "a", false, seq));
     }
@@ -323,8 +323,8 @@
 fn a_class_is_quick_if_it_wants_to_start_before_a_machine_could_boot() {
     let kept = |within_s: f64| {
         let mut d = desk();
-        d.s.cfg.objectives[0].within_s = Some(within_s);
-        d.event(Event::Flavors(vec![g2()]));
+        d.s.config.objectives[0].within_s = Some(within_s);
+        d.event(Event::MachineTypes(vec![g2()]));
         d.beat(&machine(1, "a", false, 1));
         d.submit(&service(1, 1));
         let mut next = 0;
@@ -345,15 +345,15 @@
     first.submit(&anywhere);
     let record = {
         let j = first.s.jobs.get_mut(&JobId::from("job-000001")).unwrap();
-        j.live.remove(&TaskIx(2));
+        j.active.remove(&TaskIx(2));
         j.encode(0)
     };
     let now = hookworks::time::Time(4_000_000_000);
     let wall = hookworks::time::Wall(1_000_000);
     let job = hookworks::sched::job::Job::decode(&record, now, wall).unwrap();
-    let a = job.live[&TaskIx(0)].attempt;
+    let a = job.active[&TaskIx(0)].attempt;
     let mut d = Desk::set_up(2, vec![job], |c| c.teams[1].cpus_max = 0.0);
-    d.event(Event::Flavors(vec![g2()]));
+    d.event(Event::MachineTypes(vec![g2()]));
     d.beat(&machine(3, "a", false, 2));
     assert_eq!(hosts(&d, "job-000001").len(), 2, "it may be running");
     for n in 1..=2u32 {
@@ -400,7 +400,7 @@
     let wall = hookworks::time::Wall(1_060_000);
     let job = hookworks::sched::job::Job::decode(&record, now, wall).unwrap();
     let mut d = Desk::with(2, vec![job]);
-    d.event(Event::Flavors(vec![g2()]));
+    d.event(Event::MachineTypes(vec![g2()]));
     d.now = now.0;
     runs(&mut d, machine(1, "a", false, 2));
     let m = &d.s.machines[&Host::from("n-000001")];
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -273,7 +273,7 @@
     let (i, end) = (w.leader().expect("a leader"), w.now + 60_000_000);
     let lives = |w: &World| {
         let j = w.sched(i).jobs.get(&JobId::from(JOB));
-        j.is_some_and(|j| j.closing.is_none())
+        j.is_some_and(|j| j.closing_state.is_none())
     };
     assert!(lives(&w));
     while lives(&w) && w.step(end) {}
--- a/tests/attempt_places.rs
+++ b/tests/attempt_places.rs
@@ -31,16 +31,16 @@
 fn places_come_back_with_their_attempts_and_only_with_these() {
     let mut j = job(serde_json::json!({"a": [[0, 7, "n-1", 5], [3, 8, "n-2", 6]]}));
     assert!(
-        j.live.values().all(|l| l.place.is_none()),
+        j.active.values().all(|l| l.place.is_none()),
         "an older record"
     );
-    for (l, zone) in j.live.values_mut().zip(["a", "b"]) {
+    for (l, zone) in j.active.values_mut().zip(["a", "b"]) {
         l.place = Some(place(zone));
     }
     let record = j.encode(0);
     let again = Job::decode(&record, Time(9_000_000), Wall(9_000)).unwrap();
     let places: Vec<_> = again
-        .live
+        .active
         .values()
         .map(|l| l.place.clone().unwrap())
         .collect();
@@ -50,8 +50,8 @@
     let mut stale = record.clone();
     stale["first"]["a"][1][2] = "n-3".into();
     let stale = Job::decode(&stale, Time(9_000_000), Wall(9_000)).unwrap();
-    assert!(stale.live.values().all(|l| l.place.is_none()));
+    assert!(stale.active.values().all(|l| l.place.is_none()));
     // They give way where a record is full.
-    assert!(Places::of(j.live.values(), 20).is_none());
-    assert!(Places::of(j.live.values(), 200).unwrap().size() <= 200);
+    assert!(Places::of(j.active.values(), 20).is_none());
+    assert!(Places::of(j.active.values(), 200).unwrap().size() <= 200);
 }
--- a/tests/broken.rs
+++ b/tests/broken.rs
@@ -17,14 +17,14 @@
 
 fn hosts_of(d: &Desk, j: &str) -> Vec<Host> {
     let j = &d.s.jobs[&JobId::from(j)];
-    j.live.values().map(|l| l.host.clone()).collect()
+    j.active.values().map(|l| l.host.clone()).collect()
 }
 
 /// Reports errors for whatever was placed on the machine; answers how many.
 fn all_fail(d: &mut Desk, n: u32, seq: u64) -> usize {
     let mut r = report(n, seq, Token(0));
     for j in d.s.jobs.values() {
-        for (t, l) in j.live.iter().filter(|(_, l)| l.host == r.host) {
+        for (t, l) in j.active.iter().filter(|(_, l)| l.host == r.host) {
             let name = j.id().to_string();
             r.tasks.push(ended(&name, t.0, l.attempt, Cause::Error));
         }
@@ -63,7 +63,7 @@
         }
     }
     let j = &d.s.jobs[&JobId::from("job-000001")];
-    assert!(j.live.is_empty() && j.backoff_until > Time(d.now));
+    assert!(j.active.is_empty() && j.backoff_until > Time(d.now));
     assert!(d.s.machines.values().all(|m| !m.quarantined));
 }
 
@@ -77,13 +77,13 @@
     }
     let id = JobId::from("job-000001");
     d.submit(&job(1, 40));
-    assert_eq!(d.s.jobs[&id].live.len(), 6);
+    assert_eq!(d.s.jobs[&id].active.len(), 6);
     let mut tries = 0;
     for seq in 2..60 {
         for n in 1..=3 {
             tries += all_fail(&mut d, n, seq);
         }
-        assert!(seq < 4 || d.s.jobs[&id].live.len() <= 1);
+        assert!(seq < 4 || d.s.jobs[&id].active.len() <= 1);
         d.wait(3.0);
     }
     assert!((8..20).contains(&tries), "{tries} tries in three minutes");
@@ -92,7 +92,7 @@
     // The next leader knows it from the record.
     let j = &d.s.jobs[&id];
     let again = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
-    assert!(again.fails_everywhere());
+    assert!(again.failed_on_many_machines());
     // Another job is none the worse, and a success is the end of all doubt. The
     // machines of before were given back.
     d.beat(&report(4, 1, Token(0)));
@@ -102,11 +102,11 @@
         d.beat(&report(4, seq, Token(0)));
         d.wait(3.0);
     }
-    let (t, l) = d.s.jobs[&id].live.iter().next().unwrap();
+    let (t, l) = d.s.jobs[&id].active.iter().next().unwrap();
     let mut r = report(4, 100, Token(0));
     r.tasks = vec![ended(id.as_str(), t.0, l.attempt, Cause::Done)];
     d.beat(&r);
-    assert!(!d.s.jobs[&id].fails_everywhere());
+    assert!(!d.s.jobs[&id].failed_on_many_machines());
 }
 
 /// Many broken jobs at once put no healthy machine aside for good, and a machine
@@ -128,5 +128,5 @@
         d.wait(3.0);
     }
     assert!(d.s.machines.values().all(|m| !m.quarantined));
-    assert!(d.s.jobs.values().all(|j| j.fails_everywhere()));
+    assert!(d.s.jobs.values().all(|j| j.failed_on_many_machines()));
 }
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -87,7 +87,7 @@
 fn on_record(d: &Desk, n: u64) -> Job {
     let v = d.s.jobs[&id(n)].encode(0);
     let mut j = Job::decode(&v, Time(d.now), Wall(d.now / 1000)).unwrap();
-    (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+    (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
     j
 }
 
@@ -259,11 +259,11 @@
 #[test]
 fn thousands_of_unfinished_names_are_taken_or_come_again_later() {
     let smaller = |c: &mut Config| {
-        (c.smallest.value_kb, c.smallest.txn_ops, c.most_jobs) = (2.0, 4, 10_000);
+        (c.min_limits.value_kb, c.min_limits.txn_ops, c.max_jobs) = (2.0, 4, 10_000);
     };
     let unfinished = |n: u64| {
         let mut j = Job::new(job(n * 199, 1), n, Time(4_000_000_000), Wall(1_000_000), 64);
-        (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+        (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
         j
     };
     let found = (1..=5000).map(unfinished).collect();
@@ -306,7 +306,7 @@
     assert_eq!(state(&mut d, 2), "queued");
     assert_eq!(d.s.jobs[&id(2)].pending(), 0);
     assert!(d.s.jobs[&id(2)].waiting_since.is_none(), "neglected");
-    let hires = d.fx.iter().filter(|f| matches!(f, Effect::Hire(_)));
+    let hires = d.fx.iter().filter(|f| matches!(f, Effect::Rent(_)));
     assert_eq!(hires.count(), 0, "rented for what can't start");
     let shares = &d.s.overview(Time(d.now))["served"];
     assert_eq!(shares["classes"]["work"]["recent"]["came"], 2);
@@ -315,9 +315,9 @@
     finish(&mut d, 1, 200);
     let j = &d.s.jobs[&id(2)];
     assert!(j.seq > d.s.jobs[&id(3)].seq);
-    assert_eq!(j.ready, Time(d.now));
+    assert_eq!(j.ready_since, Time(d.now));
     let again = on_record(&d, 2);
-    assert!((again.ready - Time(d.now)).0 < 1000 && again.arrived < again.ready);
+    assert!((again.ready_since - Time(d.now)).0 < 1000 && again.arrived < again.ready_since);
 }
 
 #[test]
@@ -380,7 +380,7 @@
     // The next leader finds what was stored: the first one's cancellation alone.
     let mut parent = on_record(&d, 1);
     assert!(parent.cancelled);
-    parent.cancel_ver = 0;
+    parent.cancel_version = 0;
     let waiting = |n: u64, need: u64| {
         let mut before = desk(4, vec![]);
         before.submit(&job(need, 1));
@@ -514,7 +514,7 @@
         d.stores = false;
         finish(&mut d, 1, 20);
         d.ask(Ask::Cancel(id(2).to_string()));
-        let version = d.s.jobs[&id(2)].parts[0].ver;
+        let version = d.s.jobs[&id(2)].parts[0].version;
         let mut keys = [(Key::Final(id(1)), 0), (Key::Part(id(2), 0), version)];
         if !done_first {
             keys.reverse();
@@ -604,7 +604,7 @@
     let seconds: Vec<usize> = asked.chunks(4).map(|c| c.iter().sum()).collect();
     assert_eq!(done.len(), 90, "{seconds:?}");
     // A fifth of the requests that the state service takes, twice that at first.
-    let most = next.s.cfg.look_ups * 2.0;
+    let most = next.s.config.lookup_reads_per_s * 2.0;
     let later = seconds.iter().skip(1).all(|n| *n as f64 <= most + 1.0);
     assert!(
         later && seconds[0] as f64 <= 3.0 * most + 1.0,
@@ -712,11 +712,11 @@
     (r.addr, r.tasks) = (None, ends.collect());
     d.beat(&r);
     let mut written = vec![];
-    while let Some(next) = d.s.dirty.pop() {
+    while let Some(next) = d.s.write_queue.pop() {
         let Some(j) = d.s.jobs.get_mut(&next.job) else {
             continue;
         };
-        if j.unqueue(next.part, next.purpose) {
+        if j.dequeue_write(next.part, next.purpose) {
             written.push(next.job);
         }
     }
@@ -766,7 +766,7 @@
     low.priority = Priority::Low;
     d.submit(&low);
     let stops = |d: &Desk| {
-        let all = d.s.jobs.values().flat_map(|j| j.live.values());
+        let all = d.s.jobs.values().flat_map(|j| j.active.values());
         all.filter(|l| l.stop.is_some()).count()
     };
     d.wait(2.0);
@@ -795,7 +795,7 @@
     assert_eq!(submit(&mut d, &service), Some(201));
     d.wait(1.0);
     assert!(!placed(&d, 2) && !placed(&d, 3));
-    let host = d.s.jobs[&id(1)].live[&TaskIx(0)].host.clone();
+    let host = d.s.jobs[&id(1)].active[&TaskIx(0)].host.clone();
     assert_eq!(host, report(1, 1, Token(0)).host);
     run(&mut d, 1, 10);
     finish(&mut d, 1, 20);
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -126,7 +126,7 @@
     assert_eq!(shown(&d), 0);
     let record = d.s.jobs[&id(2)].encode(0);
     let mut found = Job::decode(&record, Time(d.now), Wall(1)).unwrap();
-    (found.parts[0].ver, found.parts[0].stored) = (1, 1);
+    (found.parts[0].version, found.parts[0].stored_version) = (1, 1);
     let mut next = Desk::with(6, vec![found]);
     let f = Final {
         state: JobState::Cancelled,
@@ -147,7 +147,7 @@
     let found = |d: &Desk, n| {
         let v = d.s.jobs[&id(n)].encode(0);
         let mut j = Job::decode(&v, Time(d.now), Wall(1)).unwrap();
-        (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+        (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
         j
     };
     // The earlier leader stored the other's end, and ended itself.
@@ -232,7 +232,7 @@
     let live = |d: &Desk, n: u64| {
         d.s.jobs
             .get(&id(n))
-            .map_or(vec![], |j| j.live.keys().map(|t| t.0).collect::<Vec<_>>())
+            .map_or(vec![], |j| j.active.keys().map(|t| t.0).collect::<Vec<_>>())
     };
     assert_eq!((live(&d, 1), live(&d, 2)), (vec![0, 1, 2], vec![]));
     let a = d.attempt(id(1).as_str(), 1).unwrap();
@@ -252,7 +252,7 @@
     let found = |d: &Desk, n| {
         let v = d.s.jobs[&id(n)].encode(0);
         let mut j = Job::decode(&v, Time(d.now), Wall(1)).unwrap();
-        (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+        (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
         j
     };
     let mut next = Desk::with(6, vec![found(&d, 1), found(&d, 2)]);
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -326,7 +326,7 @@
         d.ask(Ask::Cancel(format!("job-{:06}", 100 + n)));
     }
     // The cancellations themselves are stored; the ends wait.
-    let lengths = d.s.dirty.lengths();
+    let lengths = d.s.write_queue.lengths();
     assert!(lengths[0] + lengths[2] >= 200, "{lengths:?}");
     let (mut swept, mut ended, mut longest) = (0, 0, 0);
     let mut waiting: Option<(ReqId, u64)> = None;
@@ -334,9 +334,9 @@
     for step in 0..800 {
         d.now += 25_000;
         let now = Time(d.now);
-        d.s.handle(now, Event::Proven(now));
+        d.s.handle(now, Event::LeadershipConfirmed(now));
         if step == 760 {
-            assert!(d.s.dirty.is_empty(), "nothing but litter is left");
+            assert!(d.s.write_queue.is_empty(), "nothing but litter is left");
             burst = (0..8).map(|n| d.submit(&job(5000 + n, 1))).collect();
         } else if step == 764 {
             let told = burst.iter().filter(|r| d.status(**r).is_some()).count();
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -31,14 +31,14 @@
     d.submit(&job(1, 1));
     let v = d.s.jobs[&JobId::from(JOB)].encode(0);
     let j = Job::decode(&v, Time(d.now), Wall(DAY)).unwrap();
-    assert_eq!(j.live.len(), 1);
+    assert_eq!(j.active.len(), 1);
     j
 }
 
 /// For how long a new leader waits for the task's end, in seconds.
 fn waits_for(mut d: Desk) -> f64 {
     let from = d.now;
-    while !d.s.jobs[&JobId::from(JOB)].live.is_empty() {
+    while !d.s.jobs[&JobId::from(JOB)].active.is_empty() {
         d.wait(0.5);
         assert!(d.now - from < 90_000_000, "waited for for ever");
     }
--- a/tests/flood.rs
+++ b/tests/flood.rs
@@ -39,7 +39,7 @@
 /// What the leader keeps does not grow with the number of jobs that there have been.
 fn bounded(w: &World) {
     let Some(i) = w.leader() else { return };
-    let (jobs, dirty) = (w.sched(i).jobs.len(), w.sched(i).dirty.len());
+    let (jobs, dirty) = (w.sched(i).jobs.len(), w.sched(i).write_queue.len());
     let most = (PER_SECOND * BACKLOG_S) as usize;
     assert!(jobs <= most, "{jobs} jobs at {}", w.now);
     assert!(dirty <= most, "{dirty} writes at {}", w.now);
@@ -72,7 +72,7 @@
         w.run(LASTS_S as f64 + 20.0);
         let i = w.leader().expect("a leader");
         assert!(w.sched(i).jobs.is_empty(), "{:?}", w.sched(i).jobs.keys());
-        assert!(w.sched(i).dirty.is_empty());
+        assert!(w.sched(i).write_queue.is_empty());
         w.set(Conditions::default());
         let mut ended = [0, 0];
         for (id, state) in w.states() {
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -68,10 +68,10 @@
     // lease must be over, or a later session is there.
     d.beat(&report(2, 1, Token(0)));
     assert_eq!(
-        d.s.jobs[&"job-000003".into()].live[&TaskIx(0)].host,
+        d.s.jobs[&"job-000003".into()].active[&TaskIx(0)].host,
         host(2)
     );
-    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].live[&TaskIx(0)].host == host(1);
+    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].active[&TaskIx(0)].host == host(1);
     assert!(there(&d));
     let mut r = runs(seq, a);
     r.session = Session(2);
@@ -123,7 +123,7 @@
     d.hear = false;
     d.submit(&job(2, 1));
     for seq in 4..9 {
-        d.event(Event::Behind);
+        d.event(Event::Overloaded);
         d.wait(3.0);
         assert!(d.beat(&runs(seq, a)).is_some());
     }
@@ -132,7 +132,7 @@
     let (mut d, a) = at_work();
     let seq = goes_deaf(&mut d, a);
     assert!(d.beat(&runs(seq, a)).is_none());
-    d.event(Event::Behind);
+    d.event(Event::Overloaded);
     assert!(d.beat(&runs(seq + 1, a)).is_some());
 }
 
@@ -201,7 +201,7 @@
     let a = d.attempt(JOB, 0).unwrap();
     let j = &d.s.jobs[&JOB.into()];
     let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
-    (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+    (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
     let mut d = Desk::with(6, vec![j]);
     d.refuses = true;
     (d, a)
@@ -294,9 +294,9 @@
         for n in 2..20 {
             let away = if alone { vec!["b", "c"] } else { vec!["b"] };
             let away = away.into_iter().map(Label::from).collect();
-            d.event(Event::OutOfReach(away));
+            d.event(Event::Unreachable(away));
             if busy {
-                d.event(Event::Behind);
+                d.event(Event::Overloaded);
             }
             d.wait(0.5);
             let proven = d.s.may_start(Time(d.now));
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -76,11 +76,11 @@
     d.submit(&job(1, 300));
     let j = d.s.jobs.get_mut(&JobId::from(JOB)).unwrap();
     assert!(j.parts.len() > 1);
-    j.touch(1, &mut d.s.dirty, Purpose::Start);
+    j.mark_changed(1, &mut d.s.write_queue, Purpose::Start);
     write_all(&s, &mut c, &mut d);
     let written = s.get(PART).unwrap().unwrap();
     assert!(written.value.get("left").is_none(), "{written:?}");
-    assert_eq!(d.s.jobs[&JobId::from(JOB)].parts[1].stored, 1);
+    assert_eq!(d.s.jobs[&JobId::from(JOB)].parts[1].stored_version, 1);
     let outcome = s.apply(&late);
     assert!(matches!(outcome, Outcome::Conflict(_)), "{outcome:?}");
     assert!(s.get(PART).unwrap().is_some());
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -39,14 +39,14 @@
     let v = d.s.jobs[&JobId::from(JOB)].encode(0);
     let mut j = Job::decode(&v, Time(d.now), Wall(d.now / 1000)).unwrap();
     for p in &mut j.parts {
-        (p.ver, p.stored) = (1, 1);
+        (p.version, p.stored_version) = (1, 1);
     }
     j
 }
 
 /// Where a task of the job is.
 fn placed_on(d: &Desk, ix: u32) -> Host {
-    d.s.jobs[&JobId::from(JOB)].live[&TaskIx(ix)].host.clone()
+    d.s.jobs[&JobId::from(JOB)].active[&TaskIx(ix)].host.clone()
 }
 
 /// One of the two machines, as reports count them.
@@ -81,7 +81,7 @@
 /// The task fails wherever it is; answers where that was.
 fn fail_once(d: &mut Desk, seq: u64) -> Option<Host> {
     let j = d.s.jobs.get(&JobId::from(JOB))?;
-    let l = j.live.get(&TaskIx(0))?;
+    let l = j.active.get(&TaskIx(0))?;
     let (host, attempt) = (l.host.clone(), l.attempt);
     let n = number(&host);
     let mut r = report(n, seq, Token(5 << 24));
@@ -126,7 +126,7 @@
     machines(&mut d);
     d.submit(&job(1, 2));
     let (a, b) = (d.attempt(JOB, 0).unwrap(), d.attempt(JOB, 1).unwrap());
-    let host = |d: &Desk, t| d.s.jobs[&JobId::from(JOB)].live[&TaskIx(t)].host.clone();
+    let host = |d: &Desk, t| d.s.jobs[&JobId::from(JOB)].active[&TaskIx(t)].host.clone();
     assert_eq!(host(&d, 0), host(&d, 1), "a machine of their own each");
     let n = number(&placed_on(&d, 0));
     let mut r = Report {
@@ -297,7 +297,7 @@
     release(&mut next, json!({"By": "ops", "Kind": "system"}));
     next.wait(1.0);
     assert!(next.attempt(JOB, 0).is_some());
-    assert_eq!(next.s.jobs[&JobId::from(JOB)].attempts.of(0), 0);
+    assert_eq!(next.s.jobs[&JobId::from(JOB)].failure_counts.of(0), 0);
 }
 
 /// The worker shows a failed task until it is told to clear it, which waits
@@ -310,10 +310,10 @@
     d.wait(1.0);
     let before = stored(&d);
     fail_once(&mut d, 10);
-    assert_eq!(d.s.jobs[&JobId::from(JOB)].attempts.of(0), 1);
+    assert_eq!(d.s.jobs[&JobId::from(JOB)].failure_counts.of(0), 1);
     for found in [before, stored(&d)] {
         let a = found
-            .live
+            .active
             .get(&TaskIx(0))
             .map(|l| (l.host.clone(), l.attempt));
         let mut next = limited(6, vec![found]);
@@ -322,7 +322,7 @@
             r.tasks = vec![ended(JOB, 0, a, Cause::Error)];
             next.beat(&r);
         }
-        assert_eq!(next.s.jobs[&JobId::from(JOB)].attempts.of(0), 1);
+        assert_eq!(next.s.jobs[&JobId::from(JOB)].failure_counts.of(0), 1);
     }
 }
 
@@ -335,11 +335,11 @@
     });
     d.submit(&job(1, 1));
     d.wait(1.0);
-    let host = d.s.jobs[&JobId::from(JOB)].live[&TaskIx(0)].host.clone();
+    let host = d.s.jobs[&JobId::from(JOB)].active[&TaskIx(0)].host.clone();
     let j = d.s.jobs.get_mut(&JobId::from(JOB)).unwrap();
-    let rule = d.s.cfg.tuning.rules()[&Class::from("work")];
+    let rule = d.s.config.tuning.rules()[&Class::from("work")];
     for _ in 0..2 {
-        j.attempts.failed(
+        j.failure_counts.failed(
             (0, 1),
             host.as_str(),
             hookworks_job_lifecycle::Failure::Error,
@@ -430,7 +430,7 @@
 fn records_of_earlier_versions_load_and_what_a_later_one_adds_is_kept() {
     let mut v: Value = serde_json::from_str(OLD).unwrap();
     let j = Job::decode(&v, Time(1), Wall(2)).expect("an old record");
-    assert!((j.done_count, j.live.len()) == (1, 1) && !j.held());
+    assert!((j.done_count, j.active.len()) == (1, 1) && !j.held());
     // A later version's fields come back out of an earlier one's hands.
     v["later"] = json!({"x": [1, 2]});
     v["first"]["more"] = json!("y");
@@ -451,18 +451,18 @@
     let mut d = limited(5, vec![]);
     machines(&mut d);
     d.submit(&job(1, 1));
-    let live = d.s.jobs[&JobId::from(JOB)].live[&TaskIx(0)].clone();
-    let rule = d.s.cfg.tuning.rules()[&Class::from("work")];
+    let live = d.s.jobs[&JobId::from(JOB)].active[&TaskIx(0)].clone();
+    let rule = d.s.config.tuning.rules()[&Class::from("work")];
     let now = Wall(1_700_000_000_000);
     let mut j = Job::new(job(2, 100_000), 1, Time(1), now, size);
     for t in 0..size {
         let mut l = live.clone();
         (l.attempt, l.placed_wall) = (Attempt(Epoch(900).base() + 77), now);
-        j.live.insert(TaskIx(t), l);
+        j.active.insert(TaskIx(t), l);
     }
     for t in 0..100_000 {
         for _ in 0..3 {
-            j.attempts.failed(
+            j.failure_counts.failed(
                 (t, 100_000),
                 "n-000001",
                 hookworks_job_lifecycle::Failure::Error,
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -106,10 +106,10 @@
     assert!(notice.page(&query("")).is_none());
     // The scheduler says for how long.
     let mut d = Desk::new(5);
-    let lease = d.s.proven_until() - Time(d.now);
+    let lease = d.s.leadership_valid_until() - Time(d.now);
     assert!(lease.as_secs() > 0.5);
     d.now += lease.0;
-    assert_eq!((d.s.proven_until() - Time(d.now)).0, 0);
+    assert_eq!((d.s.leadership_valid_until() - Time(d.now)).0, 0);
 }
 
 #[test]
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -145,7 +145,7 @@
     let a = d.attempt(JOB, 0).unwrap();
     let j = &d.s.jobs[&JOB.into()];
     let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
-    (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+    (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
     let mut d = Desk::with(6, vec![j]);
     (d.refuses, d.hear) = (true, false);
     (d, a)
@@ -201,7 +201,7 @@
 /// A copy of an old report had the answer that its worker waited for refused.
 #[test]
 fn a_copy_of_an_old_report_displaces_no_answer() {
-    let mut d = Desk::set_up(5, vec![], |c| c.hold = Span::millis(300));
+    let mut d = Desk::set_up(5, vec![], |c| c.heartbeat_hold = Span::millis(300));
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
     d.stores = false;
--- a/tests/record_limits.rs
+++ b/tests/record_limits.rs
@@ -5,8 +5,8 @@
 
 use hookworks::ids::*;
 use hookworks::node::load::load;
-use hookworks::sched::job::{Job, Live, compact_part_size};
-use hookworks::sched::{DirectResult, Event, FenceRecord, Sched};
+use hookworks::sched::job::{ActiveAttempt, Job, compact_part_size};
+use hookworks::sched::{DirectResult, Event, FenceRecord, Scheduler};
 use hookworks::settings::{Platform, StateLimits};
 use hookworks::store::client::{ReadError, State};
 use hookworks::store::commit::Committer;
@@ -36,11 +36,11 @@
 const WALL: Wall = Wall(1_800_000_000_000);
 
 /// A started task as some leader might have left it.
-fn started() -> Live {
+fn started() -> ActiveAttempt {
     let mut d = Desk::new(1);
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
-    d.s.jobs[&JobId::from("job-000001")].live[&TaskIx(0)].clone()
+    d.s.jobs[&JobId::from("job-000001")].active[&TaskIx(0)].clone()
 }
 
 struct Shape {
@@ -73,7 +73,7 @@
     let rule = settings("x").tuning.rules()[&Class::from("frail")];
     for t in 0..shape.tasks {
         for _ in 0..rng.random_range(0..4) {
-            j.attempts
+            j.failure_counts
                 .failed((t, shape.tasks), "n-000001", Failure::Error, &rule);
         }
         if !rng.random_bool(shape.running) {
@@ -92,7 +92,7 @@
         let number = rng.random_range(0..shape.machines);
         live.host = Host::from(format!("n-{number:06}").as_str());
         live.place = Some(places[rng.random_range(0..3)].clone());
-        j.live.insert(TaskIx(t), live);
+        j.active.insert(TaskIx(t), live);
     }
     for _ in 0..rng.random_range(0..60) {
         let what = JobEvent::ALL[rng.random_range(0..8)];
@@ -100,7 +100,7 @@
         j.history.note(what, WallMillis(submitted.0 + at));
     }
     for _ in 0..rng.random_range(0..20) {
-        j.learn_runtime(rng.random_range(1.0..90_000.0));
+        j.record_runtime(rng.random_range(1.0..90_000.0));
     }
     let kinds = [HoldKind::User, HoldKind::Operator, HoldKind::System];
     for kind in kinds.into_iter().take(rng.random_range(0..=3)) {
@@ -301,7 +301,7 @@
     fn new(limits: &StateLimits, format: RecordFormat, jobs: Vec<Job>) -> Term {
         let mut d = Desk::set_up(2, jobs, |cfg| {
             cfg.value_kb = limits.value_kb;
-            cfg.smallest = limits.smallest();
+            cfg.min_limits = limits.smallest();
             for t in &mut cfg.teams {
                 (t.cpus, t.cpus_max) = (1e6, 1e6);
             }
@@ -332,7 +332,10 @@
     }
 
     fn take_effects(&mut self) {
-        let effects = self.d.s.handle(self.now(), Event::Proven(self.now()));
+        let effects = self
+            .d
+            .s
+            .handle(self.now(), Event::LeadershipConfirmed(self.now()));
         self.d.fx.extend(effects);
     }
 
@@ -387,11 +390,15 @@
     assert_eq!(found.done_count, j.done_count);
     for t in (0..j.spec.tasks).map(TaskIx) {
         assert_eq!(found.is_done(t), j.is_done(t), "{t:?}");
-        assert_eq!(found.attempts.of(t.0), j.attempts.of(t.0), "{t:?}");
+        assert_eq!(
+            found.failure_counts.of(t.0),
+            j.failure_counts.of(t.0),
+            "{t:?}"
+        );
     }
-    let live = |j: &Job| j.live.keys().copied().collect::<Vec<_>>();
+    let live = |j: &Job| j.active.keys().copied().collect::<Vec<_>>();
     assert_eq!(live(found), live(j));
-    for (a, b) in found.live.values().zip(j.live.values()) {
+    for (a, b) in found.active.values().zip(j.active.values()) {
         assert_eq!((a.attempt, &a.host), (b.attempt, &b.host));
         assert_eq!(a.placed_wall, b.placed_wall);
         assert!(a.place.is_none() || a.place == b.place);
@@ -425,7 +432,7 @@
             over_ms: rng.random_range(1000..DAY_MS),
         };
         let mut j = any_job(&mut rng, &shape);
-        if let Some(l) = j.live.values_mut().next() {
+        if let Some(l) = j.active.values_mut().next() {
             // A name of another form, and a place that isn't known.
             l.host = "some machine".into();
             l.place = None;
@@ -483,7 +490,7 @@
         live.placed_wall = Wall(WALL.0 + 110 * pass);
         let number = 300 + rng.random_range(0..730);
         live.host = Host::from(format!("n-{number:06}").as_str());
-        j.live.insert(TaskIx(t), live);
+        j.active.insert(TaskIx(t), live);
     }
     let before = Job::new(job(1, 512), 1, Time(1), WALL, 512);
     let room = RecordRoom {
@@ -512,7 +519,7 @@
     let mut j = any_job(&mut rng, &shape);
     j.cancelled = true;
     let first = stored(&j, SMALLEST);
-    for l in j.live.values_mut() {
+    for l in j.active.values_mut() {
         l.placed_wall = Wall(l.placed_wall.0 + 1);
     }
     let second = stored(&j, SMALLEST);
@@ -569,7 +576,7 @@
     t.write(15.0);
     assert!(t.s.too_large <= 3, "{} refused", t.s.too_large);
     assert!(asked.iter().all(|r| t.d.status(*r) == Some(201)));
-    assert!(t.d.s.dirty.is_empty());
+    assert!(t.d.s.write_queue.is_empty());
     assert_eq!(t.c.limits().values().write_rps, 18.0, "they fall together");
     t.check_stored();
 }
@@ -584,7 +591,7 @@
     t.write(15.0);
     assert!(t.s.too_large < 12, "{} refused", t.s.too_large);
     assert!(asked.iter().all(|r| t.d.status(*r) == Some(201)));
-    assert!(t.d.s.dirty.is_empty());
+    assert!(t.d.s.write_queue.is_empty());
     t.check_stored();
 }
 
@@ -637,16 +644,16 @@
     t.check_stored();
     // Smaller again, it leaves pieces behind; over, it leaves nothing.
     t.d.ask(Ask::Cancel(id.to_string()));
-    let all: Vec<TaskIx> = t.d.s.jobs[&id].live.keys().copied().collect();
+    let all: Vec<TaskIx> = t.d.s.jobs[&id].active.keys().copied().collect();
     if let Some(j) = t.d.s.jobs.get_mut(&id) {
-        all.iter().for_each(|ix| drop(j.live.remove(ix)));
+        all.iter().for_each(|ix| drop(j.active.remove(ix)));
     }
     (0..old.parts.len()).for_each(|part| touch(&mut t.d.s, &id, part));
     t.write(2.0);
     t.check_stored();
     t.d.event(Event::Tick(Wall(WALL.0)));
     let j = t.d.s.jobs.get_mut(&id).unwrap();
-    j.closing = Some(JobState::Cancelled);
+    j.closing_state = Some(JobState::Cancelled);
     touch(&mut t.d.s, &id, 0);
     t.write(40.0);
     assert_eq!(t.keys(FINALS).len(), 1);
@@ -654,10 +661,10 @@
 }
 
 /// A part is to be written, as after a change in it.
-fn touch(s: &mut Sched, id: &JobId, part: usize) {
+fn touch(s: &mut Scheduler, id: &JobId, part: usize) {
     use hookworks::sched::Purpose;
     let j = s.jobs.get_mut(id).expect("a job");
-    j.touch(part, &mut s.dirty, Purpose::Now);
+    j.mark_changed(part, &mut s.write_queue, Purpose::Now);
 }
 
 /// Limits fall while an earlier version still serves: what fits goes on, what doesn't
@@ -792,7 +799,7 @@
     large.image = "i".repeat(200).as_str().into();
     t.d.submit(&large);
     let j = &t.d.s.jobs[&large.id];
-    assert!(j.part_size >= 256 && j.most_values(2048) <= 4);
+    assert!(j.part_size >= 256 && j.max_values(2048) <= 4);
     let mut wordy = job(2, 3000);
     wordy.builds = Some(
         (0..64)
@@ -1006,8 +1013,8 @@
         assert_eq!(t.d.status(req), Some(201));
         t.d.ask(Ask::Cancel(spec.id.to_string()));
         if let Some(j) = t.d.s.jobs.get_mut(&spec.id) {
-            j.live.clear();
-            j.closing = Some(JobState::Cancelled);
+            j.active.clear();
+            j.closing_state = Some(JobState::Cancelled);
         }
         touch(&mut t.d.s, &spec.id, 0);
         t.write(2.0);
--- a/tests/rentals.rs
+++ b/tests/rentals.rs
@@ -5,7 +5,7 @@
 
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
-use hookworks::sched::{Effect, Event, HireResult};
+use hookworks::sched::{Effect, Event, RentalResult};
 use hookworks::time::{Time, Wall};
 use hookworks::wire::cloud::{Hire, Listed};
 use hookworks::wire::worker::Report;
@@ -15,7 +15,7 @@
 /// Machines asked for so far.
 fn hires(d: &Desk) -> Vec<Hire> {
     let h = |f: &Effect| match f {
-        Effect::Hire(h) => Some(h.clone()),
+        Effect::Rent(h) => Some(h.clone()),
         _ => None,
     };
     d.fx.iter().filter_map(h).collect()
@@ -30,10 +30,10 @@
         d.wait(1.0);
         let first = hires(&d).remove(0);
         assert!(names.insert(first.name.clone()));
-        d.event(Event::Hired(first.clone(), HireResult::Unclear));
+        d.event(Event::RentalResult(first.clone(), RentalResult::Unclear));
         d.wait(2.0);
         assert_eq!(hires(&d).last(), Some(&first), "the same, again");
-        d.event(Event::Hired(first.clone(), HireResult::NoCapacity));
+        d.event(Event::RentalResult(first.clone(), RentalResult::NoCapacity));
         d.wait(1.0);
         let next = hires(&d).pop().unwrap();
         assert!(names.insert(next.name.clone()));
@@ -66,8 +66,8 @@
         ..report(7, 1, Token(0))
     });
     assert_eq!(d.attempt("job-000001", 0), None);
-    let up = HireResult::Ok(vec!["n-000007".into()]);
-    d.event(Event::Hired(hire, up));
+    let up = RentalResult::Ok(vec!["n-000007".into()]);
+    d.event(Event::RentalResult(hire, up));
     assert!(d.attempt("job-000001", 0).is_some());
 }
 
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -4,7 +4,7 @@
 
 use hookworks::ids::*;
 use hookworks::sched::job::{Final, Job};
-use hookworks::sched::{DirectResult, Effect, Event, HireResult, Key, Sched};
+use hookworks::sched::{DirectResult, Effect, Event, Key, RentalResult, Scheduler};
 use hookworks::store::client::State;
 use hookworks::time::{Time, Wall};
 use hookworks::wire::peer::Ask;
@@ -141,7 +141,7 @@
     let mut r = report(1, 2, Token(0));
     for seq in 2..6 {
         d.wait(3.0);
-        d.event(Event::OutOfReach(vec!["cut".into()]));
+        d.event(Event::Unreachable(vec!["cut".into()]));
         r.seq = Seq(seq);
         let body = serde_json::to_vec(&r).unwrap();
         d.event(Event::Relayed(ReqId(910 + seq), "near".into(), body));
@@ -150,7 +150,7 @@
     for n in 5..=20 {
         d.beat(&report(n, 1, Token(0)));
     }
-    d.event(Event::OutOfReach(vec!["cut".into()]));
+    d.event(Event::Unreachable(vec!["cut".into()]));
     d.wait(1.0);
     assert!(d.released().is_empty(), "{:?}", d.released());
     // Not for ever: their leases run out.
@@ -264,7 +264,7 @@
     d.beat(&r);
     let j = &d.s.jobs[&JobId::from(JOB)];
     let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
-    (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+    (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
     j
 }
 
@@ -377,7 +377,7 @@
     }
     let cfg = hookworks::sched::Config::from(&settings("x"));
     let now = Time(d.now);
-    let mut s = Sched::new(cfg, Epoch(1), now, now, Wall(1));
+    let mut s = Scheduler::new(cfg, Epoch(1), now, now, Wall(1));
     let body = serde_json::to_vec(&job(4, 1)).unwrap();
     let fx = s.handle(now, Event::Ask(ReqId(1), Ask::Submit(body)));
     assert!(matches!(&fx[..], [Effect::Answer(_, a)] if a.status == 503));
@@ -435,7 +435,7 @@
     first.beat(&report(1, 1, Token(0)));
     first.submit(&job(1, 300));
     let j = &first.s.jobs[&JobId::from(JOB)];
-    assert!(j.parts.len() > 1 && !j.live.is_empty());
+    assert!(j.parts.len() > 1 && !j.active.is_empty());
     s.put("hookworks/live/job-000001", j.encode(0));
     s.put(
         "hookworks/part/job-000001/000001",
@@ -447,14 +447,14 @@
     d.refuses = true;
     let mut jobs = l.jobs;
     for j in &mut jobs {
-        j.live.clear();
+        j.active.clear();
     }
     d.s.load(Time(d.now), jobs, l.unreadable);
     let poll = d.ask(Ask::Poll(JOB.into()));
     assert_eq!(d.status(poll), Some(200));
     let began = d.now;
     let mut seq = 1u32;
-    while d.s.jobs[&JobId::from(JOB)].live.is_empty() {
+    while d.s.jobs[&JobId::from(JOB)].active.is_empty() {
         seq += 1;
         // What idles is given back, so another machine each time.
         d.beat(&report(seq, 1, Token(0)));
@@ -501,12 +501,12 @@
     d.submit(&job(1, 1));
     d.wait(0.5);
     let hire = d.fx.iter().find_map(|f| match f {
-        Effect::Hire(h) => Some(h.clone()),
+        Effect::Rent(h) => Some(h.clone()),
         _ => None,
     });
     let host = Host::from("n-000001");
-    let got = HireResult::Ok(vec![host.clone()]);
-    d.event(Event::Hired(hire.unwrap(), got));
+    let got = RentalResult::Ok(vec![host.clone()]);
+    d.event(Event::RentalResult(hire.unwrap(), got));
     d.wait(28.0);
     let listed = serde_json::from_value(serde_json::json!({
         "Id": host, "Endpoint": "x:1", "Build": "m8", "Yard": "a",
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -22,14 +22,14 @@
 
 fn hosts_of(d: &Desk, j: &str) -> Vec<Host> {
     let j = &d.s.jobs[&JobId::from(j)];
-    j.live.values().map(|l| l.host.clone()).collect()
+    j.active.values().map(|l| l.host.clone()).collect()
 }
 
 /// Tells the scheduler that everything placed on the machine now runs there.
 fn all_run(d: &mut Desk, n: u32, seq: u64) {
     let mut r = report(n, seq, Token(0));
     for j in d.s.jobs.values() {
-        for (t, l) in j.live.iter().filter(|(_, l)| l.host == r.host) {
+        for (t, l) in j.active.iter().filter(|(_, l)| l.host == r.host) {
             let name = j.id().to_string();
             r.tasks
                 .push(task(&name, t.0, l.attempt, TaskState::Running));
@@ -41,7 +41,7 @@
 #[test]
 fn spread_check_then_best_fit_then_free_join_then_empty_machine() {
     let mut d = Desk::new(1);
-    d.s.cfg.tuning.delta_floor_s = 10.0;
+    d.s.config.tuning.delta_floor_s = 10.0;
     for n in 1..=3 {
         d.beat(&report(n, 1, Token(0)));
     }
@@ -107,18 +107,18 @@
         d.beat(&report(n, 1, Token(0)));
     }
     d.submit(&job(1, 10));
-    assert_eq!(d.s.jobs[&JobId::from("job-000001")].live.len(), 6);
+    assert_eq!(d.s.jobs[&JobId::from("job-000001")].active.len(), 6);
     // Cancelled, told to stop, but not gone: the next job waits.
     for n in 1..=2 {
         all_run(&mut d, n, 2);
     }
     d.ask(Ask::Cancel("job-000001".into()));
     d.submit(&job(2, 1));
-    assert!(d.s.jobs[&JobId::from("job-000002")].live.is_empty());
+    assert!(d.s.jobs[&JobId::from("job-000002")].active.is_empty());
     for n in 1..=2 {
         d.beat(&report(n, 3, Token(0)));
     }
-    assert_eq!(d.s.jobs[&JobId::from("job-000002")].live.len(), 1);
+    assert_eq!(d.s.jobs[&JobId::from("job-000002")].active.len(), 1);
 }
 
 fn gang(n: u64, tasks: u32) -> JobSpec {
@@ -135,17 +135,17 @@
     d.beat(&report(1, 1, Token(0)));
     d.submit(&gang(1, 6));
     let id = JobId::from("job-000001");
-    assert!(d.s.jobs[&id].live.is_empty(), "room for four of six only");
+    assert!(d.s.jobs[&id].active.is_empty(), "room for four of six only");
     d.beat(&report(2, 1, Token(0)));
-    let numbers: BTreeSet<_> = d.s.jobs[&id].live.values().map(|l| l.attempt).collect();
-    assert_eq!((d.s.jobs[&id].live.len(), numbers.len()), (6, 1));
+    let numbers: BTreeSet<_> = d.s.jobs[&id].active.values().map(|l| l.attempt).collect();
+    assert_eq!((d.s.jobs[&id].active.len(), numbers.len()), (6, 1));
     all_run(&mut d, 1, 2);
     all_run(&mut d, 2, 2);
     // One fails: the others are told to stop, and none restarts before all
     // are gone.
     let mut r = report(1, 3, Token(0));
     let mine: Vec<_> = d.s.jobs[&id]
-        .live
+        .active
         .iter()
         .filter(|(_, l)| l.host == host(1))
         .map(|(t, l)| (t.0, l.attempt))
@@ -164,12 +164,12 @@
         .filter(|o| matches!(o, Order::Kill { .. }))
         .count();
     assert!(kills > 0);
-    assert_eq!(d.s.jobs[&id].live.len(), 5);
+    assert_eq!(d.s.jobs[&id].active.len(), 5);
     d.beat(&report(1, 4, Token(0)));
-    assert!(d.s.jobs[&id].live.values().all(|l| l.stop.is_some()));
+    assert!(d.s.jobs[&id].active.values().all(|l| l.stop.is_some()));
     d.beat(&report(2, 3, Token(0)));
-    let again: BTreeSet<_> = d.s.jobs[&id].live.values().map(|l| l.attempt).collect();
-    assert_eq!((d.s.jobs[&id].live.len(), again.len()), (6, 1));
+    let again: BTreeSet<_> = d.s.jobs[&id].active.values().map(|l| l.attempt).collect();
+    assert_eq!((d.s.jobs[&id].active.len(), again.len()), (6, 1));
     assert!(again.is_disjoint(&numbers));
 }
 
@@ -211,11 +211,11 @@
     let a = d.beat(&seen(3, &[on(1), on(2)])).unwrap();
     assert!(a.orders.iter().any(|o| matches!(o, Order::Run { .. })));
     d.beat(&seen(4, &[on(0), lost(1), lost(2)]));
-    assert!(d.s.jobs[&id].live[&TaskIx(0)].stop.is_some());
-    assert_eq!(d.s.jobs[&id].live.len(), 1, "none joins it any more");
+    assert!(d.s.jobs[&id].active[&TaskIx(0)].stop.is_some());
+    assert_eq!(d.s.jobs[&id].active.len(), 1, "none joins it any more");
     d.beat(&report(1, 5, Token(0)));
     let again = d.attempt("job-000001", 0).unwrap();
-    assert!(again != old && d.s.jobs[&id].live.len() == 3);
+    assert!(again != old && d.s.jobs[&id].active.len() == 3);
 }
 
 #[test]
@@ -254,7 +254,7 @@
     d.wait(0.5);
     let stopped = |d: &Desk, id: &str| {
         let j = &d.s.jobs[&JobId::from(id)];
-        j.live.values().filter(|l| l.stop.is_some()).count()
+        j.active.values().filter(|l| l.stop.is_some()).count()
     };
     assert_eq!(stopped(&d, "job-000001"), 1, "as many as are needed");
     let mut same = job(3, 1);
@@ -308,7 +308,7 @@
         d.beat(&report(n, 1, Token(0)));
     }
     let j = &d.s.jobs[&JobId::from("job-000001")];
-    assert_eq!(j.live.len(), 6, "as many as the team may run");
+    assert_eq!(j.active.len(), 6, "as many as the team may run");
     // Even a full record of the smallest kind of store fits.
     let mut small = hookworks::sched::job::Job::new(
         job(2, 100),
@@ -318,10 +318,10 @@
         part_size(4.0),
     );
     for t in 0..small.part_size {
-        let mut l = j.live.values().next().unwrap().clone();
+        let mut l = j.active.values().next().unwrap().clone();
         l.attempt = Attempt(Epoch(900).base() + 77);
         l.placed_wall = hookworks::time::Wall(1_700_000_000_000);
-        small.live.insert(TaskIx(t), l);
+        small.active.insert(TaskIx(t), l);
     }
     let size = small.encode(0).to_string().len();
     assert!(size <= 4096, "{size}");
@@ -471,8 +471,8 @@
     d.submit(&normal);
     d.wait(2.0);
     let j = &d.s.jobs[&JobId::from("job-000001")];
-    assert!(j.live.values().all(|l| l.stop.is_none()));
-    assert_eq!(j.live.len(), 4);
+    assert!(j.active.values().all(|l| l.stop.is_none()));
+    assert_eq!(j.active.len(), 4);
 }
 
 /// For docs/results.md: `cargo test --release -- --ignored --nocapture measure`.
@@ -501,7 +501,7 @@
         for n in 1..=2 {
             let mut r = report(n, seq, Token(0));
             for j in d.s.jobs.values() {
-                for (t, l) in j.live.iter().filter(|(_, l)| l.host == r.host) {
+                for (t, l) in j.active.iter().filter(|(_, l)| l.host == r.host) {
                     r.tasks
                         .push(ended("job-000001", t.0, l.attempt, Cause::Done));
                 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::sched::{DirtyQueue, Effect, Event, Purpose};
+use hookworks::sched::{Effect, Event, Purpose, WriteQueue};
 use hookworks::time::{Span, Time, Wall};
 use hookworks::wire::peer::Ask;
 use hookworks::wire::user::Priority;
@@ -36,7 +36,7 @@
     let mut r = report(n, seq, Token(3 << 24));
     let m = &d.s.machines[&r.host];
     for t in m.slots.keys() {
-        let l = &d.s.jobs[&t.job].live[&t.ix];
+        let l = &d.s.jobs[&t.job].active[&t.ix];
         r.tasks
             .push(task(t.job.as_str(), t.ix.0, l.attempt, TaskState::Running));
     }
@@ -52,12 +52,16 @@
     for n in 1..=jobs {
         d.submit(&job(n as u64, 100));
     }
-    let live = |d: &Desk| d.s.jobs.values().map(|j| j.live.len()).sum::<usize>();
+    let live = |d: &Desk| d.s.jobs.values().map(|j| j.active.len()).sum::<usize>();
     assert_eq!(live(&d), jobs as usize * 100);
     // A job looks at each machine once, and again at those that it takes; the
     // plain choice would look at all of them for every task.
     let bound = (jobs * (MACHINES + 200)) as u64;
-    assert!(d.s.judged() <= bound, "{} > {bound}", d.s.judged());
+    assert!(
+        d.s.machines_evaluated() <= bound,
+        "{} > {bound}",
+        d.s.machines_evaluated()
+    );
     // One write holds a job and all its starts.
     assert!(d.written <= jobs as usize, "{} writes", d.written);
 
@@ -65,7 +69,7 @@
     for n in 1..=jobs {
         d.submit(&job(1000 + n as u64, 100));
     }
-    let (judged, written) = (d.s.judged(), d.written);
+    let (judged, written) = (d.s.machines_evaluated(), d.written);
     for n in 1..=MACHINES {
         let r = running(&d, n, 2);
         d.beat(&r);
@@ -75,14 +79,18 @@
     let free = d.s.machines.values().filter(|m| m.free().cpu > 0).count() as u64;
     let passes = (MACHINES + 8) as u64;
     let bound = passes * free * jobs as u64;
-    assert!(d.s.judged() - judged <= bound, "{}", d.s.judged() - judged);
+    assert!(
+        d.s.machines_evaluated() - judged <= bound,
+        "{}",
+        d.s.machines_evaluated() - judged
+    );
     assert_eq!(
         d.written, written,
         "reports that tell nothing new were stored"
     );
 
     // A task ends: its room goes to the first in line, and few are looked at.
-    let (judged, before) = (d.s.judged(), live(&d));
+    let (judged, before) = (d.s.machines_evaluated(), live(&d));
     let mut r = running(&d, 1, 3);
     let t = r.tasks.remove(0);
     let of = t.task.job.to_string();
@@ -95,7 +103,11 @@
         "the room of a task that ended stays empty"
     );
     let most = 4 * (free + 1) * jobs as u64;
-    assert!(d.s.judged() - judged <= most, "{}", d.s.judged() - judged);
+    assert!(
+        d.s.machines_evaluated() - judged <= most,
+        "{}",
+        d.s.machines_evaluated() - judged
+    );
 }
 
 #[test]
@@ -107,7 +119,7 @@
     let accepted = d.submit(&huge);
     assert_eq!(d.status(accepted), Some(201));
     let (judged, parts) = (
-        d.s.judged(),
+        d.s.machines_evaluated(),
         d.s.jobs[&JobId::from("job-000001")].parts.len(),
     );
     assert!(d.written <= parts + 1, "{} writes", d.written);
@@ -115,7 +127,7 @@
         let r = running(&d, n, 2);
         assert!(d.beat(&r).is_some());
     }
-    let per_report = (d.s.judged() - judged) / MACHINES as u64;
+    let per_report = (d.s.machines_evaluated() - judged) / MACHINES as u64;
     assert!(
         per_report <= 2,
         "{per_report} machines judged for each report"
@@ -133,7 +145,7 @@
     let (now, wall) = (Time(d.now), Wall(1_000_000));
     let jobs = records.iter().map(|r| {
         let mut j = hookworks::sched::job::Job::decode(r, now, wall).unwrap();
-        (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+        (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
         j
     });
     let mut next = Desk::set_up(4, jobs.collect(), |cfg| {
@@ -143,7 +155,7 @@
     });
     next.submit(&job(900, 50));
     next.wait(0.5);
-    let late = |d: &Desk| d.s.jobs[&JobId::from("job-000900")].live.len();
+    let late = |d: &Desk| d.s.jobs[&JobId::from("job-000900")].active.len();
     assert_eq!(late(&next), 0, "placed on a machine that has not reported");
     let r = running(&d, MACHINES, 7);
     next.beat(&r);
@@ -154,33 +166,33 @@
 /// that was queued already stayed where it was.
 #[test]
 fn a_record_moves_up_when_something_urgent_waits_for_it() {
-    let mut dirty = DirtyQueue::default();
+    let mut dirty = WriteQueue::default();
     let j = |n| hookworks::sched::job::Job::new(job(n, 4), n, Time(0), Wall(0), 64);
     let (mut a, mut b) = (j(1), j(2));
-    a.touch(0, &mut dirty, Purpose::Progress);
-    b.touch(0, &mut dirty, Purpose::Progress);
-    b.touch(0, &mut dirty, Purpose::Now);
+    a.mark_changed(0, &mut dirty, Purpose::Progress);
+    b.mark_changed(0, &mut dirty, Purpose::Progress);
+    b.mark_changed(0, &mut dirty, Purpose::Now);
     let first = dirty.next(Time(0), 1.0).unwrap();
     assert_eq!(
         (first.job.as_str(), first.purpose),
         ("job-000002", Purpose::Now)
     );
-    assert!(b.unqueue(0, first.purpose));
+    assert!(b.dequeue_write(0, first.purpose));
     // Progress gathers for a while, and never takes the last of the budget.
     assert!(dirty.next(Time(0), 1.0).is_none());
     assert!(dirty.next(Time(2_000_000), 0.1).is_none());
     let next = dirty.next(Time(2_000_000), 1.0).unwrap();
-    assert!(a.unqueue(0, next.purpose));
+    assert!(a.dequeue_write(0, next.purpose));
     // The other entry of the second job is out of date.
     let old = dirty.next(Time(2_000_000), 1.0).unwrap();
-    assert!(!b.unqueue(0, old.purpose));
+    assert!(!b.dequeue_write(0, old.purpose));
 }
 
 /// A worker that has just freed room is answered once its next task is stored:
 /// no direct call and no further report is needed for that.
 #[test]
 fn the_answer_to_a_report_waits_for_what_is_about_to_start() {
-    let mut d = Desk::set_up(3, vec![], |cfg| cfg.hold = Span::millis(300));
+    let mut d = Desk::set_up(3, vec![], |cfg| cfg.heartbeat_hold = Span::millis(300));
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 5));
     assert_eq!(d.direct().len(), 1);
@@ -250,9 +262,9 @@
     d.submit(&most);
     let mut longest = 0;
     for n in 0..300 {
-        let judged = d.s.judged();
+        let judged = d.s.machines_evaluated();
         d.submit(&job(100 + n, 4));
-        longest = longest.max(d.s.judged() - judged);
+        longest = longest.max(d.s.machines_evaluated() - judged);
     }
     // The proof before it, the submission, and its record: a pass each.
     assert!(longest < 3 * 45_000, "{longest} machines judged at once");
@@ -260,7 +272,7 @@
     let mut small = job(2, 1);
     small.cpus = 1.0;
     d.submit(&small);
-    let placed = |d: &Desk, n: u64| !d.s.jobs[&job(n, 1).id].live.is_empty();
+    let placed = |d: &Desk, n: u64| !d.s.jobs[&job(n, 1).id].active.is_empty();
     let mut passes = 0;
     while !placed(&d, 2) {
         passes += 1;
@@ -280,11 +292,11 @@
 fn messages_wait_for_no_pass_and_a_pass_waits_while_the_rest_has_its_turn() {
     let mut d = Desk::set_up(5, vec![], |c| {
         c.teams[0].cpus_max = 1e6;
-        c.pass_every = Span::millis(40);
+        c.pass_interval = Span::millis(40);
     });
     fleet(&mut d);
     d.wait(0.25);
-    let judged = d.s.judged();
+    let judged = d.s.machines_evaluated();
     for n in 0..50 {
         let mut j = job(100 + n, 4);
         if n % 2 == 0 {
@@ -294,25 +306,29 @@
         d.submit(&j);
         d.now += 5_000;
     }
-    assert_eq!(d.s.judged(), judged, "a message brought a pass of its own");
+    assert_eq!(
+        d.s.machines_evaluated(),
+        judged,
+        "a message brought a pass of its own"
+    );
     assert!(d.s.wake_at().is_some_and(|t| t <= Time(d.now)));
     d.event(Event::Wake);
-    let one = d.s.judged() - judged;
+    let one = d.s.machines_evaluated() - judged;
     assert!(one > 0 && one < 45_000, "{one} machines judged in a turn");
     // It took a while: the next one waits, whatever comes.
     let until = Time(d.now + 400_000);
-    d.s.rest(until);
-    let judged = d.s.judged();
+    d.s.defer_pass(until);
+    let judged = d.s.machines_evaluated();
     let mut urgent = job(3, 1);
     (urgent.class, urgent.priority) = ("quick".into(), Priority::High);
     d.submit(&urgent);
     while Time(d.now) < until {
-        assert_eq!(d.s.judged(), judged, "no rest");
+        assert_eq!(d.s.machines_evaluated(), judged, "no rest");
         d.now += 50_000;
         d.event(Event::Wake);
     }
-    assert!(d.s.judged() > judged, "passed over");
-    assert!(!d.s.jobs[&urgent.id].live.is_empty());
+    assert!(d.s.machines_evaluated() > judged, "passed over");
+    assert!(!d.s.jobs[&urgent.id].active.is_empty());
 }
 
 /// Its tasks were placed one by one, each machine was judged for each of them against all
@@ -325,12 +341,12 @@
     let mut array = job(1, tasks);
     array.one_zone = true;
     d.submit(&array);
-    let judged = d.s.judged();
+    let judged = d.s.machines_evaluated();
     let bound = (2 * MACHINES + 3 * tasks) as u64;
     assert!(judged <= bound, "{judged} > {bound}");
     let job = d.s.jobs.values().next().unwrap();
-    assert_eq!(job.live.len() as u32, tasks);
-    let zones = job.live.values().map(|l| &d.s.machines[&l.host].zone);
+    assert_eq!(job.active.len() as u32, tasks);
+    let zones = job.active.values().map(|l| &d.s.machines[&l.host].zone);
     assert_eq!(zones.collect::<std::collections::BTreeSet<_>>().len(), 1);
 }
 
@@ -342,10 +358,10 @@
     let tasks = 500;
     let mut array = job(1, tasks);
     array.spread = true;
-    let mut judged = d.s.judged();
+    let mut judged = d.s.machines_evaluated();
     d.submit(&array);
     for _ in 0..120 {
-        let now = d.s.judged();
+        let now = d.s.machines_evaluated();
         // The proof before it, the event, and what it stored: a pass each.
         assert!(now - judged < 3 * 45_000, "{} judged at once", now - judged);
         judged = now;
@@ -353,7 +369,7 @@
     }
     let job = d.s.jobs.values().next().unwrap();
     let in_zone = |zone: &str| {
-        let hosts = job.live.values().map(|l| &d.s.machines[&l.host].zone);
+        let hosts = job.active.values().map(|l| &d.s.machines[&l.host].zone);
         hosts.filter(|z| z.as_str() == zone).count() as u32
     };
     assert_eq!((in_zone("a"), in_zone("b")), (tasks / 2, tasks / 2));
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -56,7 +56,7 @@
     let mut d = Desk::new(5);
     d.proves = proves;
     if !types_known {
-        d.event(Event::Flavors(vec![]));
+        d.event(Event::MachineTypes(vec![]));
     }
     if !proves {
         d.now += 60_000_000;
@@ -295,10 +295,10 @@
         for types in [vec![], vec![flavor()], vec![other_type()]] {
             let live = Job::decode(&record, Time(first.now), Wall(1_000_000)).unwrap();
             let mut d = Desk::set_up(6, vec![live], change);
-            d.event(Event::Flavors(types.clone()));
+            d.event(Event::MachineTypes(types.clone()));
             assert_eq!(submit(&mut d, &body, None).0, 200, "{what}: live");
             let mut d = Desk::set_up(6, vec![], change);
-            d.event(Event::Flavors(types.clone()));
+            d.event(Event::MachineTypes(types.clone()));
             let a = submit(&mut d, &body, Some(DONE));
             let waits = types.is_empty() && a.0 == 503;
             assert!(a.0 == 200 || waits, "{what}: over: {a:?}");
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -27,7 +27,7 @@
 fn inherit(first: &Desk, change: impl Fn(&mut Config)) -> Desk {
     let record = first.s.jobs[&JobId::from(JOB)].encode(0);
     let loaded = Job::decode(&record, Time(first.now), Wall(1_000_000)).unwrap();
-    assert_eq!(loaded.live.len(), 8);
+    assert_eq!(loaded.active.len(), 8);
     Desk::set_up(6, vec![loaded], change)
 }
 
@@ -77,7 +77,7 @@
     runs.sort();
     runs.dedup();
     assert_eq!(runs.len(), 6, "as many as the limit allows: {runs:?}");
-    assert_eq!(d.s.jobs[&JobId::from(JOB)].live.len(), 6);
+    assert_eq!(d.s.jobs[&JobId::from(JOB)].active.len(), 6);
 }
 
 /// Held, cancelled or on a machine that takes nothing: nothing is begun there.
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -7,7 +7,7 @@
 use hookworks::ids::*;
 use hookworks::node::follow::{KnownLeader, Route, route};
 use hookworks::sched::FenceRecord;
-use hookworks::sched::job::{Job, Live};
+use hookworks::sched::job::{ActiveAttempt, Job};
 use hookworks::settings::Platform;
 use hookworks::store::{EPOCH, FENCES, FINALS, FORMAT, LEADER, LIVE, PARTS, RecordFormat};
 use hookworks::time::{Time, Wall};
@@ -76,7 +76,7 @@
 
 /// What is read now, in the form in which the fixtures hold what was read then.
 fn facts(job: &Job) -> Value {
-    let live = |(t, l): (&TaskIx, &Live)| {
+    let live = |(t, l): (&TaskIx, &ActiveAttempt)| {
         let place = l.place.as_ref();
         json!({
             "task": t.0, "attempt": l.attempt.0, "host": l.host, "placed": l.placed_wall.0,
@@ -88,9 +88,9 @@
         "spec": job.spec, "seq": job.seq, "submitted": job.submitted.0,
         "cancelled": job.cancelled, "part_size": job.part_size, "runtimes": job.runtimes,
         "done": tasks().filter(|t| job.is_done(*t)).map(|t| t.0).collect::<Vec<u32>>(),
-        "live": job.live.iter().map(live).collect::<Vec<Value>>(),
-        "failures": tasks().map(|t| job.attempts.of(t.0)).collect::<Vec<u8>>(),
-        "holds": job.holds, "met": job.met, "never": job.never,
+        "live": job.active.iter().map(live).collect::<Vec<Value>>(),
+        "failures": tasks().map(|t| job.failure_counts.of(t.0)).collect::<Vec<u8>>(),
+        "holds": job.holds, "met": job.conditions_met, "never": job.conditions_unmeetable,
         "counts": JobEvent::ALL.map(|e| job.history.count(e)), "usage": job.history.usage(),
         "first_start": job.history.first_start().map(|t| t.0),
         "history": job.history.entries().collect::<Vec<_>>(),
@@ -134,10 +134,10 @@
             assert_same(&context, &facts(&job), wanted);
             seen.extend(wanted["holds"].as_array().unwrap().first().map(|_| "holds"));
             seen.extend((parts.len() > 1).then_some("parts"));
-            seen.extend((!job.live.is_empty()).then_some("live"));
+            seen.extend((!job.active.is_empty()).then_some("live"));
             seen.extend((job.done_count > 0).then_some("done"));
             seen.extend(
-                job.live
+                job.active
                     .values()
                     .any(|l| l.place.is_some())
                     .then_some("places"),
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::sched::job::Live;
+use hookworks::sched::job::ActiveAttempt;
 use hookworks::sched::{Config, Effect};
 use hookworks::time::Time;
 use hookworks::wire::peer::Ask;
@@ -27,15 +27,15 @@
     let Some(j) = d.s.jobs.get(&id(n)) else {
         return vec![];
     };
-    j.live.values().map(|l| l.host.clone()).collect()
+    j.active.values().map(|l| l.host.clone()).collect()
 }
 
 /// The report of a worker on which all that was placed there runs.
 fn running(d: &Desk, n: u32, seq: u64) -> Report {
     let mut r = report(n, seq, Token(0));
     for j in d.s.jobs.values() {
-        let goes_on = |l: &Live| l.host == r.host && l.stop.is_none();
-        for (ix, l) in j.live.iter().filter(|(_, l)| goes_on(l)) {
+        let goes_on = |l: &ActiveAttempt| l.host == r.host && l.stop.is_none();
+        for (ix, l) in j.active.iter().filter(|(_, l)| goes_on(l)) {
             let name = j.id().as_str();
             r.tasks
                 .push(task(name, ix.0, l.attempt, TaskState::Running));
@@ -86,7 +86,7 @@
     go_on(&mut d, 1, 66, &mut seq);
     assert!(hosts_of(&d, 2).is_empty(), "it waits for what it can rent");
     go_on(&mut d, 1, 12, &mut seq);
-    assert!(d.fx.iter().any(|f| matches!(f, Effect::Hire(_))));
+    assert!(d.fx.iter().any(|f| matches!(f, Effect::Rent(_))));
     assert_eq!(hosts_of(&d, 2), [host(1)]);
 }
 
@@ -165,7 +165,7 @@
         }
         d.beat(&r);
     }
-    assert!(d.s.jobs[&id(1)].fails_everywhere());
+    assert!(d.s.jobs[&id(1)].failed_on_many_machines());
     go_on(&mut d, 3, 18, &mut seq);
     assert_eq!(hosts_of(&d, 1).len(), 1, "one task at a time");
     go_on(&mut d, 3, 33, &mut seq);
@@ -328,7 +328,7 @@
     d.submit(&with(1, 1, whole));
     go_on(&mut d, 1, 60, &mut seq);
     d.submit(&with(2, 1, whole));
-    let rents = |d: &Desk| d.fx.iter().any(|f| matches!(f, Effect::Hire(_)));
+    let rents = |d: &Desk| d.fx.iter().any(|f| matches!(f, Effect::Rent(_)));
     assert!(!rents(&d), "what ends soon is waited for");
     go_on(&mut d, 1, 36, &mut seq);
     assert!(rents(&d));
@@ -346,7 +346,7 @@
     d.submit(&with(1, 2, whole));
     go_on(&mut d, 2, 15, &mut seq);
     d.submit(&with(2, 2, |j| (j.kind, j.cpus) = (Kind::Gang, 8.0)));
-    let rents = |d: &Desk| d.fx.iter().any(|f| matches!(f, Effect::Hire(_)));
+    let rents = |d: &Desk| d.fx.iter().any(|f| matches!(f, Effect::Rent(_)));
     go_on(&mut d, 2, 60, &mut seq);
     assert!(!rents(&d), "what ends soon is waited for");
     go_on(&mut d, 2, 36, &mut seq);
--- a/tests/world/acts.rs
+++ b/tests/world/acts.rs
@@ -73,7 +73,7 @@
                 }
                 self.at(d, Ev::Orders(i, epoch, call, host, orders));
             }
-            Effect::Hire(h) => {
+            Effect::Rent(h) => {
                 let d = self.cloud_delay();
                 self.at(d, Ev::Hire(i, epoch, h));
             }
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -3,7 +3,7 @@
 use super::worker::Worker;
 use super::{Ev, World};
 use hookworks::ids::*;
-use hookworks::sched::{Event, HireResult};
+use hookworks::sched::{Event, RentalResult};
 use hookworks::wire::cloud::{Hire, Listed};
 
 impl World {
@@ -44,13 +44,13 @@
     pub(super) fn hire(&mut self, i: usize, epoch: Epoch, h: Hire) {
         self.check_name(&h.name, epoch);
         let r = match self.hires.get(&h.name) {
-            Some(hosts) => HireResult::Ok(hosts.clone()),
+            Some(hosts) => RentalResult::Ok(hosts.clone()),
             None => {
                 let same = |w: &&Worker| w.zone == h.zone && w.spot == h.spot;
                 let have = self.workers.values().filter(same).count();
                 let n = (h.count as usize).min(self.capacity.saturating_sub(have));
                 if n == 0 {
-                    HireResult::NoCapacity
+                    RentalResult::NoCapacity
                 } else {
                     let mut hosts = vec![];
                     for _ in 0..n {
@@ -64,15 +64,15 @@
                     }
                     self.rentals.push((self.now, h.zone.clone(), hosts.len()));
                     self.hires.insert(h.name.clone(), hosts.clone());
-                    HireResult::Ok(hosts)
+                    RentalResult::Ok(hosts)
                 }
             }
         };
         let d = self.cloud_delay();
-        if let HireResult::Ok(hosts) = &r {
+        if let RentalResult::Ok(hosts) = &r {
             self.note_rented(hosts, d);
         }
-        let e = Box::new(Event::Hired(h, r));
+        let e = Box::new(Event::RentalResult(h, r));
         self.at(d, Ev::CloudDone(i, epoch, e));
     }
 }
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -4,7 +4,7 @@
 use super::{flavor, settings};
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
-use hookworks::sched::{Config, DirectResult, Effect, Event, FenceRecord, Key, Sched};
+use hookworks::sched::{Config, DirectResult, Effect, Event, FenceRecord, Key, Scheduler};
 use hookworks::time::{Span, Time, Wall};
 use hookworks::wire::cloud::Listed;
 use hookworks::wire::peer::{Answer, Ask};
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 pub struct Desk {
-    pub s: Sched,
+    pub s: Scheduler,
     pub now: u64,
     pub fx: Vec<Effect>,
     /// The state service accepts at once.
@@ -60,10 +60,10 @@
         let now = 4_000_000_000;
         let mut cfg = Config::from(&settings("x"));
         // Each event leads to all that follows from it.
-        cfg.pass_every = Span::ZERO;
-        cfg.hold = Span::ZERO;
+        cfg.pass_interval = Span::ZERO;
+        cfg.heartbeat_hold = Span::ZERO;
         change(&mut cfg);
-        let mut s = Sched::new(cfg, Epoch(epoch), Time(now), Time(now), Wall(1_000_000));
+        let mut s = Scheduler::new(cfg, Epoch(epoch), Time(now), Time(now), Wall(1_000_000));
         if let Some(f) = fences {
             s.take_fences(Time(now), Wall(1_000_000), f);
         }
@@ -81,13 +81,14 @@
             written: 0,
             next_req: 1,
         };
-        d.event(Event::Flavors(vec![flavor()]));
+        d.event(Event::MachineTypes(vec![flavor()]));
         d
     }
 
     pub fn event(&mut self, e: Event) {
         if self.proves {
-            self.s.handle(Time(self.now), Event::Proven(Time(self.now)));
+            self.s
+                .handle(Time(self.now), Event::LeadershipConfirmed(Time(self.now)));
         }
         let fx = self.s.handle(Time(self.now), e);
         self.fx.extend(fx);
@@ -108,17 +109,17 @@
 
     /// Only what waits first, not what that leads to.
     pub fn store_one(&mut self) -> bool {
-        while let Some(d) = self.s.dirty.pop() {
+        while let Some(d) = self.s.write_queue.pop() {
             let (id, part) = (d.job, d.part);
             let Some(j) = self.s.jobs.get_mut(&id) else {
                 continue;
             };
-            if !j.unqueue(part, d.purpose) {
+            if !j.dequeue_write(part, d.purpose) {
                 continue;
             }
             self.written += 1;
-            let ver = j.parts[part].ver;
-            let key = match j.closing {
+            let ver = j.parts[part].version;
+            let key = match j.closing_state {
                 Some(_) => Key::Final(id),
                 None => Key::Part(id, part),
             };
@@ -210,7 +211,7 @@
 
     pub fn attempt(&self, job: &str, ix: u32) -> Option<Attempt> {
         let j = self.s.jobs.get(&JobId::from(job))?;
-        j.live.get(&TaskIx(ix)).map(|l| l.attempt)
+        j.active.get(&TaskIx(ix)).map(|l| l.attempt)
     }
 }
 
--- a/tests/world/dispatch.rs
+++ b/tests/world/dispatch.rs
@@ -88,7 +88,7 @@
         if self.ctls[i].up {
             let away = self.out_of_reach(i);
             let wall = self.wall();
-            self.event(i, Event::OutOfReach(away));
+            self.event(i, Event::Unreachable(away));
             self.event(i, Event::Tick(wall));
             self.audit(i);
             self.check_places_wait(i);
--- a/tests/world/effect_log.rs
+++ b/tests/world/effect_log.rs
@@ -50,7 +50,7 @@
             let orders = serde_json::to_string(orders).expect("orders are JSON");
             format!("orders {} {host} {addr} {orders}", call.0)
         }
-        Effect::Hire(hire) => {
+        Effect::Rent(hire) => {
             let hire = serde_json::to_string(hire).expect("a request to the cloud is JSON");
             format!("hire {hire}")
         }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -31,7 +31,7 @@
 pub use given::{flavor, job, settings};
 use hookworks::election::{Candidate, Elector};
 use hookworks::ids::*;
-use hookworks::sched::{DirectResult, Event, Sched};
+use hookworks::sched::{DirectResult, Event, Scheduler};
 use hookworks::store::Outcome;
 use hookworks::store::commit::Committer;
 use hookworks::time::{Span, Time, Wall};
@@ -126,7 +126,7 @@
 
 struct Term {
     epoch: Epoch,
-    sched: Sched,
+    sched: Scheduler,
     commit: Committer,
 }
 
@@ -394,7 +394,7 @@
             .max_by_key(|i| led(&self.ctls[*i]))
     }
 
-    pub fn sched(&self, i: usize) -> &Sched {
+    pub fn sched(&self, i: usize) -> &Scheduler {
         &self.ctls[i].term.as_ref().unwrap().sched
     }
 
--- a/tests/world/needs.rs
+++ b/tests/world/needs.rs
@@ -222,7 +222,7 @@
         };
         let placed = |id: &&JobId| {
             let job = term.sched.jobs.get(*id);
-            job.is_some_and(|j| !j.live.is_empty())
+            job.is_some_and(|j| !j.active.is_empty())
         };
         let placed = self.needs.waiting().filter(placed);
         let early = placed.filter_map(|id| Some((id, self.unmet_need(id)?)));
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -7,7 +7,7 @@
 use hookworks::election::ElectionOutcome;
 use hookworks::ids::*;
 use hookworks::node::load::load;
-use hookworks::sched::{Config, Event, Sched};
+use hookworks::sched::{Config, Event, Scheduler};
 use hookworks::settings::{NextLimits, Settings};
 use hookworks::store::RecordFormat;
 use hookworks::store::commit::Committer;
@@ -32,7 +32,7 @@
                     stamp,
                     proven,
                 } => self.won(i, epoch, stamp, proven),
-                ElectionOutcome::Renewed(t) => self.event(i, Event::Proven(t)),
+                ElectionOutcome::Renewed(t) => self.event(i, Event::LeadershipConfirmed(t)),
                 ElectionOutcome::Following(l) => {
                     self.ctls[i].term = None;
                     // Our own earlier process leads no more, whatever the key says yet.
@@ -71,7 +71,7 @@
             }
         }
         let cfg = self.config(i, &s);
-        let mut sched = Sched::new(cfg, epoch, proven, now, wall);
+        let mut sched = Scheduler::new(cfg, epoch, proven, now, wall);
         if takes_format {
             commit.set_format(format);
             sched.set_format(format);
@@ -89,7 +89,7 @@
         });
         let mut f = flavor();
         f.zones = self.zones.clone();
-        self.event(i, Event::Flavors(vec![f]));
+        self.event(i, Event::MachineTypes(vec![f]));
         self.hand_over_copies();
     }
 
@@ -111,8 +111,8 @@
     /// What controller `i` is told.
     fn config(&self, i: usize, s: &Settings) -> Config {
         let mut cfg = Config::from(s);
-        cfg.floor.reserved_share = self.floor;
-        cfg.floor.max_overtaken = self.overtaken;
+        cfg.fairness.reserved_share = self.floor;
+        cfg.fairness.max_overtaken = self.overtaken;
         cfg.workers.cancel_s = self.believed_s.unwrap_or(self.cancel_s);
         for t in &mut cfg.teams {
             for limit in [&mut t.cpus, &mut t.cpus_max, &mut t.gpus_max] {
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -402,11 +402,14 @@
     w.run(45.0);
     // Its scatter forbids the other half: it waits, and stops nobody.
     let s = w.sched(w.leader().unwrap());
-    assert_eq!(s.jobs[&service.id].live.len(), 3);
+    assert_eq!(s.jobs[&service.id].active.len(), 3);
     w.assert_rules();
     w.set_zone(lost, Link::Open);
     w.run(30.0);
-    assert_eq!(w.sched(w.leader().unwrap()).jobs[&service.id].live.len(), 6);
+    assert_eq!(
+        w.sched(w.leader().unwrap()).jobs[&service.id].active.len(),
+        6
+    );
     w.user(Ask::Cancel(service.id.to_string()));
     all_end(&mut w, 300.0);
 }
@@ -445,7 +448,7 @@
     urgent.priority = Priority::High;
     w.submit(urgent.clone());
     w.run(6.0);
-    let started = w.sched(w.leader().unwrap()).jobs[&urgent.id].live.len();
+    let started = w.sched(w.leader().unwrap()).jobs[&urgent.id].active.len();
     assert_eq!(started, 20, "urgent work waits behind what was lost");
     w.run(15.0);
     w.set_zone("b", Link::Open);
@@ -476,7 +479,7 @@
     let open = |t: &&TaskId| {
         s.jobs
             .get(&t.job)
-            .is_some_and(|j| !j.live.contains_key(&t.ix))
+            .is_some_and(|j| !j.active.contains_key(&t.ix))
     };
     let waiting: Vec<TaskId> = there.iter().filter(open).cloned().collect();
     assert!(waiting.len() > 10, "{}", waiting.len());
