--- a/src/sched/beats.rs
+++ b/src/sched/beats.rs
@@ -34,7 +34,7 @@
             Ok(report) => report,
             Err(e) => return self.answer(req, Answer::error(400, &e.to_string())),
         };
-        if !self.may_report(now) || self.fleet.is_gone(&report.host) {
+        if !self.may_report(now) || self.fleet.is_returned(&report.host) {
             self.reports_refused += 1;
             return self.answer(req, Answer::later("not entitled to answer", 1));
         }
@@ -151,8 +151,8 @@
             return false;
         }
         let able = |machine: &Machine| machine.life == Life::Up && machine.direct.is_none();
-        let waits =
-            self.machines_with_unsent_runs.contains(host) || freed && !self.fleet.short.is_empty();
+        let waits = self.machines_with_unsent_runs.contains(host)
+            || freed && !self.fleet.shortages.is_empty();
         waits && self.machines.get(host).is_some_and(able)
     }
 
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -17,28 +17,21 @@
 pub mod job;
 mod lifecycle;
 pub mod machine;
-pub mod needs;
 mod order;
 mod overview;
 mod place;
-pub mod places;
 mod preempt;
 mod records;
 mod referenced_jobs;
 mod report;
 mod requests;
-mod room;
-mod served;
-mod spare;
 mod team;
-mod waiting;
 mod zones;
 
 pub use fences::FenceRecord;
 pub use lifecycle::detail_of_record;
 pub use records::{Key, PendingWrite, Purpose, WriteQueue};
 pub use requests::{LookUpCounts, answer_final};
-pub use room::Room;
 
 use crate::ids::{
     Attempt, Build, CallId, Class, Epoch, Host, JobId, Label, ReqId, TaskId, Token, Zone,
@@ -55,6 +48,13 @@
 use job::{Final, Job};
 use machine::{Life, Machine, Slot};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+pub mod attempt_places;
+pub mod dependency_ids;
+mod fair_share;
+mod headroom;
+mod resources;
+mod wait_limits;
+pub use resources::Resources;
 
 /// What may happen to the scheduler.
 #[derive(Debug)]
@@ -208,10 +208,10 @@
     fast_start_classes: BTreeSet<Class>,
     /// How often tasks of a class may fail.
     retry_policies: BTreeMap<Class, RetryRule>,
-    arrivals: spare::Arrivals,
+    arrivals: headroom::RecentArrivals,
     fleet: fleet::Fleet,
     probes: catchup::Probes,
-    service_shares: served::Books,
+    service_shares: fair_share::FairnessState,
     zone_monitor: zones::Watch,
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
@@ -301,7 +301,7 @@
             arrivals: Default::default(),
             fleet: fleet::Fleet::new(epoch),
             probes: Default::default(),
-            service_shares: served::Books::new(cfg.fairness),
+            service_shares: fair_share::FairnessState::new(cfg.fairness),
             zone_monitor: zones::Watch::new(&cfg, now),
             fences: Default::default(),
             config: cfg,
@@ -371,7 +371,7 @@
             Event::Relayed(req, by, body) => self.beat(now, req, &body, Some(by)),
             Event::Unreachable(away) => {
                 for l in away {
-                    self.fleet.out_of_reach.insert(l, now);
+                    self.fleet.unreachable_controllers.insert(l, now);
                 }
             }
             Event::Stored(key, ver) => self.stored(now, key, ver),
@@ -381,9 +381,9 @@
             Event::RecordRead(req, job, r) => self.record_read(now, req, job, r),
             Event::Direct(call, host, r) => self.direct_result(now, call, host, r),
             Event::MachineTypes(f) => self.set_machine_types(f),
-            Event::Listed(l) => self.listed(now, l),
-            Event::RentalResult(h, r) => self.hired(now, h, r),
-            Event::Released(hosts, ok) => self.released(now, hosts, ok),
+            Event::Listed(l) => self.machines_listed(now, l),
+            Event::RentalResult(h, r) => self.rental_answered(now, h, r),
+            Event::Released(hosts, ok) => self.machines_returned(now, hosts, ok),
             Event::LeadershipConfirmed(t) => {
                 self.leadership_confirmed = self.leadership_confirmed.max(t)
             }
@@ -463,7 +463,7 @@
     /// There are other controllers, and none of them can be talked to; unless it is
     /// this one that is too busy to hear them.
     fn is_isolated(&self, now: Time) -> bool {
-        let away = |l| self.fleet.out_of_reach.get(l);
+        let away = |l| self.fleet.unreachable_controllers.get(l);
         let lately = |l| away(l).is_some_and(|t| now - *t < Span::secs(1.0));
         let others = &self.config.controllers;
         !others.is_empty() && self.keeps_up(now) && others.keys().all(lately)
@@ -497,7 +497,7 @@
         };
         let flavors = flavors.into_iter().filter(usable);
         self.machine_types = flavors.map(|f| (f.build.clone(), f)).collect();
-        self.note_quick();
+        self.update_quick_classes();
         for m in self.machines.values_mut() {
             if let Some(f) = self.machine_types.get(&m.build) {
                 m.set_flavor(f);
@@ -514,7 +514,7 @@
                 // What the lost part had on machines is not known: it is over, by
                 // our word or with its lease, before anything of the job starts.
                 job.backoff_until =
-                    self.maybe_renewed(now) + self.lease_bound() + self.lease_bound();
+                    self.latest_lease_renewal(now) + self.lease_bound() + self.lease_bound();
             }
             self.next_seq = self.next_seq.max(job.seq + 1);
             let id = job.id().clone();
@@ -556,8 +556,8 @@
                 self.stop_all(now, &id);
             }
         }
-        self.fleet.first_own = self.next_seq;
-        self.book_loaded(now);
+        self.fleet.first_submitted_seq = self.next_seq;
+        self.record_loaded_jobs(now);
         self.load_dependencies(now);
         self.write_queue.changed.extend(self.jobs.keys().cloned());
         self.replan = true;
@@ -584,12 +584,12 @@
         self.answer_held(now, false);
         self.answer_at_fence(now);
         self.watch_machines(now);
-        self.note_waiting(now);
+        self.update_waiting_since(now);
         self.probe(now);
         self.tell_progress(now);
         self.plan_fleet(now);
         self.push_all(now);
-        self.look_at_shares(now);
+        self.update_fairness(now);
         self.read_parents(now);
         self.continue_lookups(now);
         self.enforce_time_limits(now);
@@ -598,7 +598,7 @@
         if now >= self.next_summary_at {
             self.next_summary_at = now + SUMMARY_INTERVAL;
             self.log_summary(now);
-            self.tell_shares();
+            self.log_fairness();
         }
     }
 
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -1,8 +1,9 @@
 //! What operators see: the line of figures in the log, and the overview.
 
+use super::Resources;
+use super::Scheduler;
 use super::job::{self, Job};
 use super::machine::Life;
-use super::{Room, Scheduler};
 use crate::time::Time;
 use crate::wire::user::Kind;
 use std::collections::BTreeMap;
@@ -10,7 +11,7 @@
 /// Waiting gangs that are told of one by one.
 const MOST_GANGS: usize = 20;
 
-fn room_view(capacity: &Room, used: &Room) -> serde_json::Value {
+fn room_view(capacity: &Resources, used: &Resources) -> serde_json::Value {
     let one = |of: i64, n: i64| {
         let (of, n) = (of as f64 / 1000.0, n as f64 / 1000.0);
         serde_json::json!({"up": of, "used": n})
@@ -25,10 +26,10 @@
 impl Scheduler {
     /// How full the fleet is, for whoever reads the log.
     pub(super) fn log_summary(&self, now: Time) {
-        let fresh = self.heard_within();
+        let fresh = self.max_heartbeat_age();
         let (mut up, mut booting, mut spot) = (0, 0, 0);
-        let (mut spot_used, mut starting) = (Room::default(), Room::default());
-        let mut capacity = Room::default();
+        let (mut spot_used, mut starting) = (Resources::default(), Resources::default());
+        let mut capacity = Resources::default();
         let (mut used, mut free, mut pending) = (capacity, capacity, capacity);
         for m in self.machines.values() {
             up += (m.life == Life::Up) as u32;
@@ -75,7 +76,7 @@
             e.0 += j.pending() as u64;
             e.1 += j.active.len() as u64;
         }
-        let (mut capacity, mut used) = (Room::default(), Room::default());
+        let (mut capacity, mut used) = (Resources::default(), Resources::default());
         let mut machines_up = 0;
         for m in self.machines.values() {
             used += m.used;
@@ -98,7 +99,7 @@
             "classes": by_class.into_iter().map(|(c, (p, l))|
                 (c, serde_json::json!({"pending": p, "started": l}))).collect::<serde_json::Map<_, _>>(),
             "teams": self.teams.overview(),
-            "served": self.service_shares.view(),
+            "served": self.service_shares.overview(),
             "unwritten": self.write_queue.len(),
             "writes_waiting": {
                 "now": writes[0], "starts": writes[1], "ends": writes[2], "progress": writes[3],
@@ -107,7 +108,7 @@
             "judged": self.machines_evaluated.get(),
             "reports_held": self.reports_held,
             "reports_refused": self.reports_refused,
-            "rentals_under_way": self.fleet.under_way(),
+            "rentals_under_way": self.fleet.requests_in_flight(),
         })
     }
 
@@ -115,8 +116,8 @@
     fn gangs_waiting(&self) -> Vec<serde_json::Value> {
         let waits = |j: &&Job| j.spec.kind == Kind::Gang && j.pending() > 0;
         let one = |j: &Job| {
-            let short = self.fleet.short.iter().find(|s| s.job == *j.id());
-            let left = self.teams.left(&j.spec.team).times(&j.need);
+            let short = self.fleet.shortages.iter().find(|s| s.job == *j.id());
+            let left = self.teams.remaining(&j.spec.team).tasks_that_fit(&j.need);
             let waits_for = match short {
                 _ if !j.active.is_empty() => "its members to be gone or replaced",
                 _ if left < j.pending() as i64 => "its team's limit",
--- a/src/sched/requests.rs
+++ b/src/sched/requests.rs
@@ -113,7 +113,7 @@
         match self.unsatisfiable(&spec) {
             Err(e) => {
                 self.service_shares
-                    .note(now, &spec.class, &spec.team, What::Refused);
+                    .record(now, &spec.class, &spec.team, What::Refused);
                 return self.answer(req, Answer::later(&e, 1));
             }
             Ok(Some(_)) => return self.look_up_final(now, req, id, Ask::Submit(body)),
@@ -121,7 +121,7 @@
         }
         if self.jobs.len() >= self.config.max_jobs {
             self.service_shares
-                .note(now, &spec.class, &spec.team, What::Refused);
+                .record(now, &spec.class, &spec.team, What::Refused);
             return self.answer(req, Answer::later("too many unfinished jobs", 10));
         }
         let mut job = self.new_job(now, spec);
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -1,17 +1,20 @@
-//! The fleet in zones: gathers what is known of each, closes and opens their
-//! machines, and gives back those of a lost zone whose work is worth starting
-//! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
 
-use super::fleet::late_boot;
 use super::job::{ActiveAttempt, Job, Phase};
 use super::machine::{Life, Machine};
-use super::{Config, Room, Scheduler, estimate};
 use crate::ids::{Host, Label, TaskId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
 use hookworks_zones::{Budget, Case, Change, Evidence, Stake, Standing, State, Zones, plan};
 use serde::Serialize;
-use std::collections::{BTreeMap, HashSet};
+use std::collections::{BTreeMap, HashSet};//! The fleet in zones: gathers what is known of each, closes and opens their
+//! machines, and gives back those of a lost zone whose work is worth starting
+//! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
+
+use super::fleet::boot_timeout;
+use super::Config;
+use super::Scheduler;
+use super::estimate;
+use super::Resources;
 
 /// What is worth moving is looked into so often.
 const PLAN_EVERY: Span = Span(1_000_000);
@@ -26,7 +29,7 @@
     /// Attempts that went on.
     returned: u64,
     /// Machines given back, for whatever reason.
-    machines_given_back: u64,
+    machines_given_back: u64
 }
 
 /// What the scheduler keeps of zones.
@@ -39,7 +42,7 @@
     tally: BTreeMap<Zone, Tally>,
     plan_at: Time,
     /// Verdicts are acted on.
-    act: bool,
+    act: bool
 }
 
 impl Watch {
@@ -50,7 +53,7 @@
             act: cfg.act_on_zones,
             unanswered: BTreeMap::new(),
             tally: BTreeMap::new(),
-            plan_at: now,
+            plan_at: now
         }
     }
 
@@ -76,7 +79,7 @@
     pub fn open(&self, now: Time, z: &Zone) -> f64 {
         match self.act {
             true => self.zones.open(now, z),
-            false => 1.0,
+            false => 1.0
         }
     }
 
@@ -139,7 +142,7 @@
         for (label, z) in &self.zone_monitor.controllers {
             let e = all.entry(z.clone()).or_default();
             e.controllers += 1;
-            let away = self.fleet.out_of_reach.get(label);
+            let away = self.fleet.unreachable_controllers.get(label);
             e.away += away.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
         }
         for (z, n) in std::mem::take(&mut self.zone_monitor.unanswered) {
@@ -167,7 +170,7 @@
                         e.overdue += 1;
                         e.fell_silent = Some(match e.fell_silent {
                             None => (m.reached, m.reached),
-                            Some((a, b)) => (a.min(m.reached), b.max(m.reached)),
+                            Some((a, b)) => (a.min(m.reached), b.max(m.reached))
                         });
                     }
                 }
@@ -180,7 +183,7 @@
     /// It should have come up long ago.
     fn boots_late(&self, now: Time, m: &Machine) -> bool {
         let boot = self.machine_types.get(&m.build).map_or(60.0, |f| f.boot_s);
-        now - m.hired > late_boot(boot)
+        now - m.hired > boot_timeout(boot)
     }
 
     /// Machines of zones in trouble take nothing new; those of one that comes
@@ -310,23 +313,23 @@
             machine: m.host.clone(),
             stakes: m.slots.keys().filter_map(stake).collect(),
             lease_left: m.answered + lease - now,
-            boot: Span::secs(self.boot_s(&m.build)),
+            boot: Span::secs(self.boot_s(&m.build))
         }
     }
 
     fn stake(&self, now: Time, m: &Machine, j: &Job, l: &ActiveAttempt) -> Stake {
-        let size = j.need.share_of(&m.capacity);
+        let size = j.need.dominant_share_of(&m.capacity);
         let est = estimate::of(j);
         let ran = match (l.phase, l.running_since) {
             (Phase::Running, Some(s)) => now - s,
             // Of what an earlier leader started only that is known.
             _ if l.inherited => now - l.placed,
-            _ => Span::ZERO,
+            _ => Span::ZERO
         };
         let saves = j.spec.checkpoint_s;
         let unsaved = match saves > 0.0 {
             true => Span::secs(ran.as_secs() % saves),
-            false => ran,
+            false => ran
         };
         let gang = j.spec.kind == Kind::Gang;
         // A gang goes on only as a whole: one that has lost a member, or is
@@ -337,31 +340,31 @@
             Kind::Service => Standing::Replica,
             Kind::Gang if !whole || l.stop.is_some() => Standing::Broken,
             _ if j.priority() <= Priority::High || self.is_quick(&j.spec.class) => Standing::Urgent,
-            _ => Standing::Other,
+            _ => Standing::Other
         };
         Stake {
             standing,
             unsaved: match gang {
                 true => Span(unsaved.0 * j.spec.tasks as u64),
-                false => unsaved,
+                false => unsaved
             },
             again: match saves > 0.0 {
                 true => (est - ran) + unsaved,
-                false => est,
+                false => est
             },
             left: est - ran,
-            due: self.next_due(now, j).map(|t| t - now),
-            size,
+            due: self.next_deadline(now, j).map(|t| t - now),
+            size
         }
     }
 
     /// What the zones that are well can start soon, beyond what waits already.
     fn room_elsewhere(&self, now: Time) -> Budget {
-        let fresh = self.heard_within();
+        let fresh = self.max_heartbeat_age();
         let keep = self.headroom(now);
-        let mut free = Room::default();
-        let (mut whole, mut n) = (Room::default(), 0u32);
-        let (mut lower, mut soon_free) = (Room::default(), Room::default());
+        let mut free = Resources::default();
+        let (mut whole, mut n) = (Resources::default(), 0u32);
+        let (mut lower, mut soon_free) = (Resources::default(), Resources::default());
         let mut within = Span::secs(1.0);
         for m in self.machines.values().filter(|m| m.open(now, fresh)) {
             free += m.free().at_least_zero();
@@ -377,7 +380,7 @@
                 }
             }
         }
-        for s in &self.fleet.short {
+        for s in &self.fleet.shortages {
             if let Some(j) = self.jobs.get(&s.job) {
                 free -= j.need.scaled(s.tasks);
             }
@@ -386,10 +389,10 @@
         // Of what running tasks leave until the next look, half is for those
         // who wait already.
         let turns = 2.0 * within.as_secs() / PLAN_EVERY.as_secs();
-        let turn = soon_free.least_share_of(&whole) / turns;
+        let turn = soon_free.smallest_share_of(&whole) / turns;
         Budget {
-            free: n as f64 * (free.least_share_of(&whole) + turn),
-            made: n as f64 * lower.least_share_of(&whole),
+            free: n as f64 * (free.smallest_share_of(&whole) + turn),
+            made: n as f64 * lower.smallest_share_of(&whole)
         }
     }
 
@@ -425,7 +428,7 @@
             shut: u32,
             tasks: usize,
             tasks_out_of_reach: usize,
-            tasks_waiting_for_it: u32,
+            tasks_waiting_for_it: u32
         }
         let mut counts: BTreeMap<&Zone, Counts> = BTreeMap::new();
         for m in self.machines.values() {
@@ -433,7 +436,7 @@
             match m.life {
                 Life::Up => c.up += 1,
                 Life::Booting => c.booting += 1,
-                Life::Leaving { .. } => c.leaving += 1,
+                Life::Leaving { .. } => c.leaving += 1
             }
             c.shut += m.shut as u32;
             c.tasks += m.slots.len();
