--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -1,15 +1,4 @@
-
-use super::threads::cloud::CloudRequest;
-use super::threads::election::ElectionCommand;
-use crate::election::{ElectionOutcome, LeaderRecord};
-use crate::ids::{Epoch, Label, ReqId, Stamp};
-use crate::sched::{Config, Event, Scheduler};
-use crate::store::commit::Committer;
-use crate::time::{Span, Time, wall};
-use crate::versions::Switch;
-use crate::wire::peer::Answer;
-use hookworks_listing::Board;
-use std::sync::atomic::Ordering;//! How leaderships begin and end at this controller.
+//! How leaderships begin and end at this controller.
 
 use super::state_loading::{self, LoadedState};
 use super::{Leadership, Node, Role};
@@ -31,7 +20,7 @@
     /// Another controller names a leader of a larger epoch.
     LaterLeader,
     /// The process ends in good order.
-    Stopping
+    Stopping,
 }
 
 impl Node {
@@ -50,7 +39,7 @@
             ElectionOutcome::Elected {
                 epoch,
                 revision: stamp,
-                proven
+                proven,
             } => self.elected(epoch, stamp, proven),
             ElectionOutcome::Renewed(proven) => self.renewed(now, proven),
             ElectionOutcome::LeaseLost => {
@@ -161,7 +150,7 @@
             sched,
             commit,
             board: Board::new(epoch.0),
-            switch
+            switch,
         }
     }
 
@@ -198,3 +187,15 @@
         }
     }
 }
+
+use super::threads::cloud::CloudRequest;
+use super::threads::election::ElectionCommand;
+use crate::election::{ElectionOutcome, LeaderRecord};
+use crate::ids::{Epoch, Label, ReqId, Stamp};
+use crate::sched::{Config, Event, Scheduler};
+use crate::store::commit::Committer;
+use crate::time::{Span, Time, wall};
+use crate::versions::Switch;
+use crate::wire::peer::Answer;
+use hookworks_listing::Board;
+use std::sync::atomic::Ordering;
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -7,11 +7,11 @@
 use crate::time::Time;
 use crate::wire::cloud::Flavor;
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobSpec, Kind};//! Whether a submission can be taken: what is refused, and as what.
+use crate::wire::user::{JobSpec, Kind};
 
-use super::dependency_ids::DependencyIds;
-use super::Scheduler;
 use super::Resources;
+use super::Scheduler;
+use super::dependency_ids::DependencyIds;
 
 /// The answer to a submission that names more unfinished jobs than its record holds.
 pub(super) fn too_many_dependencies() -> Answer {
@@ -28,7 +28,7 @@
         let need = Resources::of_task(s);
         let at_once = match s.kind {
             Kind::Array => 1,
-            Kind::Gang | Kind::Service => s.tasks as i64
+            Kind::Gang | Kind::Service => s.tasks as i64,
         };
         if let Some(part) = limit.first_lacking(&need.scaled(at_once)) {
             return Ok(Some(format!("{part}: more than the team's limit")));
@@ -57,12 +57,12 @@
             match f.zones.is_empty() {
                 // Not told: it could be any.
                 true => zones.extend([None, None]),
-                false => zones.extend(f.zones.iter().map(Some))
+                false => zones.extend(f.zones.iter().map(Some)),
             }
         }
         let wanted = |z: &&Option<&Zone>| match (z, &s.zone) {
             (Some(z), Some(only)) => *z == only,
-            _ => true
+            _ => true,
         };
         let zones: Vec<_> = zones.iter().filter(wanted).collect();
         if zones.is_empty() {
@@ -79,7 +79,7 @@
     pub(super) fn new_job(&self, now: Time, spec: JobSpec) -> Job {
         let usual = match self.record_format {
             RecordFormat::Legacy => part_size(self.config.value_kb),
-            RecordFormat::Compact => compact_part_size(self.smallest_value())
+            RecordFormat::Compact => compact_part_size(self.smallest_value()),
         };
         let of_size = |size| Job::new(spec.clone(), self.next_seq, now, self.wall, size);
         let mut job = of_size(usual);
@@ -133,7 +133,7 @@
     pub(super) fn refusal_answer(&self, now: Time, body: &[u8]) -> Answer {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
-            Err(e) => return Answer::error(400, &e)
+            Err(e) => return Answer::error(400, &e),
         };
         if spec.needs.contains(&spec.id) {
             return Answer::error(422, "Awaits: a job can't need itself");
@@ -147,7 +147,7 @@
                 let text = "Builds: the job's description is too large to be stored";
                 Answer::error(400, text)
             }
-            _ => Answer::later("the machine types have changed", 1)
+            _ => Answer::later("the machine types have changed", 1),
         }
     }
 }
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -1,17 +1,10 @@
-
-use crate::ids::{Build, Host, Team, Zone};
-use crate::sched::allowed_zones::AllowedZones;
-use crate::sched::job::Job;
-use crate::sched::machine::{Life, Machine};
-use crate::time::{Span, Time};
-use crate::wire::cloud::{Flavor, Hire};
-use std::collections::BTreeMap;//! Scale out: what is rented, of which kind and where; and what becomes of requests.
+//! Scale out: what is rented, of which kind and where; and what becomes of requests.
 
 use super::{MachineKind, PendingRental};
 use crate::sched::Effect;
 use crate::sched::RentalResult;
-use crate::sched::Scheduler;
 use crate::sched::Resources;
+use crate::sched::Scheduler;
 
 /// A kind of machine that was refused is not asked for again so soon.
 pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
@@ -29,7 +22,7 @@
     /// All of them.
     machines: f64,
     /// Those of machines that will be empty.
-    empty_machines: f64
+    empty_machines: f64,
 }
 
 impl ExpectedCapacity {
@@ -56,13 +49,13 @@
 #[derive(Clone, Copy)]
 struct Demand<'a> {
     job: &'a Job,
-    zone: Option<&'a Zone>
+    zone: Option<&'a Zone>,
 }
 
 /// A kind of machine with its price for each task.
 struct PricedKind {
     price_per_task: f64,
-    kind: MachineKind
+    kind: MachineKind,
 }
 
 impl Scheduler {
@@ -99,7 +92,7 @@
     fn wanted_for_jobs(
         &self,
         now: Time,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> BTreeMap<MachineKind, f64> {
         let machines = self.machines_by_zone();
         let plain_wanted = self.jobs.values().any(|job| !job.spec.spot);
@@ -153,7 +146,7 @@
         demand: Demand,
         tasks: i64,
         plain_wanted: bool,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> f64 {
         let job = demand.job;
         // Work for spot machines does not count on plain ones if it can rent others.
@@ -172,7 +165,7 @@
     fn wanted_for_headroom(
         &self,
         now: Time,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>
+        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> Option<(MachineKind, f64)> {
         let (kind, mut machines) = self.missing_headroom(now)?;
         for (coming_kind, coming) in coming.iter_mut() {
@@ -195,7 +188,7 @@
             build: kind.build,
             zone: kind.zone,
             spot: kind.spot,
-            count
+            count,
         };
         tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
             spot = hire.spot, count, "renting");
@@ -203,7 +196,7 @@
         let request = PendingRental {
             hire,
             retry_at: None,
-            retries: 0
+            retries: 0,
         };
         self.fleet.requests.insert(name, request);
     }
@@ -212,7 +205,8 @@
     /// show all that was rented before this leadership, only jobs that came in since are
     /// rented for.
     fn may_be_rented_already(&self, now: Time, job: &Job) -> bool {
-        job.seq < self.fleet.first_submitted_seq && now < self.leading_since + self.config.max_list_age
+        job.seq < self.fleet.first_submitted_seq
+            && now < self.leading_since + self.config.max_list_age
     }
 
     /// What is on its way, by kind: machines that boot or are asked for, and
@@ -247,19 +241,19 @@
         match machine.life {
             Life::Booting => ExpectedCapacity {
                 machines: 1.0,
-                empty_machines: 1.0
+                empty_machines: 1.0,
             },
             Life::Up if machine.shut => ExpectedCapacity {
                 machines: machine
                     .free()
                     .at_least_zero()
                     .dominant_share_of(&machine.capacity),
-                empty_machines: machine.slots.is_empty() as u8 as f64
+                empty_machines: machine.slots.is_empty() as u8 as f64,
             },
             Life::Up if machine.notice_until.is_none() && machine.capacity.cpu > 0 => {
                 self.freed_soon(now, machine)
             }
-            Life::Up | Life::Leaving { .. } => ExpectedCapacity::default()
+            Life::Up | Life::Leaving { .. } => ExpectedCapacity::default(),
         }
     }
 
@@ -278,7 +272,7 @@
         let empties = staying == 0 && !machine.slots.is_empty();
         ExpectedCapacity {
             machines: freed.dominant_share_of(&machine.capacity),
-            empty_machines: empties as u8 as f64
+            empty_machines: empties as u8 as f64,
         }
     }
 
@@ -289,7 +283,7 @@
         now: Time,
         need: &Resources,
         demand: Option<Demand>,
-        machines: &BTreeMap<Zone, usize>
+        machines: &BTreeMap<Zone, usize>,
     ) -> Vec<PricedKind> {
         let demand = demand.map(|demand| (demand, AllowedZones::of(self, demand.job)));
         let suits = |kind: &MachineKind| {
@@ -307,7 +301,7 @@
                     let price_per_task = price / tasks as f64;
                     kinds.push(PricedKind {
                         price_per_task,
-                        kind
+                        kind,
                     });
                 }
             }
@@ -338,7 +332,7 @@
                 let kind = MachineKind {
                     build: flavor.build.clone(),
                     zone: zone.clone(),
-                    spot
+                    spot,
                 };
                 if !self.fleet.recently_refused(now, &kind) {
                     offers.push((kind, price));
@@ -396,7 +390,7 @@
         let least_task = Resources {
             cpu: 1000,
             gpu: 0,
-            mem: 1000
+            mem: 1000,
         };
         let kinds = self.kinds_for(now, &least_task, None, &self.machines_by_zone());
         let mut kinds = kinds.into_iter().map(|priced| priced.kind);
@@ -411,7 +405,12 @@
     }
 
     /// The cloud's answer to a rental request.
-    pub(in crate::sched) fn rental_answered(&mut self, now: Time, hire: Hire, result: RentalResult) {
+    pub(in crate::sched) fn rental_answered(
+        &mut self,
+        now: Time,
+        hire: Hire,
+        result: RentalResult,
+    ) {
         let kind = MachineKind::of_request(&hire);
         match result {
             RentalResult::Ok(hosts) => {
@@ -483,3 +482,11 @@
         && (spec.spot || !kind.spot)
         && allowed.contains(&kind.zone)
 }
+
+use crate::ids::{Build, Host, Team, Zone};
+use crate::sched::allowed_zones::AllowedZones;
+use crate::sched::job::Job;
+use crate::sched::machine::{Life, Machine};
+use crate::time::{Span, Time};
+use crate::wire::cloud::{Flavor, Hire};
+use std::collections::BTreeMap;
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -3,15 +3,19 @@
 
 mod admission;
 mod allowed_zones;
+pub mod attempt_places;
 mod audit;
 mod beats;
 mod catchup;
 mod dependencies;
+pub mod dependency_ids;
 mod direct;
 mod estimate;
+mod fair_share;
 mod fences;
 mod fleet;
 mod gang;
+mod headroom;
 mod hearing;
 mod inheritance;
 pub mod job;
@@ -25,13 +29,16 @@
 mod referenced_jobs;
 mod report;
 mod requests;
+mod resources;
 mod team;
+mod wait_limits;
 mod zones;
 
 pub use fences::FenceRecord;
 pub use lifecycle::detail_of_record;
 pub use records::{Key, PendingWrite, Purpose, WriteQueue};
 pub use requests::{LookUpCounts, answer_final};
+pub use resources::Resources;
 
 use crate::ids::{
     Attempt, Build, CallId, Class, Epoch, Host, JobId, Label, ReqId, TaskId, Token, Zone,
@@ -48,13 +55,6 @@
 use job::{Final, Job};
 use machine::{Life, Machine, Slot};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-pub mod attempt_places;
-pub mod dependency_ids;
-mod fair_share;
-mod headroom;
-mod resources;
-mod wait_limits;
-pub use resources::Resources;
 
 /// What may happen to the scheduler.
 #[derive(Debug)]
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -1,16 +1,9 @@
+//! The order in which jobs are served, worked out once for each pass.
 
-use super::inheritance::LATE_FACTOR;
-use super::job::Job;
-use crate::ids::{JobId, Team};
-use crate::settings::Objective;
-use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
-use std::collections::{BTreeMap, HashMap, HashSet};//! The order in which jobs are served, worked out once for each pass.
-
-use super::fleet::Shortage;
+use super::Resources;
 use super::Scheduler;
 use super::estimate;
-use super::Resources;
+use super::fleet::Shortage;
 
 /// How much the time for which a job would fill the fleet counts against it.
 const WORK_WEIGHT: f64 = 12.0;
@@ -23,7 +16,7 @@
 pub(super) struct Rank {
     tier: u8,
     latest_start_s: f64,
-    seq: u64
+    seq: u64,
 }
 
 /// A job's turn in a pass.
@@ -33,7 +26,7 @@
     /// No more of its tasks than this, none: all that it may.
     pub max_tasks: Option<i64>,
     /// Ahead of its place in the order, where it has another turn.
-    pub boosted: bool
+    pub boosted: bool,
 }
 
 /// The ranks of all jobs at one moment.
@@ -43,7 +36,7 @@
     pub ordinary_machines_wanted: bool,
     /// A gang found no room at the last pass.
     pub gang_is_waiting: bool,
-    ranks: HashMap<JobId, Rank>
+    ranks: HashMap<JobId, Rank>,
 }
 
 impl Order {
@@ -61,11 +54,14 @@
     /// many turns come before that of the job at which the last pass stopped.
     pub fn turns(&self, s: &Scheduler, now: Time) -> (Vec<Turn>, usize) {
         let waits = |j: &&Job| j.pending() > 0 && now >= j.backoff_until;
-        let lifted = s.service_shares.boosted_jobs().filter_map(|id| s.jobs.get(id));
+        let lifted = s
+            .service_shares
+            .boosted_jobs()
+            .filter_map(|id| s.jobs.get(id));
         let lifted = lifted.filter(waits).map(|j| Turn {
             job: j.id().clone(),
             max_tasks: s.service_shares.boosted_tasks(j.id()),
-            boosted: true
+            boosted: true,
         });
         let waiting = s.jobs.values().filter(waits);
         let mut v: Vec<(&Rank, &JobId)> = waiting
@@ -88,7 +84,7 @@
         let turns = v.map(|(_, id)| Turn {
             job: (*id).clone(),
             max_tasks: most(id),
-            boosted: false
+            boosted: false,
         });
         let mut all: Vec<Turn> = lifted.collect();
         let ahead = all.len() + those_ahead;
@@ -117,11 +113,11 @@
                 Priority::High => 1,
                 _ if within => 2,
                 Priority::Normal => 3,
-                Priority::Low => 4
+                Priority::Low => 4,
             };
             let due = match first {
                 true => 0.0,
-                false => self.latest_start(now, j, within, &whole)
+                false => self.latest_start(now, j, within, &whole),
             };
             let seq = j.seq;
             (
@@ -129,8 +125,8 @@
                 Rank {
                     tier,
                     latest_start_s: due,
-                    seq
-                }
+                    seq,
+                },
             )
         };
         let served = |j: &&Job| j.needs.is_empty() || !j.active.is_empty();
@@ -148,7 +144,7 @@
             within_guarantee: within,
             ordinary_machines_wanted: plain_wanted,
             gang_is_waiting: gang_waits,
-            ranks
+            ranks,
         }
     }
 
@@ -239,10 +235,18 @@
         let counts = |o: &&Objective| match o.kind.as_str() {
             "wait" => o.class.as_ref() == Some(&j.spec.class),
             "guarantee" => within,
-            _ => false
+            _ => false,
         };
         let aims = self.config.objectives.iter().filter(counts);
         let by = aims.filter_map(|o| Some(j.ready_since + Span::secs(o.within_s?)));
         by.filter(|t| *t > now).min()
     }
 }
+
+use super::inheritance::LATE_FACTOR;
+use super::job::Job;
+use crate::ids::{JobId, Team};
+use crate::settings::Objective;
+use crate::time::{Span, Time};
+use crate::wire::user::{Kind, Priority};
+use std::collections::{BTreeMap, HashMap, HashSet};
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -1,20 +1,12 @@
-
-use super::job::{ActiveAttempt, Job, Phase};
-use super::machine::{Life, Machine};
-use crate::ids::{Host, Label, TaskId, Zone};
-use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
-use hookworks_zones::{Budget, Case, Change, Evidence, Stake, Standing, State, Zones, plan};
-use serde::Serialize;
-use std::collections::{BTreeMap, HashSet};//! The fleet in zones: gathers what is known of each, closes and opens their
+//! The fleet in zones: gathers what is known of each, closes and opens their
 //! machines, and gives back those of a lost zone whose work is worth starting
 //! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
 
-use super::fleet::boot_timeout;
 use super::Config;
+use super::Resources;
 use super::Scheduler;
 use super::estimate;
-use super::Resources;
+use super::fleet::boot_timeout;
 
 /// What is worth moving is looked into so often.
 const PLAN_EVERY: Span = Span(1_000_000);
@@ -29,7 +21,7 @@
     /// Attempts that went on.
     returned: u64,
     /// Machines given back, for whatever reason.
-    machines_given_back: u64
+    machines_given_back: u64,
 }
 
 /// What the scheduler keeps of zones.
@@ -42,7 +34,7 @@
     tally: BTreeMap<Zone, Tally>,
     plan_at: Time,
     /// Verdicts are acted on.
-    act: bool
+    act: bool,
 }
 
 impl Watch {
@@ -53,7 +45,7 @@
             act: cfg.act_on_zones,
             unanswered: BTreeMap::new(),
             tally: BTreeMap::new(),
-            plan_at: now
+            plan_at: now,
         }
     }
 
@@ -79,7 +71,7 @@
     pub fn open(&self, now: Time, z: &Zone) -> f64 {
         match self.act {
             true => self.zones.open(now, z),
-            false => 1.0
+            false => 1.0,
         }
     }
 
@@ -170,7 +162,7 @@
                         e.overdue += 1;
                         e.fell_silent = Some(match e.fell_silent {
                             None => (m.reached, m.reached),
-                            Some((a, b)) => (a.min(m.reached), b.max(m.reached))
+                            Some((a, b)) => (a.min(m.reached), b.max(m.reached)),
                         });
                     }
                 }
@@ -313,7 +305,7 @@
             machine: m.host.clone(),
             stakes: m.slots.keys().filter_map(stake).collect(),
             lease_left: m.answered + lease - now,
-            boot: Span::secs(self.boot_s(&m.build))
+            boot: Span::secs(self.boot_s(&m.build)),
         }
     }
 
@@ -324,12 +316,12 @@
             (Phase::Running, Some(s)) => now - s,
             // Of what an earlier leader started only that is known.
             _ if l.inherited => now - l.placed,
-            _ => Span::ZERO
+            _ => Span::ZERO,
         };
         let saves = j.spec.checkpoint_s;
         let unsaved = match saves > 0.0 {
             true => Span::secs(ran.as_secs() % saves),
-            false => ran
+            false => ran,
         };
         let gang = j.spec.kind == Kind::Gang;
         // A gang goes on only as a whole: one that has lost a member, or is
@@ -340,21 +332,21 @@
             Kind::Service => Standing::Replica,
             Kind::Gang if !whole || l.stop.is_some() => Standing::Broken,
             _ if j.priority() <= Priority::High || self.is_quick(&j.spec.class) => Standing::Urgent,
-            _ => Standing::Other
+            _ => Standing::Other,
         };
         Stake {
             standing,
             unsaved: match gang {
                 true => Span(unsaved.0 * j.spec.tasks as u64),
-                false => unsaved
+                false => unsaved,
             },
             again: match saves > 0.0 {
                 true => (est - ran) + unsaved,
-                false => est
+                false => est,
             },
             left: est - ran,
             due: self.next_deadline(now, j).map(|t| t - now),
-            size
+            size,
         }
     }
 
@@ -392,7 +384,7 @@
         let turn = soon_free.smallest_share_of(&whole) / turns;
         Budget {
             free: n as f64 * (free.smallest_share_of(&whole) + turn),
-            made: n as f64 * lower.smallest_share_of(&whole)
+            made: n as f64 * lower.smallest_share_of(&whole),
         }
     }
 
@@ -428,7 +420,7 @@
             shut: u32,
             tasks: usize,
             tasks_out_of_reach: usize,
-            tasks_waiting_for_it: u32
+            tasks_waiting_for_it: u32,
         }
         let mut counts: BTreeMap<&Zone, Counts> = BTreeMap::new();
         for m in self.machines.values() {
@@ -436,7 +428,7 @@
             match m.life {
                 Life::Up => c.up += 1,
                 Life::Booting => c.booting += 1,
-                Life::Leaving { .. } => c.leaving += 1
+                Life::Leaving { .. } => c.leaving += 1,
             }
             c.shut += m.shut as u32;
             c.tasks += m.slots.len();
@@ -468,3 +460,12 @@
 fn gives_way(j: &Job) -> bool {
     j.spec.kind == Kind::Array && j.priority() > Priority::High
 }
+
+use super::job::{ActiveAttempt, Job, Phase};
+use super::machine::{Life, Machine};
+use crate::ids::{Host, Label, TaskId, Zone};
+use crate::time::{Span, Time};
+use crate::wire::user::{Kind, Priority};
+use hookworks_zones::{Budget, Case, Change, Evidence, Stake, Standing, State, Zones, plan};
+use serde::Serialize;
+use std::collections::{BTreeMap, HashSet};
