--- a/tests/controller_requests.rs
+++ b/tests/controller_requests.rs
@@ -9,11 +9,11 @@
 fn a_leader_that_leads_again_has_forgotten_what_it_was_asked() {
     let of = |l: &str, e| (Label::from(l), Epoch(e));
     let asked = of("a", 4);
-    assert!(replaced(&asked, Some(&of("a", 5))));
-    assert!(!replaced(&asked, Some(&of("a", 4))));
+    assert!(leader_restarted(&asked, Some(&of("a", 5))));
+    assert!(!leader_restarted(&asked, Some(&of("a", 4))));
     // Another leads: the answer may be on its way yet.
-    assert!(!replaced(&asked, Some(&of("b", 5))));
-    assert!(!replaced(&asked, None));
+    assert!(!leader_restarted(&asked, Some(&of("b", 5))));
+    assert!(!leader_restarted(&asked, None));
 }
 
 /// A follower was back after 0.3 s with request 1 open when the leader's
