--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -1,18 +1,7 @@
 //! How this controller gains and loses the leadership.
 
 use super::state_loading::{self, LoadedState};
-use super::threads::cloud::CloudRequest;
-use super::threads::election::ElectionCommand;
 use super::{Leadership, Node, Role};
-use crate::election::{ElectionOutcome, LeaderRecord};
-use crate::ids::{Epoch, Label, ReqId, Stamp};
-use crate::sched::{Config, Event, Sched};
-use crate::store::commit::Committer;
-use crate::time::{Span, Time, wall};
-use crate::versions::Switch;
-use crate::wire::peer::Answer;
-use hookworks_listing::Board;
-use std::sync::atomic::Ordering;
 
 /// After a placement pass, other work gets this multiple of the pass's duration before
 /// the next pass.
@@ -95,7 +84,7 @@
         self.proven_at = proven;
         if let Role::Leader(leadership) = &self.role {
             let epoch = leadership.epoch;
-            self.handle_event(now, epoch, Event::Proven(proven));
+            self.handle_event(now, epoch, Event::LeadershipConfirmed(proven));
         }
     }
 
@@ -133,7 +122,7 @@
         let _ = self.cloud_requests.send(CloudRequest::Refresh);
         if !self.machine_types.is_empty() {
             let known = self.machine_types.clone();
-            self.handle_event(now, epoch, Event::Flavors(known));
+            self.handle_event(now, epoch, Event::MachineTypes(known));
         }
     }
 
@@ -150,7 +139,7 @@
             commit.add_litter(key, stamp);
         }
         let config = Config::from(&self.settings);
-        let mut scheduler = Sched::new(config, epoch, self.proven_at, now, wall());
+        let mut scheduler = Scheduler::new(config, epoch, self.proven_at, now, wall());
         let token = epoch.base();
         tracing::info!(%epoch, token, jobs = loaded.jobs.len(), "leadership started");
         // Reads the wall clock first, so that a suspension between the two reads can't
@@ -201,7 +190,19 @@
         let ended_at = self.clock.now();
         let rest = Span((ended_at - started_at).0 * PASS_REST_FACTOR).min(MAX_PASS_REST);
         if let Some(leadership) = self.leadership(epoch) {
-            leadership.scheduler.rest(ended_at + rest);
+            leadership.scheduler.defer_pass(ended_at + rest);
         }
     }
 }
+
+use super::threads::cloud::CloudRequest;
+use super::threads::election::ElectionCommand;
+use crate::election::{ElectionOutcome, LeaderRecord};
+use crate::ids::{Epoch, Label, ReqId, Stamp};
+use crate::sched::{Config, Event, Scheduler};
+use crate::store::commit::Committer;
+use crate::time::{Span, Time, wall};
+use crate::versions::Switch;
+use crate::wire::peer::Answer;
+use hookworks_listing::Board;
+use std::sync::atomic::Ordering;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,26 +1,16 @@
 //! The controller process: its threads, and the main loop that owns all state.
-
 pub mod balance;
 mod health;
 pub mod inbox;
 mod invariants;
-pub mod job_lists;
 mod leadership;
 mod request_log;
-mod requests;
-pub mod routing;
-pub mod state_loading;
 mod threads;
 mod upgrade;
-
-pub use requests::{is_expired, leader_restarted};
-
-use crate::api::{self, ApiRequest, PublishedJobs, SharedStatus};
 use crate::election::{BoundAddress, Candidate, ElectionOutcome, LeaderRecord};
 use crate::ids::{Epoch, Instance, JobId, Label, ReqId, TxnId};
-use crate::peer::{LocalController, PeerEvent, Peers};
 use crate::sched::job::Final;
-use crate::sched::{Effect, Event, Sched};
+use crate::sched::{Effect, Event, Scheduler};
 use crate::settings::{Settings, Sizes};
 use crate::store::budget::Budget;
 use crate::store::client::ReadError;
@@ -40,7 +30,6 @@
 use invariants::Invariants;
 use leadership::LeadershipEnd;
 use request_log::{RequestKind, RequestLog};
-use state_loading::LoadedState;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -50,6 +39,16 @@
 use threads::election::ElectionCommand;
 use threads::state_service::StateRequest;
 use upgrade::Upgrade;
+pub mod job_lists;
+mod requests;
+pub mod routing;
+pub mod state_loading;
+
+pub use requests::{is_expired, leader_restarted};
+
+use crate::api::{self, ApiRequest, PublishedJobs, SharedStatus};
+use crate::peer::{LocalController, PeerEvent, Peers};
+use state_loading::LoadedState;
 
 /// Stack size of each thread: memory is scarce, and nothing here recurses deeply.
 const STACK_BYTES: usize = 256 * 1024;
@@ -160,7 +159,7 @@
 /// The state of a leader, dropped when the leadership ends.
 struct Leadership {
     epoch: Epoch,
-    scheduler: Sched,
+    scheduler: Scheduler,
     commit: Committer,
     /// The list of unfinished jobs that readers see.
     board: Board,
@@ -434,7 +433,7 @@
                 self.machine_types = machine_types.clone();
                 if let Role::Leader(leadership) = &self.role {
                     let epoch = leadership.epoch;
-                    self.handle_event(now, epoch, Event::Flavors(machine_types));
+                    self.handle_event(now, epoch, Event::MachineTypes(machine_types));
                 }
             }
             Message::Event(epoch, event) => self.handle_event(now, epoch, event),
@@ -515,7 +514,7 @@
                     };
                     let _ = self.direct_calls.send(direct_call);
                 }
-                Effect::Hire(request) => {
+                Effect::Rent(request) => {
                     let _ = self.cloud_requests.send(CloudRequest::Rent(epoch, request));
                 }
                 Effect::Release(hosts) => {
@@ -573,7 +572,7 @@
                         }
                     }
                 }
-                let until = leadership.scheduler.proven_until();
+                let until = leadership.scheduler.leadership_valid_until();
                 (now < until).then(|| PublishedJobs {
                     jobs: leadership.board.publish(),
                     valid_until: self.clock.moment(until),
@@ -597,9 +596,9 @@
         if let Role::Leader(leadership) = &self.role {
             let epoch = leadership.epoch;
             let unreachable = self.peers.unreachable_peers();
-            self.handle_event(now, epoch, Event::OutOfReach(unreachable));
+            self.handle_event(now, epoch, Event::Unreachable(unreachable));
             if std::mem::take(&mut self.requests_delayed) {
-                self.handle_event(now, epoch, Event::Behind);
+                self.handle_event(now, epoch, Event::Overloaded);
             }
             self.handle_event_with_pass(now, epoch, Event::Tick(wall()));
         }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -277,7 +277,8 @@
             && answer.status < FIRST_RETRYABLE_STATUS
             && leadership.scheduler.may_start(now)
         {
-            answer.valid_us = Some((leadership.scheduler.proven_until() - pending.received_at).0);
+            answer.valid_us =
+                Some((leadership.scheduler.leadership_valid_until() - pending.received_at).0);
         }
         self.latency
             .saturating_record((now - pending.received_at).0);
--- a/src/node/state_loading.rs
+++ b/src/node/state_loading.rs
@@ -169,8 +169,8 @@
     for (_, mut job) in jobs {
         // A loaded part is stored: its version counter starts at 1.
         for part in &mut job.parts {
-            part.ver = 1;
-            part.stored = 1;
+            part.version = 1;
+            part.stored_version = 1;
         }
         loaded.jobs.push(job);
     }
--- a/src/sched/attempt_places.rs
+++ b/src/sched/attempt_places.rs
@@ -6,7 +6,7 @@
 //! it, so it carries a checksum of those that it speaks of; where that doesn't
 //! fit any more, nothing is known.
 
-use super::job::Live;
+use super::job::ActiveAttempt;
 use crate::ids::{Build, Host, Zone};
 use serde::{Deserialize, Serialize};
 
@@ -52,7 +52,7 @@
 impl AttemptPlaces {
     /// None if not all are known, or if they don't fit into so many bytes.
     pub fn of<'a>(
-        live: impl Iterator<Item = &'a Live> + Clone,
+        live: impl Iterator<Item = &'a ActiveAttempt> + Clone,
         room: usize,
     ) -> Option<AttemptPlaces> {
         let mut kinds: Vec<&AttemptPlace> = vec![];
--- a/src/sched/fair_share.rs
+++ b/src/sched/fair_share.rs
@@ -7,9 +7,10 @@
 //! order. Gangs, services and jobs of a single zone are counted, but not lifted:
 //! room for them is found by other rules.
 
+use super::Resources;
+use super::Scheduler;
 use super::job::Job;
 use super::place::is_placed_individually;
-use super::{Resources, Sched};
 use crate::ids::{Class, JobId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use hookworks_fairness::{
@@ -137,15 +138,15 @@
 
 /// Since when a job has waited for a start of the tasks that it still has.
 fn waiting_for_start_since(j: &Job) -> Time {
-    let latest = j.live.values().map(|l| l.placed).max();
-    latest.map_or(j.ready, |t| t.max(j.ready))
+    let latest = j.active.values().map(|l| l.placed).max();
+    latest.map_or(j.ready_since, |t| t.max(j.ready_since))
 }
 
-impl Sched {
+impl Scheduler {
     /// JobEvent a class may wait: the longest of its aims.
     fn max_wait_by_class(&self) -> BTreeMap<Class, Span> {
         let mut all: BTreeMap<Class, f64> = BTreeMap::new();
-        for o in &self.cfg.objectives {
+        for o in &self.config.objectives {
             if let (Some(c), Some(s)) = (&o.class, o.within_s) {
                 let longest = all.entry(c.clone()).or_default();
                 *longest = longest.max(s);
@@ -158,23 +159,26 @@
     pub(super) fn record_loaded_jobs(&mut self, now: Time) {
         for j in self.jobs.values().filter(|j| j.needs.is_empty()) {
             let (class, team) = (&j.spec.class, &j.spec.team);
-            self.books.record(now, class, team, JobEvent::Accepted);
-            self.books.record_size(class, j.spec.tasks);
+            self.service_shares
+                .record(now, class, team, JobEvent::Accepted);
+            self.service_shares.record_size(class, j.spec.tasks);
             if j.history.first_start().is_some() {
-                self.books.record(now, class, team, JobEvent::Started);
+                self.service_shares
+                    .record(now, class, team, JobEvent::Started);
             }
         }
     }
 
     pub(super) fn record_job_event(&mut self, now: Time, id: &JobId, what: JobEvent) {
         if let Some(j) = self.jobs.get(id) {
-            self.books.record(now, &j.spec.class, &j.spec.team, what);
+            self.service_shares
+                .record(now, &j.spec.class, &j.spec.team, what);
             let class = &j.spec.class;
             match what {
-                JobEvent::Accepted => self.books.record_size(class, j.spec.tasks),
+                JobEvent::Accepted => self.service_shares.record_size(class, j.spec.tasks),
                 JobEvent::Started => {
-                    if let Some(l) = self.books.largest.get_mut(class) {
-                        l.record_start(j.spec.tasks as u64, now - j.ready);
+                    if let Some(l) = self.service_shares.largest.get_mut(class) {
+                        l.record_start(j.spec.tasks as u64, now - j.ready_since);
                     }
                 }
                 _ => {}
@@ -184,20 +188,20 @@
 
     /// Makes the figures up, and decides who is below the floor.
     pub(super) fn update_fairness(&mut self, now: Time) {
-        if now < self.books.update_at {
+        if now < self.service_shares.update_at {
             return;
         }
-        self.books.update_at = now + UPDATE_INTERVAL;
+        self.service_shares.update_at = now + UPDATE_INTERVAL;
         let patience = self.max_wait_by_class();
         let usual = Span::secs(DEFAULT_MAX_WAIT_S);
         let mut by_class: BTreeMap<Class, WaitingJobs> = BTreeMap::new();
         let mut by_team: BTreeMap<Team, WaitingJobs> = BTreeMap::new();
         let mut unbegun: BTreeMap<Class, Vec<(u64, Span)>> = BTreeMap::new();
         // One that fails everywhere waits for its user, not for room.
-        let waits = |j: &&Job| j.pending() > 0 && !j.fails_everywhere();
+        let waits = |j: &&Job| j.pending() > 0 && !j.failed_on_many_machines();
         for j in self.jobs.values().filter(waits) {
             let (tasks, waited) = (j.pending() as u64, now - waiting_for_start_since(j));
-            let came = now - j.ready;
+            let came = now - j.ready_since;
             let p = patience.get(&j.spec.class).copied().unwrap_or(usual);
             let class = by_class.entry(j.spec.class.clone()).or_default();
             class.add(tasks, came, waited, p);
@@ -208,7 +212,7 @@
                 class.push((j.spec.tasks as u64, came));
             }
         }
-        let b = &mut self.books;
+        let b = &mut self.service_shares;
         b.metrics = (
             b.classes.metrics(now, &by_class),
             b.teams.metrics(now, &by_team),
@@ -228,14 +232,14 @@
     /// hundreds of them, a part of each at once took all writes there were, and the
     /// leader could not keep up.
     fn boost_overtaken(&mut self, now: Time) {
-        let floor = self.books.policy;
+        let floor = self.service_shares.policy;
         let waits = |j: &&Job| {
-            let begun = j.history.first_start().is_some() || !j.live.is_empty();
-            j.pending() > 0 && !begun && now >= j.backoff_until && !j.fails_everywhere()
+            let begun = j.history.first_start().is_some() || !j.active.is_empty();
+            j.pending() > 0 && !begun && now >= j.backoff_until && !j.failed_on_many_machines()
         };
         let ahead = |j: &Job| {
             let waiting = j.pending() as u64;
-            floor.boosted_tasks(j.spec.tasks as u64, waiting, now - j.ready) as i64
+            floor.boosted_tasks(j.spec.tasks as u64, waiting, now - j.ready_since) as i64
         };
         let mut late: Vec<(&Job, i64)> = self
             .jobs
@@ -244,7 +248,7 @@
             .map(|j| (j, ahead(j)))
             .filter(|(_, n)| *n > 0)
             .collect();
-        late.sort_by_key(|(j, _)| (j.ready, j.seq));
+        late.sort_by_key(|(j, _)| (j.ready_since, j.seq));
         let fleet: i64 = self.machines.values().map(|m| m.capacity.cpu).sum();
         let mut left = (fleet as f64 * MAX_OVERTAKEN_SHARE) as i64;
         let mut first = BTreeSet::new();
@@ -253,7 +257,11 @@
                 first.insert(j.id().clone());
                 left -= j.need.cpu * j.pending() as i64;
             } else {
-                let lifted = self.books.boosted.entry(j.id().clone()).or_default();
+                let lifted = self
+                    .service_shares
+                    .boosted
+                    .entry(j.id().clone())
+                    .or_default();
                 *lifted = n.max(*lifted);
                 left -= j.need.cpu * n;
             }
@@ -261,20 +269,20 @@
                 break;
             }
         }
-        self.books.starved = first;
+        self.service_shares.starved = first;
     }
 
     /// Room for the classes and teams below the floor, job by job.
     fn boost_below_minimum(&mut self) {
-        let floor = self.books.policy;
-        let (classes, teams) = &self.books.metrics;
+        let floor = self.service_shares.policy;
+        let (classes, teams) = &self.service_shares.metrics;
         let mut classes: BTreeMap<Class, i64> =
-            groups_below_minimum(classes, &self.books.below_minimum.0, &floor);
+            groups_below_minimum(classes, &self.service_shares.below_minimum.0, &floor);
         let mut teams: BTreeMap<Team, i64> =
-            groups_below_minimum(teams, &self.books.below_minimum.1, &floor);
-        self.books.below_minimum.0 = classes.keys().cloned().collect();
-        self.books.below_minimum.1 = teams.keys().cloned().collect();
-        self.books.boosted.clear();
+            groups_below_minimum(teams, &self.service_shares.below_minimum.1, &floor);
+        self.service_shares.below_minimum.0 = classes.keys().cloned().collect();
+        self.service_shares.below_minimum.1 = teams.keys().cloned().collect();
+        self.service_shares.boosted.clear();
         if classes.is_empty() && teams.is_empty() {
             return;
         }
@@ -283,7 +291,7 @@
             fleet += m.capacity;
         }
         for j in self.jobs.values() {
-            let uses = j.need.cpu * j.live.len() as i64;
+            let uses = j.need.cpu * j.active.len() as i64;
             if let Some(n) = classes.get_mut(&j.spec.class) {
                 *n += uses;
             }
@@ -300,8 +308,9 @@
         let mut classes = floor.budgets(part(c, t), &classes);
         let mut teams = floor.budgets(part(t, c), &teams);
         // Those that have waited for longest first.
-        let waits =
-            |j: &&Job| j.pending() > 0 && !is_placed_individually(j) && !j.fails_everywhere();
+        let waits = |j: &&Job| {
+            j.pending() > 0 && !is_placed_individually(j) && !j.failed_on_many_machines()
+        };
         let mut waiting: Vec<&Job> = self.jobs.values().filter(waits).collect();
         waiting.sort_by_key(|j| (waiting_for_start_since(j), j.seq));
         let mut lifted = BTreeMap::new();
@@ -317,7 +326,7 @@
             *left -= tasks * need;
             lifted.insert(j.id().clone(), tasks);
         }
-        self.books.boosted = lifted;
+        self.service_shares.boosted = lifted;
     }
 
     /// CPUs that a team's attempts take, all that are not proven gone.
@@ -340,8 +349,8 @@
             let all: Vec<String> = all.into_iter().map(one).collect();
             all.join("; ")
         };
-        let v = self.books.overview();
-        let below = self.books.boosted_jobs().count();
+        let v = self.service_shares.overview();
+        let below = self.service_shares.boosted_jobs().count();
         let one = |(k, f): (&String, &LargestJobsMetrics)| {
             let (from, begun, waiting) = (f.tasks_from, f.begun, f.waiting);
             let (longest, oldest) = (f.longest_s, f.oldest_s);
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -1,14 +1,11 @@
 //! Scale out: what is rented, of which kind and where; and what becomes of requests.
 
 use super::{MachineKind, PendingRental};
-use crate::ids::{Build, Host, Team, Zone};
-use crate::sched::allowed_zones::AllowedZones;
-use crate::sched::job::Job;
-use crate::sched::machine::{Machine, MachineState};
-use crate::sched::{Effect, HireResult, Resources, Sched};
-use crate::time::{Span, Time};
-use crate::wire::cloud::{Flavor, Hire};
-use std::collections::BTreeMap;
+use crate::sched::Effect;
+use crate::sched::RentalResult;
+use crate::sched::Resources;
+use crate::sched::Scheduler;
+use crate::sched::machine::MachineState;
 
 /// A kind of machine that was refused is not asked for again so soon.
 pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
@@ -62,13 +59,13 @@
     kind: MachineKind,
 }
 
-impl Sched {
+impl Scheduler {
     /// Repeats the rental requests that had no answer, when they are due.
     pub(super) fn repeat_rental_requests(&mut self, now: Time) {
         for request in self.fleet.requests.values_mut() {
             if request.retry_at.is_some_and(|at| now >= at) {
                 request.retry_at = None;
-                self.out.push(Effect::Hire(request.hire.clone()));
+                self.effects.push(Effect::Rent(request.hire.clone()));
             }
         }
     }
@@ -182,7 +179,7 @@
 
     fn request_machines(&mut self, now: Time, kind: MachineKind, machines: f64) {
         // A zone that comes back is rented in by degrees.
-        let open = self.watch.usable_share(now, &kind.zone);
+        let open = self.zone_monitor.usable_share(now, &kind.zone);
         let max = (MAX_MACHINES_PER_REQUEST as f64 * open).ceil() as u32;
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
         self.fleet.last_request_number += 1;
@@ -196,7 +193,7 @@
         };
         tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
             spot = hire.spot, count, "renting");
-        self.out.push(Effect::Hire(hire.clone()));
+        self.effects.push(Effect::Rent(hire.clone()));
         let request = PendingRental {
             hire,
             retry_at: None,
@@ -209,7 +206,8 @@
     /// show all that was rented before this leadership, only jobs that came in since are
     /// rented for.
     fn may_be_rented_already(&self, now: Time, job: &Job) -> bool {
-        job.seq < self.fleet.first_submitted_seq && now < self.began + self.cfg.oldest_list
+        job.seq < self.fleet.first_submitted_seq
+            && now < self.leading_since + self.config.max_list_age
     }
 
     /// What is on its way, by kind: machines that boot or are asked for, and
@@ -218,7 +216,7 @@
         let mut all: BTreeMap<MachineKind, ExpectedCapacity> = BTreeMap::new();
         for request in self.fleet.requests.values() {
             let hire = &request.hire;
-            if self.watch.is_silent(&hire.zone) {
+            if self.zone_monitor.is_silent(&hire.zone) {
                 continue;
             }
             let coming = all.entry(MachineKind::of_request(hire)).or_default();
@@ -227,7 +225,7 @@
         }
         for machine in self.machines.values() {
             // Nothing can be counted on in a zone that is silent.
-            if self.watch.is_silent(&machine.zone) {
+            if self.zone_monitor.is_silent(&machine.zone) {
                 continue;
             }
             let of_machine = self.expected_on_machine(now, machine);
@@ -262,7 +260,7 @@
 
     /// What the tasks of a machine leave before one rented now would be up.
     fn freed_soon(&self, now: Time, machine: &Machine) -> ExpectedCapacity {
-        let soon = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+        let soon = Span::secs(self.boot_s(&machine.build) * self.config.tuning.wait_share);
         let mut freed = Resources::default();
         let mut staying = 0;
         for slot in machine.allocations.values() {
@@ -294,7 +292,7 @@
             demand.is_none_or(|(demand, allowed)| suits(*demand, allowed, kind))
         };
         let mut kinds = vec![];
-        for flavor in self.flavors.values() {
+        for flavor in self.machine_types.values() {
             let tasks = Resources::of_machine_type(flavor).tasks_that_fit(need);
             if tasks == 0 {
                 continue;
@@ -328,7 +326,7 @@
         for zone in flavor
             .zones
             .iter()
-            .filter(|zone| !self.watch.is_silent(zone))
+            .filter(|zone| !self.zone_monitor.is_silent(zone))
         {
             let spot = flavor.spot_price.map(|price| (true, price));
             for (spot, price) in spot.into_iter().chain([(false, flavor.price)]) {
@@ -355,11 +353,13 @@
 
     /// How long a machine of that type boots, in seconds.
     pub(in crate::sched) fn boot_s(&self, build: &Build) -> f64 {
-        self.flavors.get(build).map_or(0.0, |flavor| flavor.boot_s)
+        self.machine_types
+            .get(build)
+            .map_or(0.0, |flavor| flavor.boot_s)
     }
 
     fn tasks_per_machine(&self, kind: &MachineKind, need: &Resources) -> f64 {
-        let flavor = self.flavors.get(&kind.build);
+        let flavor = self.machine_types.get(&kind.build);
         flavor.map_or(0.0, |flavor| {
             Resources::of_machine_type(flavor).tasks_that_fit(need) as f64
         })
@@ -396,7 +396,7 @@
         let kinds = self.kinds_for(now, &least_task, None, &self.machines_by_zone());
         let mut kinds = kinds.into_iter().map(|priced| priced.kind);
         let kind = kinds.find(|kind| !plain || !kind.spot)?;
-        let whole = Resources::of_machine_type(self.flavors.get(&kind.build)?);
+        let whole = Resources::of_machine_type(self.machine_types.get(&kind.build)?);
         let lacking = if plain {
             keep.plain.minus(&free.plain)
         } else {
@@ -406,10 +406,15 @@
     }
 
     /// The cloud's answer to a rental request.
-    pub(in crate::sched) fn rental_answered(&mut self, now: Time, hire: Hire, result: HireResult) {
+    pub(in crate::sched) fn rental_answered(
+        &mut self,
+        now: Time,
+        hire: Hire,
+        result: RentalResult,
+    ) {
         let kind = MachineKind::of_request(&hire);
         match result {
-            HireResult::Ok(hosts) => {
+            RentalResult::Ok(hosts) => {
                 self.fleet.requests.remove(&hire.name);
                 let rented = hosts.len() as u32;
                 if rented < hire.count {
@@ -426,19 +431,19 @@
                     self.rent(now);
                 }
             }
-            HireResult::NoCapacity => {
+            RentalResult::NoCapacity => {
                 tracing::info!(request = %hire.name, zone = %hire.zone, spot = hire.spot, "none to rent");
                 self.fleet.requests.remove(&hire.name);
                 self.fleet.refused.insert(kind, now);
                 // The next kind is asked for at once.
                 self.rent(now);
             }
-            HireResult::Invalid => {
+            RentalResult::Invalid => {
                 tracing::warn!(request = %hire.name, "rental request refused as invalid");
                 self.fleet.requests.remove(&hire.name);
                 self.fleet.refused.insert(kind, now);
             }
-            HireResult::Busy | HireResult::Unclear => {
+            RentalResult::Busy | RentalResult::Unclear => {
                 if let Some(request) = self.fleet.requests.get_mut(&hire.name) {
                     request.retries += 1;
                     let delay_s = request.retries.min(MAX_RETRY_DELAY_S);
@@ -450,7 +455,7 @@
 
     fn add_rented(&mut self, now: Time, host: Host, hire: &Hire) {
         let token = self.base_token();
-        let flavor = self.flavors.get(&hire.build);
+        let flavor = self.machine_types.get(&hire.build);
         let machine = self.machines.entry(host.clone()).or_insert_with(|| {
             let (build, zone) = (hire.build.clone(), hire.zone.clone());
             let mut machine = Machine::new(host, build, zone, hire.spot, now, token);
@@ -478,3 +483,11 @@
         && (spec.spot || !kind.spot)
         && allowed.contains(&kind.zone)
 }
+
+use crate::ids::{Build, Host, Team, Zone};
+use crate::sched::allowed_zones::AllowedZones;
+use crate::sched::job::Job;
+use crate::sched::machine::{Life, Machine};
+use crate::time::{Span, Time};
+use crate::wire::cloud::{Flavor, Hire};
+use std::collections::BTreeMap;
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -1,9 +1,9 @@
 //! Gang scheduling: room for all tasks is held before the first starts, one attempt
 //! number serves all, and they end together.
 
-use super::Sched;
+use super::Scheduler;
 use super::fleet::Shortage;
-use super::job::{Job, Live, Phase};
+use super::job::{ActiveAttempt, Job, Phase};
 use super::machine::{ENDLESS, Machine, MachineState};
 use super::order::Order;
 use super::place::{Candidate, JobView, Score, may_run_on};
@@ -44,7 +44,7 @@
     hosts: Vec<Host>,
 }
 
-impl Sched {
+impl Scheduler {
     /// Starts the whole gang, or a lost member of one that still waits.
     /// Answers what found no room.
     pub(super) fn place_gang(
@@ -64,7 +64,7 @@
         {
             return None;
         }
-        if let Some(live) = job.live.values().next() {
+        if let Some(live) = job.active.values().next() {
             let attempt = live.attempt;
             if !takes_replacement(job, attempt) {
                 return None;
@@ -200,14 +200,15 @@
         for machine in self.machines.values() {
             let kept =
                 held.contains(&machine.host) && !(overdue && machine.reservation_expired(now));
-            if !may_run_on(&job.spec, machine) || kept || self.watch.is_silent(&machine.zone) {
+            if !may_run_on(&job.spec, machine) || kept || self.zone_monitor.is_silent(&machine.zone)
+            {
                 continue;
             }
             if let Some(soon_free) = self.soon_free(now, job, machine) {
                 zones.entry(&machine.zone).or_default().push(soon_free);
             }
         }
-        let rentable = self.flavors.values().flat_map(|flavor| &flavor.zones);
+        let rentable = self.machine_types.values().flat_map(|flavor| &flavor.zones);
         let wanted = |zone: &&Zone| job.spec.zone.as_ref().is_none_or(|only| only == *zone);
         for zone in rentable.filter(wanted) {
             zones.entry(zone).or_default();
@@ -233,7 +234,7 @@
         if free > 0 {
             return Some(soon_free(Span::ZERO, free));
         }
-        let boot = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+        let boot = Span::secs(self.boot_s(&machine.build) * self.config.tuning.wait_share);
         let empty_after = machine
             .remaining_range(now)
             .map_or(Span::ZERO, |(_, high)| high);
@@ -254,7 +255,7 @@
         if job.spec.kind != Kind::Gang {
             return;
         }
-        if job.live.is_empty() {
+        if job.active.is_empty() {
             job.gang_ran = false;
         } else if job.gang_ran {
             self.stop_members(now, id, 0.0);
@@ -274,7 +275,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let going_on = job.live.iter().filter(|(_, live)| live.stop.is_none());
+        let going_on = job.active.iter().filter(|(_, live)| live.stop.is_none());
         let tasks: Vec<_> = going_on.map(|(task, _)| *task).collect();
         for task in tasks {
             self.stop_attempt(now, id, task, leeway_s);
@@ -286,9 +287,10 @@
 /// on machines must be gone first.
 fn takes_replacement(job: &Job, attempt: Attempt) -> bool {
     // After a failover it isn't known yet whether it waits or has run.
-    let known = |live: &Live| !(live.sent && live.phase == Phase::Placed);
-    let waits = |live: &Live| live.stop.is_none() && live.attempt == attempt && known(live);
-    !job.gang_ran && job.live.values().all(waits)
+    let known = |live: &ActiveAttempt| !(live.run_sent && live.phase == Phase::Placed);
+    let waits =
+        |live: &ActiveAttempt| live.stop.is_none() && live.attempt == attempt && known(live);
+    !job.gang_ran && job.active.values().all(waits)
 }
 
 /// Fills the machines in their order, those of one zone if it is given; none if they do
--- a/src/sched/headroom.rs
+++ b/src/sched/headroom.rs
@@ -1,9 +1,10 @@
 //! Room that is kept free for classes that want quick starts, sized from what
 //! arrived lately, and what there is above it.
 
+use super::Resources;
+use super::Scheduler;
 use super::job::Job;
 use super::machine::Machine;
-use super::{Resources, Sched};
 use crate::ids::Class;
 use crate::time::{Span, Time};
 use std::collections::{HashMap, VecDeque};
@@ -106,26 +107,29 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Classes with an aim for waiting that renting is too slow for. Known
     /// once the machine types are.
     pub(super) fn update_quick_classes(&mut self) {
-        let boots = self.flavors.values().map(|f| f.boot_s * FASTEST_BOOT_SHARE);
+        let boots = self
+            .machine_types
+            .values()
+            .map(|f| f.boot_s * FASTEST_BOOT_SHARE);
         let boot = boots.fold(f64::INFINITY, f64::min);
-        let waits = self.cfg.objectives.iter().filter(|o| o.kind == "wait");
-        self.quick = waits
+        let waits = self.config.objectives.iter().filter(|o| o.kind == "wait");
+        self.fast_start_classes = waits
             .filter(|o| boot.is_finite() && o.within_s.is_some_and(|s| s < boot))
             .filter_map(|o| o.class.clone())
             .collect();
     }
 
     pub(super) fn is_quick(&self, class: &Class) -> bool {
-        self.quick.contains(class)
+        self.fast_start_classes.contains(class)
     }
 
     /// Room kept free for quick classes.
     pub(super) fn headroom(&self, now: Time) -> FreeCapacity {
-        self.arrivals.headroom(now, self.cfg.tuning.headroom)
+        self.arrivals.headroom(now, self.config.tuning.headroom)
     }
 
     /// All room that is free now.
--- a/src/sched/heartbeats.rs
+++ b/src/sched/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Answers to workers' heartbeats: who is entitled to one, and when it leaves.
 
-use super::Sched;
+use super::Scheduler;
 use super::machine::{Machine, MachineState, SentAnswer};
 use super::report_reconciliation::{Delivery, ReportSource};
 use crate::ids::{Host, Label, ReqId, Seq, Session};
@@ -26,7 +26,7 @@
     newest: bool,
 }
 
-impl Sched {
+impl Scheduler {
     /// Takes a heartbeat, which came by way of the controller `via` if not directly,
     /// and answers it now or holds the answer back.
     pub(super) fn handle_heartbeat(
@@ -66,7 +66,7 @@
         }
         if newest && self.should_hold_answer(now, &host, freed) {
             self.reports_held += 1;
-            self.held.insert(host, beat);
+            self.held_heartbeats.insert(host, beat);
         } else {
             self.answer_heartbeat(now, &host, beat);
         }
@@ -80,12 +80,15 @@
     /// A worker has one heartbeat in flight, so it has given up an earlier one that
     /// still waits for its answer. False if a newer one waits: then this is a copy.
     fn supersedes_waiting(&mut self, host: &Host, beat: &PendingHeartbeat) -> bool {
-        let waiting = self.held.get(host).or(self.at_fence.get(host));
+        let waiting = self
+            .held_heartbeats
+            .get(host)
+            .or(self.fenced_heartbeats.get(host));
         if waiting.is_some_and(|waiting| waiting.position >= beat.position) {
             return false;
         }
-        let earlier = self.held.remove(host);
-        if let Some(earlier) = earlier.or_else(|| self.at_fence.remove(host)) {
+        let earlier = self.held_heartbeats.remove(host);
+        if let Some(earlier) = earlier.or_else(|| self.fenced_heartbeats.remove(host)) {
             self.answer(earlier.req, Answer::later("a newer report is here", 1));
         }
         true
@@ -136,13 +139,13 @@
             self.reports_refused += 1;
             return self.answer(beat.req, Answer::later("its zone is being taken back", 1));
         }
-        self.at_fence.insert(host.clone(), beat);
+        self.fenced_heartbeats.insert(host.clone(), beat);
     }
 
     /// Answers that waited at a fence: those whose zone is open, and those that
     /// have waited for too long.
     pub(super) fn answer_fenced_heartbeats(&mut self, now: Time) {
-        for (host, beat) in std::mem::take(&mut self.at_fence) {
+        for (host, beat) in std::mem::take(&mut self.fenced_heartbeats) {
             self.answer_heartbeat(now, &host, beat);
         }
     }
@@ -150,27 +153,28 @@
     /// What the worker is to do next will be known in a moment: its answer can
     /// wait for that, which saves a direct call and further heartbeats.
     fn should_hold_answer(&self, now: Time, host: &Host, freed: bool) -> bool {
-        if self.cfg.hold == Span::ZERO || !self.may_start(now) {
+        if self.config.heartbeat_hold == Span::ZERO || !self.may_start(now) {
             return false;
         }
         let able =
             |machine: &Machine| machine.state == MachineState::Up && machine.direct_call.is_none();
-        let waits = self.unsent.contains(host) || freed && !self.fleet.shortages.is_empty();
+        let waits = self.machines_with_unsent_runs.contains(host)
+            || freed && !self.fleet.shortages.is_empty();
         waits && self.machines.get(host).is_some_and(able)
     }
 
     /// Answers to heartbeats that need not, or may not, wait any longer; `passed`: a
     /// placement pass has just ended.
     pub(super) fn answer_held_heartbeats(&mut self, now: Time, passed: bool) {
-        let hold = self.cfg.hold;
-        let unsent = &self.unsent;
+        let hold = self.config.heartbeat_hold;
+        let unsent = &self.machines_with_unsent_runs;
         let due = |(host, beat): (&Host, &PendingHeartbeat)| {
             let idle = passed && !unsent.contains(host);
             (idle || now - beat.received_at >= hold).then(|| host.clone())
         };
-        let hosts: Vec<Host> = self.held.iter().filter_map(due).collect();
+        let hosts: Vec<Host> = self.held_heartbeats.iter().filter_map(due).collect();
         for host in hosts {
-            if let Some(beat) = self.held.remove(&host) {
+            if let Some(beat) = self.held_heartbeats.remove(&host) {
                 self.answer_heartbeat(now, &host, beat);
             }
         }
@@ -178,8 +182,12 @@
 
     /// When the next held answer is due.
     pub(super) fn next_held_deadline(&self) -> Option<Time> {
-        let first = self.held.values().map(|beat| beat.received_at).min();
-        first.map(|since| since + self.cfg.hold)
+        let first = self
+            .held_heartbeats
+            .values()
+            .map(|beat| beat.received_at)
+            .min();
+        first.map(|since| since + self.config.heartbeat_hold)
     }
 }
 
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -7,15 +7,17 @@
 //! decision for a single task, made from scratch: it serves jobs whose tasks
 //! bear on each other's zones, and the tests hold the pass against it.
 
+use super::Resources;
+use super::Scheduler;
 use super::allowed_zones::AllowedZones;
 use super::attempt_places::AttemptPlace;
+use super::estimate;
 use super::fleet::Shortage;
 use super::headroom::FreeCapacity;
-use super::job::{Job, Live, Phase};
+use super::job::{ActiveAttempt, Job, Phase};
 use super::machine::{Allocation, ENDLESS, Machine};
 use super::order::{Order, Turn};
 use super::records::Purpose;
-use super::{Resources, Sched, estimate};
 use crate::ids::{Attempt, Host, JobId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use crate::wire::user::{JobSpec, Kind};
@@ -53,7 +55,7 @@
     pub reserved: bool,
 }
 
-impl Sched {
+impl Scheduler {
     /// One pass over all that waits, or as much of it as one pass may judge: with
     /// 600 jobs waiting it once took a second, in which nobody was answered. The
     /// next one goes on where this one stopped, after the urgent.
@@ -63,8 +65,8 @@
         let mut short = vec![];
         let mut held = BTreeSet::new();
         let mut rest = &served[..];
-        let until = self.judged.get() + MAX_SCORED_PER_PASS;
-        while !rest.is_empty() && self.judged.get() < until {
+        let until = self.machines_evaluated.get() + MAX_SCORED_PER_PASS;
+        while !rest.is_empty() && self.machines_evaluated.get() < until {
             // What must be settled before the next is looked at goes by itself.
             let alone = |t: &Turn| self.jobs.get(&t.job).is_some_and(is_placed_individually);
             let n = rest.iter().position(alone).unwrap_or(rest.len());
@@ -97,16 +99,16 @@
         );
         self.fleet.shortages = short;
         // Where those ahead take the whole pass, the next one does without them.
-        self.stuck = !rest.is_empty() && ahead > 0 && rest.len() + ahead >= served.len();
-        if !self.stuck {
-            self.goes_on_at = rest.first().map(|t| t.job.clone());
+        self.pass_stalled = !rest.is_empty() && ahead > 0 && rest.len() + ahead >= served.len();
+        if !self.pass_stalled {
+            self.resume_pass_at = rest.first().map(|t| t.job.clone());
         }
         for m in self.machines.values_mut() {
             let kept = held.contains(&m.host);
             m.reserved_for_gangs_since = kept.then(|| m.reserved_for_gangs_since.unwrap_or(now));
         }
-        if now >= self.preempt_at {
-            self.preempt_at = now + PREEMPTION_INTERVAL;
+        if now >= self.next_preemption_at {
+            self.next_preemption_at = now + PREEMPTION_INTERVAL;
             self.preempt(now, &order);
         }
     }
@@ -131,12 +133,12 @@
             if left == 0 {
                 break;
             }
-            if self.judged.get() >= until {
+            if self.machines_evaluated.get() >= until {
                 return (None, false);
             }
             // Where the first of its tasks is, all others have to be, and what one
             // of them takes closes no zone for the next.
-            if j.spec.one_zone && !j.spec.spread && !j.live.is_empty() {
+            if j.spec.one_zone && !j.spec.spread && !j.active.is_empty() {
                 return self.place_beside_others(now, id, held, order, until);
             }
             let Some(host) = self.choose(now, id, held, order) else {
@@ -182,7 +184,7 @@
         }
         let mut planner = Planner::new(self, now, turns, held, order);
         for turn in turns {
-            if self.judged.get() >= until {
+            if self.machines_evaluated.get() >= until {
                 break;
             }
             planner.serve(turn);
@@ -200,9 +202,9 @@
         order: &Order,
         m: &Machine,
     ) -> bool {
-        let judged = self.judged.get();
+        let judged = self.machines_evaluated.get();
         let plain = self.choose(now, id, held, order);
-        self.judged.set(judged);
+        self.machines_evaluated.set(judged);
         plain.as_ref() == Some(&m.host)
     }
 
@@ -250,7 +252,9 @@
 
     /// A machine that has been silent for longer takes nothing new.
     pub(super) fn max_heartbeat_age(&self) -> Span {
-        Span::secs(self.cfg.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_S)
+        Span::secs(
+            self.config.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_S,
+        )
     }
 
     pub(super) fn start(&mut self, now: Time, id: &JobId, host: &Host, attempt: Option<Attempt>) {
@@ -262,8 +266,8 @@
         let Some(ix) = j.take_pending() else { return };
         let est = estimate::of(j);
         let part = j.part_of(ix);
-        let quick = self.quick.contains(&j.spec.class);
-        self.books.task_started(id, ix);
+        let quick = self.fast_start_classes.contains(&j.spec.class);
+        self.service_shares.task_started(id, ix);
         let purpose = if quick { Purpose::Now } else { Purpose::Start };
         let machine = self.machines.get(host);
         let place = machine.map(|m| AttemptPlace {
@@ -271,21 +275,21 @@
             build: m.build.clone(),
             spot: m.spot,
         });
-        let ver = j.touch(part, &mut self.dirty, purpose);
-        j.live.insert(
+        let ver = j.mark_changed(part, &mut self.write_queue, purpose);
+        j.active.insert(
             ix,
-            Live {
+            ActiveAttempt {
                 attempt,
                 host: host.clone(),
                 place,
-                ver,
+                required_version: ver,
                 phase: Phase::Placed,
                 placed: now,
                 placed_wall: wall,
                 running_since: None,
                 inherited: false,
-                told: None,
-                sent: false,
+                run_sent_in: None,
+                run_sent: false,
                 stop: None,
                 timed_out: false,
             },
@@ -304,14 +308,14 @@
             };
             m.allocations.insert(task_id(id, ix), slot);
         }
-        self.unsent.insert(host.clone());
+        self.machines_with_unsent_runs.insert(host.clone());
         tracing::debug!(job = %id, class = %j.spec.class, task = %ix, %host, holds_image, "placed");
     }
 }
 
 /// Serves jobs in their order, and keeps account of what is left for the next.
 struct Planner<'a> {
-    sched: &'a Sched,
+    sched: &'a Scheduler,
     now: Time,
     order: &'a Order,
     held: &'a BTreeSet<Host>,
@@ -330,7 +334,7 @@
 
 impl<'a> Planner<'a> {
     fn new(
-        sched: &'a Sched,
+        sched: &'a Scheduler,
         now: Time,
         turns: &'a [Turn],
         held: &'a BTreeSet<Host>,
@@ -452,7 +456,7 @@
 }
 
 /// The machines that have room, but for those kept free for a gang.
-fn candidates<'a>(sched: &'a Sched, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
+fn candidates<'a>(sched: &'a Scheduler, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
     let fresh = sched.max_heartbeat_age();
     let mut candidates = vec![];
     for machine in sched
@@ -510,13 +514,13 @@
 
 impl<'a> JobView<'a> {
     pub(super) fn of(
-        s: &'a Sched,
+        s: &'a Scheduler,
         now: Time,
         j: &'a Job,
         order: &Order,
         can_rent: bool,
     ) -> JobView<'a> {
-        let t = &s.cfg.tuning;
+        let t = &s.config.tuning;
         let est = estimate::of(j);
         let quick = s.is_quick(&j.spec.class);
         let spares_plain = j.spec.spot && order.ordinary_machines_wanted;
@@ -529,7 +533,7 @@
             waited_too_long: j.waited_too_long(now),
             waited_without_start: j.waited_without_start(now),
             image_first: quick,
-            scored: &s.judged,
+            scored: &s.machines_evaluated,
             // What can't wait for a machine to boot does not rent one.
             can_rent: can_rent && !quick && !j.waited_too_long(now),
             failed_all: j.error_hosts.len() >= s.machines.len(),
--- a/src/sched/reachability.rs
+++ b/src/sched/reachability.rs
@@ -13,8 +13,8 @@
 //! tell it all there is to tell. What it has is gone by the usual proofs: a later
 //! session, the release carried out, a lease that expired since the last 200.
 
-use super::Sched;
-use super::job::{Live, Phase};
+use super::Scheduler;
+use super::job::{ActiveAttempt, Phase};
 use super::machine::{Machine, SentAnswer};
 use crate::ids::{Host, TaskId, Token};
 use crate::time::{Span, Time};
@@ -74,7 +74,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Notes what a heartbeat shows of the answer to the one before; `shown`: the
     /// attempts of ours on it.
     pub(super) fn check_answer_effect(
@@ -120,7 +120,7 @@
 
     /// Whether the last answer should have kept the worker's lease up.
     fn answered_in_time(&self, now: Time, host: &Host) -> bool {
-        let lease = Span::secs(self.cfg.workers.lease_s).shrunk() - MAX_ANSWER_DELAY;
+        let lease = Span::secs(self.config.workers.lease_s).shrunk() - MAX_ANSWER_DELAY;
         let machine = self.machines.get(host);
         machine.is_some_and(|machine| now < machine.last_renewal + lease)
     }
@@ -132,12 +132,14 @@
         answer: SentAnswer,
         shown: &BTreeSet<TaskId>,
     ) -> bool {
-        let waits = |live: &Live| live.phase == Phase::Placed && live.told == Some(answer.seq);
+        let waits = |live: &ActiveAttempt| {
+            live.phase == Phase::Placed && live.run_sent_in == Some(answer.seq)
+        };
         let begun = |task: &TaskId| {
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.live.get(&task.ix));
+                .and_then(|job| job.active.get(&task.ix));
             !live.is_some_and(waits) || shown.contains(task)
         };
         let machine = self.machines.get(host);
@@ -158,7 +160,7 @@
         for task in tasks {
             if self
                 .active_attempt_mut(&task)
-                .is_some_and(|live| !live.sent)
+                .is_some_and(|live| !live.run_sent)
             {
                 self.attempt_gone(now, &task);
             }
@@ -169,7 +171,7 @@
     /// heartbeats show says nothing of them: a flood of jobs must not make most of a
     /// fleet count as unreachable.
     pub(super) fn answers_are_timely(&self, now: Time) -> bool {
-        now - self.behind > RECOVERY_AFTER_OVERLOAD
+        now - self.overloaded_at > RECOVERY_AFTER_OVERLOAD
     }
 
     /// Something on the machine is to end: what was stopped or is no longer ours,
@@ -183,7 +185,7 @@
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.live.get(&task.ix));
+                .and_then(|job| job.active.get(&task.ix));
             live.is_some_and(|live| live.stop.is_some() || live.phase == Phase::Placed)
         };
         let running_strays = machine.unknown_attempts.values().any(|ended| !ended);
--- a/src/sched/wait_limits.rs
+++ b/src/sched/wait_limits.rs
@@ -5,7 +5,7 @@
 //! [`PATIENCE`] is bound by none of them, so that it is left waiting for no more
 //! than 90 s.
 
-use super::Sched;
+use super::Scheduler;
 use super::job::Job;
 use super::machine::{Allocation, Machine};
 use crate::time::{Span, Time};
@@ -30,13 +30,13 @@
 
     /// The same, and nothing of it was started meanwhile.
     pub(super) fn waited_without_start(&self, now: Time) -> bool {
-        let started = self.live.values().map(|l| l.placed).max();
+        let started = self.active.values().map(|l| l.placed).max();
         self.waited_too_long(now) && started.is_none_or(|t| now - t >= MAX_RULE_WAIT)
     }
 
     /// One of its tasks runs as it should, whatever failed before.
     pub(super) fn has_healthy_task(&self, now: Time) -> bool {
-        let since = self.live.values().filter_map(|l| l.running_since);
+        let since = self.active.values().filter_map(|l| l.running_since);
         since.min().is_some_and(|t| now - t >= HEALTHY_RUN_TIME)
     }
 }
@@ -69,7 +69,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Since when each job waits.
     pub(super) fn update_waiting_since(&mut self, now: Time) {
         for j in self.jobs.values_mut() {
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -2,18 +2,16 @@
 //! machines, and gives back those of a lost zone whose work is worth starting
 //! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
 
+use super::Config;
+use super::Resources;
+use super::Scheduler;
+use super::estimate;
 use super::fleet::boot_timeout;
-use super::job::{Job, Live, Phase};
-use super::machine::{Machine, MachineState};
-use super::{Config, Resources, Sched, estimate};
-use crate::ids::{Host, Label, TaskId, Zone};
-use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
-use hookworks_zones::{
-    AttemptAtRisk, AttemptKind, Budget, Change, Evidence, LostMachine, State, Zones, plan_releases,
-};
-use serde::Serialize;
-use std::collections::{BTreeMap, HashSet};
+use super::machine::MachineState;
+use hookworks_zones::AttemptAtRisk;
+use hookworks_zones::AttemptKind;
+use hookworks_zones::LostMachine;
+use hookworks_zones::plan_releases;
 
 /// What is worth moving is looked into so often.
 const PLAN_INTERVAL: Span = Span(1_000_000);
@@ -88,7 +86,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// New evidence of all zones, and what follows from it.
     pub(super) fn update_zones(&mut self, now: Time) {
         // A leader that can't prove that it is one may be cut off itself.
@@ -96,17 +94,17 @@
             return;
         }
         let seen = self.collect_evidence(now);
-        for c in self.watch.zones.update(now, seen) {
+        for c in self.zone_monitor.zones.update(now, seen) {
             self.zone_changed(now, &c);
         }
-        if !self.watch.act_on_verdicts {
+        if !self.zone_monitor.act_on_verdicts {
             return;
         }
-        if self.watch.zones.any_unhealthy() || self.machines.values().any(|m| m.closed) {
+        if self.zone_monitor.zones.any_unhealthy() || self.machines.values().any(|m| m.closed) {
             self.close_and_reopen_machines(now);
         }
-        if now >= self.watch.next_plan_at {
-            self.watch.next_plan_at = now + PLAN_INTERVAL;
+        if now >= self.zone_monitor.next_plan_at {
+            self.zone_monitor.next_plan_at = now + PLAN_INTERVAL;
             self.release_from_lost_zones(now);
         }
     }
@@ -116,33 +114,35 @@
         tracing::info!(zone = %c.zone, from = c.from.as_str(), to = c.to.as_str(),
             lasted_s = c.previous_duration.as_secs(), machines = e.machines, overdue = e.overdue,
             controllers = e.controllers, away = e.unreachable_controllers, unanswered = e.failed_calls,
-            late_boots = e.overdue_boots, tally = ?self.watch.tally.get(&c.zone), "zone");
+            late_boots = e.overdue_boots, tally = ?self.zone_monitor.tally.get(&c.zone), "zone");
         if c.to == State::Doubt && c.from == State::Well {
-            self.watch.tally.insert(c.zone.clone(), Tally::default());
+            self.zone_monitor
+                .tally
+                .insert(c.zone.clone(), Tally::default());
         }
-        let quiet = self.watch.zones.limits().quiet_after;
+        let quiet = self.zone_monitor.zones.limits().quiet_after;
         let heard = e.last_heard.is_some_and(|t| now - t < quiet);
-        if self.watch.act_on_verdicts && c.to.silent() && !heard {
+        if self.zone_monitor.act_on_verdicts && c.to.silent() && !heard {
             self.raise_fence(now, &c.zone);
         }
         self.replan = true;
     }
 
     fn collect_evidence(&mut self, now: Time) -> BTreeMap<Zone, Evidence> {
-        let late = self.watch.zones.limits().overdue_after();
+        let late = self.zone_monitor.zones.limits().overdue_after();
         let mut all: BTreeMap<Zone, Evidence> = BTreeMap::new();
-        for f in self.flavors.values() {
+        for f in self.machine_types.values() {
             for z in &f.zones {
                 all.entry(z.clone()).or_default();
             }
         }
-        for (label, z) in &self.watch.controllers {
+        for (label, z) in &self.zone_monitor.controllers {
             let e = all.entry(z.clone()).or_default();
             e.controllers += 1;
             let away = self.fleet.unreachable_controllers.get(label);
             e.unreachable_controllers += away.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
         }
-        for (z, n) in std::mem::take(&mut self.watch.failed_calls) {
+        for (z, n) in std::mem::take(&mut self.zone_monitor.failed_calls) {
             all.entry(z).or_default().failed_calls += n;
         }
         for m in self.machines.values() {
@@ -160,10 +160,10 @@
                 MachineState::Up => {
                     e.machines += 1;
                     e.reported += m.last_report.is_some() as u32;
-                    let gone = self.watch.zones.last_heard_before_outage(&m.zone);
+                    let gone = self.zone_monitor.zones.last_heard_before_outage(&m.zone);
                     e.returned += gone.is_some_and(|t| m.last_contact > t) as u32;
                     e.last_heard = e.last_heard.max(m.last_report);
-                    if now - m.last_contact.max(self.awake) > late {
+                    if now - m.last_contact.max(self.resumed_at) > late {
                         e.overdue += 1;
                         e.overdue_last_heard = Some(match e.overdue_last_heard {
                             None => (m.last_contact, m.last_contact),
@@ -179,14 +179,14 @@
 
     /// It should have come up long ago.
     fn is_boot_overdue(&self, now: Time, m: &Machine) -> bool {
-        let boot = self.flavors.get(&m.build).map_or(60.0, |f| f.boot_s);
+        let boot = self.machine_types.get(&m.build).map_or(60.0, |f| f.boot_s);
         now - m.rented_at > boot_timeout(boot)
     }
 
     /// Machines of zones in trouble take nothing new; those of one that comes
     /// back open by degrees, as they are heard.
     fn close_and_reopen_machines(&mut self, now: Time) {
-        let zones = &self.watch.zones;
+        let zones = &self.zone_monitor.zones;
         // How many of each zone that comes back may be open.
         let mut most: BTreeMap<&Zone, usize> = BTreeMap::new();
         for m in self
@@ -239,7 +239,7 @@
             // It had no chance to be anything but idle.
             m.idle_since = now;
             let (z, n) = (m.zone.clone(), m.allocations.len() as u64);
-            self.watch.tally.entry(z).or_default().returned += n;
+            self.zone_monitor.tally.entry(z).or_default().returned += n;
             self.replan = true;
         }
         for h in closed {
@@ -256,7 +256,7 @@
         m.closed = true;
         let tasks: Vec<TaskId> = m.allocations.keys().cloned().collect();
         for t in tasks {
-            if self.active_attempt_mut(&t).is_some_and(|l| !l.sent) {
+            if self.active_attempt_mut(&t).is_some_and(|l| !l.run_sent) {
                 self.attempt_gone(now, &t);
             }
         }
@@ -264,7 +264,7 @@
 
     /// Gives back what is better started elsewhere, as far as that can be.
     fn release_from_lost_zones(&mut self, now: Time) {
-        let zones = &self.watch.zones;
+        let zones = &self.zone_monitor.zones;
         let lost: Vec<(Zone, Span)> = zones
             .views(now)
             .into_iter()
@@ -306,7 +306,7 @@
                 m.state = MachineState::Leaving { next: now };
                 tracing::info!(host = %h, %zone, tasks = m.allocations.len(), "given back for its work");
             }
-            let t = self.watch.tally.entry(zone).or_default();
+            let t = self.zone_monitor.tally.entry(zone).or_default();
             t.moved += moved;
         }
     }
@@ -315,7 +315,7 @@
         let lease = self.lease_bound();
         let stake = |t: &TaskId| {
             let j = self.jobs.get(&t.job)?;
-            let l = j.live.get(&t.ix)?;
+            let l = j.active.get(&t.ix)?;
             Some(self.attempt_at_risk(now, m, j, l))
         };
         LostMachine {
@@ -326,7 +326,7 @@
         }
     }
 
-    fn attempt_at_risk(&self, now: Time, m: &Machine, j: &Job, l: &Live) -> AttemptAtRisk {
+    fn attempt_at_risk(&self, now: Time, m: &Machine, j: &Job, l: &ActiveAttempt) -> AttemptAtRisk {
         let size = j.need.dominant_share_of(&m.capacity);
         let est = estimate::of(j);
         let ran = match (l.phase, l.running_since) {
@@ -344,7 +344,7 @@
         // A gang goes on only as a whole: one that has lost a member, or is
         // being stopped, waits for nothing but the proof of the others' end.
         let whole =
-            j.live.len() as u32 == j.spec.tasks && j.live.values().all(|l| l.stop.is_none());
+            j.active.len() as u32 == j.spec.tasks && j.active.values().all(|l| l.stop.is_none());
         let standing = match j.spec.kind {
             Kind::Service => AttemptKind::Replica,
             Kind::Gang if !whole || l.stop.is_some() => AttemptKind::BrokenGang,
@@ -385,7 +385,7 @@
             free += m.free().at_least_zero();
             whole += m.capacity;
             n += 1;
-            let soon = Span::secs(self.boot_s(&m.build) * self.cfg.tuning.wait_share);
+            let soon = Span::secs(self.boot_s(&m.build) * self.config.tuning.wait_share);
             within = within.max(soon);
             for (t, s) in &m.allocations {
                 if s.remaining(now) < soon {
@@ -413,18 +413,23 @@
 
     /// Until when the lease of a worker may run, counted from the last answer.
     pub(super) fn lease_bound(&self) -> Span {
-        self.cfg.workers.lease_bound()
+        self.config.workers.lease_bound()
     }
 
     /// Machines of a zone in trouble are not given up for their silence: while
     /// it lasts, and for as long as others in their place would cost more.
     pub(super) fn retains_zone(&self, now: Time, z: &Zone) -> bool {
-        let keep = self.watch.zones.limits().retain_for;
-        self.watch.is_silent(z) && self.watch.zones.silent_for(now, z) < keep
+        let keep = self.zone_monitor.zones.limits().retain_for;
+        self.zone_monitor.is_silent(z) && self.zone_monitor.zones.silent_for(now, z) < keep
     }
 
     pub(super) fn retained_zones(&self, now: Time) -> HashSet<Zone> {
-        let all = self.watch.zones.views(now).into_iter().map(|v| v.zone);
+        let all = self
+            .zone_monitor
+            .zones
+            .views(now)
+            .into_iter()
+            .map(|v| v.zone);
         all.filter(|z| self.retains_zone(now, z)).collect()
     }
 
@@ -450,7 +455,7 @@
             }
             c.shut += m.closed as u32;
             c.tasks += m.allocations.len();
-            if self.watch.is_silent(&m.zone) {
+            if self.zone_monitor.is_silent(&m.zone) {
                 c.tasks_out_of_reach += m.allocations.len();
             }
         }
@@ -462,10 +467,15 @@
         let one = |v: hookworks_zones::View| {
             let mut o = serde_json::json!(v);
             o["work"] = serde_json::json!(counts.get(&v.zone));
-            o["since_trouble"] = serde_json::json!(self.watch.tally.get(&v.zone));
+            o["since_trouble"] = serde_json::json!(self.zone_monitor.tally.get(&v.zone));
             o
         };
-        self.watch.zones.views(now).into_iter().map(one).collect()
+        self.zone_monitor
+            .zones
+            .views(now)
+            .into_iter()
+            .map(one)
+            .collect()
     }
 }
 
@@ -473,3 +483,12 @@
 fn may_be_preempted(j: &Job) -> bool {
     j.spec.kind == Kind::Array && j.priority() > Priority::High
 }
+
+use super::job::{ActiveAttempt, Job, Phase};
+use super::machine::{Life, Machine};
+use crate::ids::{Host, Label, TaskId, Zone};
+use crate::time::{Span, Time};
+use crate::wire::user::{Kind, Priority};
+use hookworks_zones::{Budget, Case, Change, Evidence, Stake, Standing, State, Zones, plan};
+use serde::Serialize;
+use std::collections::{BTreeMap, HashSet};
