--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -1,7 +1,18 @@
 //! How this controller gains and loses the leadership.
 
 use super::state_loading::{self, LoadedState};
+use super::threads::cloud::CloudRequest;
+use super::threads::election::ElectionCommand;
 use super::{Leadership, Node, Role};
+use crate::election::{ElectionOutcome, LeaderRecord};
+use crate::ids::{Epoch, Label, ReqId, Stamp};
+use crate::sched::{Config, Event, Scheduler};
+use crate::store::commit::Committer;
+use crate::time::{Span, Time, wall};
+use crate::versions::Switch;
+use crate::wire::peer::Answer;
+use hookworks_listing::Board;
+use std::sync::atomic::Ordering;
 
 /// After a placement pass, other work gets this multiple of the pass's duration before
 /// the next pass.
@@ -194,15 +205,3 @@
         }
     }
 }
-
-use super::threads::cloud::CloudRequest;
-use super::threads::election::ElectionCommand;
-use crate::election::{ElectionOutcome, LeaderRecord};
-use crate::ids::{Epoch, Label, ReqId, Stamp};
-use crate::sched::{Config, Event, Scheduler};
-use crate::store::commit::Committer;
-use crate::time::{Span, Time, wall};
-use crate::versions::Switch;
-use crate::wire::peer::Answer;
-use hookworks_listing::Board;
-use std::sync::atomic::Ordering;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,5 @@
 //! The controller process: its threads, and the main loop that owns all state.
+
 pub mod balance;
 mod health;
 pub mod inbox;
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -1,11 +1,14 @@
 //! Scale out: what is rented, of which kind and where; and what becomes of requests.
 
 use super::{MachineKind, PendingRental};
-use crate::sched::Effect;
-use crate::sched::RentalResult;
-use crate::sched::Resources;
-use crate::sched::Scheduler;
-use crate::sched::machine::MachineState;
+use crate::ids::{Build, Host, Team, Zone};
+use crate::sched::allowed_zones::AllowedZones;
+use crate::sched::job::Job;
+use crate::sched::machine::{Machine, MachineState};
+use crate::sched::{Effect, RentalResult, Resources, Scheduler};
+use crate::time::{Span, Time};
+use crate::wire::cloud::{Flavor, Hire};
+use std::collections::BTreeMap;
 
 /// A kind of machine that was refused is not asked for again so soon.
 pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
@@ -483,11 +486,3 @@
         && (spec.spot || !kind.spot)
         && allowed.contains(&kind.zone)
 }
-
-use crate::ids::{Build, Host, Team, Zone};
-use crate::sched::allowed_zones::AllowedZones;
-use crate::sched::job::Job;
-use crate::sched::machine::{Life, Machine};
-use crate::time::{Span, Time};
-use crate::wire::cloud::{Flavor, Hire};
-use std::collections::BTreeMap;
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -1,9 +1,14 @@
 //! The order in which jobs are served, worked out once for each pass.
 
-use super::Resources;
-use super::Scheduler;
-use super::estimate;
 use super::fleet::Shortage;
+use super::inheritance::LATE_FACTOR;
+use super::job::Job;
+use super::{Resources, Scheduler, estimate};
+use crate::ids::{JobId, Team};
+use crate::settings::Objective;
+use crate::time::{Span, Time};
+use crate::wire::user::{Kind, Priority};
+use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// How much the time for which a job would fill the fleet counts against it.
 const WORK_WEIGHT: f64 = 12.0;
@@ -242,11 +247,3 @@
         by.filter(|t| *t > now).min()
     }
 }
-
-use super::inheritance::LATE_FACTOR;
-use super::job::Job;
-use crate::ids::{JobId, Team};
-use crate::settings::Objective;
-use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
-use std::collections::{BTreeMap, HashMap, HashSet};
