--- a/src/api.rs
+++ b/src/api.rs
@@ -1,5 +1,5 @@
-//! The HTTP side: what users, workers and operators may ask for. Connections
-//! and their bounds are the affair of `hookworks-http-server`.
+//! The HTTP API for users, workers and operators. `hookworks-http-server` handles the
+//! connections and their limits.
 
 use crate::ids::Label;
 use crate::settings::Settings;
@@ -17,13 +17,15 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// What arrives at the main loop.
+/// A request that the main loop answers.
 pub enum ApiRequest {
+    /// A request of a user or worker, which a follower may forward to the leader.
     Forwardable(Reply, Ask),
+    /// A request for the overview of this controller.
     Overview(Reply),
 }
 
-/// A controller that has room for more workers.
+/// Another controller that can take more workers.
 #[derive(Debug)]
 pub struct RedirectTarget {
     label: Label,
@@ -31,62 +33,73 @@
 }
 
 impl RedirectTarget {
-    pub fn new(label: Label, room: usize) -> RedirectTarget {
+    /// Creates a target that can take that many more workers.
+    pub fn new(label: Label, free_places: usize) -> RedirectTarget {
         RedirectTarget {
             label,
-            free_places: AtomicUsize::new(room),
+            free_places: AtomicUsize::new(free_places),
         }
     }
 
-    /// Books a place there, as long as there are any.
+    /// Reserves a place for a worker; false if there is none left.
     fn reserve(&self) -> bool {
-        let (set, fetch) = (Ordering::SeqCst, Ordering::SeqCst);
-        let one = |n: usize| n.checked_sub(1);
-        self.free_places.fetch_update(set, fetch, one).is_ok()
+        let (set_order, fetch_order) = (Ordering::SeqCst, Ordering::SeqCst);
+        let decrement = |places: usize| places.checked_sub(1);
+        self.free_places
+            .fetch_update(set_order, fetch_order, decrement)
+            .is_ok()
     }
 }
 
-/// What the main loop tells all connections; read without locks.
+/// State that the main loop publishes to all connections; read without locks.
 #[derive(Default)]
 pub struct SharedStatus {
-    /// This controller can serve or pass on.
+    /// The result of the health check: this controller can answer or forward requests.
     pub healthy: AtomicBool,
-    /// Where a worker goes that finds no room here.
+    /// Where workers are redirected if this controller has no capacity for them.
     pub redirect_target: ArcSwapOption<RedirectTarget>,
-    /// All unfinished jobs, at the leader.
+    /// All unfinished jobs, if this controller leads.
     pub jobs: ArcSwapOption<PublishedJobs>,
 }
 
-/// The unfinished jobs as of a moment, to be told as long as the leadership
-/// is proven.
+/// A snapshot of the unfinished jobs, valid as long as the leader's lease is proven.
 pub struct PublishedJobs {
+    /// The jobs.
     pub jobs: Snapshot,
+    /// The end of the proven lease; the snapshot must not be served after it.
     pub valid_until: Instant,
 }
 
 impl SharedStatus {
-    /// What has changed, if this controller may tell.
+    /// The changes since a mark, if this controller holds a valid snapshot.
     pub fn changes(&self, since: Option<Mark>) -> Option<Answer> {
-        let p = self.jobs.load();
-        let p = p.as_ref().filter(|p| Instant::now() < p.valid_until)?;
-        Some(Answer::new(200, rows(&p.jobs.changes(since))))
+        let published = self.jobs.load();
+        let published = published
+            .as_ref()
+            .filter(|p| Instant::now() < p.valid_until)?;
+        Some(Answer::new(200, rows(&published.jobs.changes(since))))
     }
 
-    /// A page of unfinished jobs, if this controller may tell any.
-    pub fn page(&self, q: &Query) -> Option<Answer> {
-        let p = self.jobs.load();
-        let p = p.as_ref().filter(|p| Instant::now() < p.valid_until)?;
-        Some(Answer::new(200, rows(&p.jobs.page(q, wall().0))))
+    /// A page of unfinished jobs, if this controller holds a valid snapshot.
+    pub fn page(&self, query: &Query) -> Option<Answer> {
+        let published = self.jobs.load();
+        let published = published
+            .as_ref()
+            .filter(|p| Instant::now() < p.valid_until)?;
+        Some(Answer::new(
+            200,
+            rows(&published.jobs.page(query, wall().0)),
+        ))
     }
 }
 
-/// The routes of a controller.
+/// The HTTP service of a controller.
 pub struct Api<F> {
     shared: Arc<SharedStatus>,
     inbox: F,
 }
 
-/// What a request asks for, before its body is here.
+/// The operation that a request asks for, known before its body is received.
 pub enum Operation {
     Submit,
     Report,
@@ -100,34 +113,39 @@
     Overview,
 }
 
-/// Sends a worker to that controller, or on to the next one it knows.
+/// Redirects a worker to that controller, or to the next one it knows if none is given.
 pub fn redirect(leader: Option<Label>) -> Answer {
     let body = serde_json::to_string(&Redirect { leader }).unwrap_or_default();
     Answer::new(421, body)
 }
 
-/// Sockets for calls to the state service, the cloud, workers and controllers,
-/// none of which may be given to callers.
-fn reserved_sockets(s: &Settings) -> usize {
-    crate::node::sockets_for_calls() + crate::peer::max_sockets(s.platform.seeds.len())
+/// Sockets reserved for calls to the state service, the cloud, workers and other
+/// controllers, not available to incoming connections.
+fn reserved_sockets(settings: &Settings) -> usize {
+    crate::node::sockets_for_calls() + crate::peer::max_sockets(settings.platform.seeds.len())
 }
 
-/// The bounds in force under these settings.
+/// The connection limits that result from these settings.
 ///
 /// # Errors
-/// When next to nothing could be served.
-pub fn bounds(s: &Settings) -> Result<Bounds, BoundsError> {
-    let limits = &s.platform.params.machine_limits;
+///
+/// When the machine's resources are too small to serve requests.
+pub fn bounds(settings: &Settings) -> Result<Bounds, BoundsError> {
+    let limits = &settings.platform.params.machine_limits;
     let machine = MachineResources {
         sockets: limits.max_connections,
         descriptors: descriptors(limits.max_connections),
         memory: (limits.ram_mb * 1e6) as u64,
-        reserved_sockets: reserved_sockets(s),
+        reserved_sockets: reserved_sockets(settings),
     };
-    Bounds::plan(&machine, &s.tuning.connections.bounds_settings())
+    Bounds::plan(&machine, &settings.tuning.connections.bounds_settings())
 }
 
-/// Starts the server. What reaches `inbox` is answered by way of its `Reply`.
+/// Starts the server. Requests passed to `inbox` are answered through their `Reply`.
+///
+/// # Errors
+///
+/// When the limits can't be planned or the address can't be bound.
 pub fn start<F>(
     settings: &Settings,
     notice: Arc<SharedStatus>,
@@ -137,12 +155,12 @@
     F: Fn(ApiRequest) -> bool + Send + Sync + 'static,
 {
     let bounds = bounds(settings).map_err(std::io::Error::other)?;
-    let t = &settings.tuning.connections;
+    let tuning = &settings.tuning.connections;
     let timeouts = Timeouts {
-        first_head: Duration::from_secs_f64(t.head_s),
-        head: Duration::from_secs_f64(t.head_s),
-        body: Duration::from_secs_f64(t.body_s),
-        idle: Duration::from_secs_f64(t.idle_s),
+        first_head: Duration::from_secs_f64(tuning.head_s),
+        head: Duration::from_secs_f64(tuning.head_s),
+        body: Duration::from_secs_f64(tuning.body_s),
+        idle: Duration::from_secs_f64(tuning.idle_s),
         ..Timeouts::default()
     };
     let api = Api {
@@ -151,19 +169,20 @@
     };
     let server = Server::start(settings.platform.listen, bounds, timeouts, api)?;
     tracing::info!(connections = bounds.connections, limited_by = %bounds.limited_by,
-        guaranteed = ?bounds.guaranteed, set_aside = bounds.set_aside, "accepting");
+        guaranteed = ?bounds.guaranteed, set_aside = bounds.set_aside, "HTTP server started; accepting connections");
     Ok(server)
 }
 
+/// The request class and operation of a path, or the error to answer.
 fn route(method: &Method, path: &str, query: &str) -> Result<(RequestClass, Operation), Answer> {
-    let only = |m: Method| {
-        if *method == m {
+    let only = |allowed: Method| {
+        if *method == allowed {
             Ok(())
         } else {
             Err(Answer::error(405, "method not allowed"))
         }
     };
-    let none = || Answer::error(404, "no such path");
+    let not_found = || Answer::error(404, "no such path");
     match path {
         "/v2/runs" => only(Method::POST).map(|()| (RequestClass::Users, Operation::Submit)),
         "/v2/jobs" => {
@@ -179,20 +198,20 @@
                 let show = || (RequestClass::Users, Operation::Show(id.into()));
                 return only(Method::GET).map(|()| show());
             }
-            let id = path.strip_prefix("/v2/runs/").ok_or_else(none)?;
+            let id = path.strip_prefix("/v2/runs/").ok_or_else(not_found)?;
             match id.split_once('/') {
                 None => {
                     only(Method::GET).map(|()| (RequestClass::Users, Operation::Poll(id.into())))
                 }
-                Some((id, what)) => {
+                Some((id, action)) => {
                     let id = id.to_string();
-                    let wanted = match what {
+                    let operation = match action {
                         "abort" => Operation::Cancel(id),
                         "hold" => Operation::Hold(id),
                         "release" => Operation::Release(id),
-                        _ => return Err(none()),
+                        _ => return Err(not_found()),
                     };
-                    only(Method::POST).map(|()| (RequestClass::Users, wanted))
+                    only(Method::POST).map(|()| (RequestClass::Users, operation))
                 }
             }
         }
@@ -207,23 +226,23 @@
 
     fn route(&self, method: &Method, path: &str, query: &str) -> Route<Operation> {
         if path == "/healthz" {
-            let a = match *method == Method::GET {
+            let answer = match *method == Method::GET {
                 false => Answer::error(405, "method not allowed"),
                 true if self.shared.healthy.load(Ordering::Relaxed) => {
                     Answer::new(200, "{}".into())
                 }
                 true => Answer::error(503, "no leader in reach"),
             };
-            return Route::Respond(RequestClass::Watch, a);
+            return Route::Respond(RequestClass::Watch, answer);
         }
         match route(method, path, query) {
-            Ok((class, wanted)) => Route::Handle(class, wanted),
-            Err(a) => Route::Respond(RequestClass::Users, a),
+            Ok((class, operation)) => Route::Handle(class, operation),
+            Err(answer) => Route::Respond(RequestClass::Users, answer),
         }
     }
 
-    fn handle(&self, wanted: Operation, body: Vec<u8>, reply: Reply) {
-        let ask = match wanted {
+    fn handle(&self, operation: Operation, body: Vec<u8>, reply: Reply) {
+        let ask = match operation {
             Operation::Submit => Ask::Submit(body),
             Operation::Report => Ask::Report(body),
             Operation::Poll(id) => Ask::Poll(id),
@@ -234,16 +253,19 @@
             Operation::Events(query) => match since(&query) {
                 Err(e) => return reply.answer(Answer::error(400, &e)),
                 Ok(mark) => match self.shared.changes(mark) {
-                    Some(a) => return reply.answer(a),
+                    Some(answer) => return reply.answer(answer),
                     None => Ask::Events(query),
                 },
             },
             Operation::List(query) => match Query::parse(&query) {
                 Err(e) => return reply.answer(Answer::error(400, &e)),
-                // Read here, on the connection's own thread: the main loop
-                // does not hear of it.
-                Ok(q) => match self.shared.page(&q).filter(|_| q.wants_unfinished()) {
-                    Some(a) => return reply.answer(a),
+                // Answered on the connection's own thread, without the main loop.
+                Ok(parsed) => match self
+                    .shared
+                    .page(&parsed)
+                    .filter(|_| parsed.wants_unfinished())
+                {
+                    Some(answer) => return reply.answer(answer),
                     None => Ask::List(query),
                 },
             },
@@ -260,15 +282,15 @@
             .redirect_target
             .load()
             .as_ref()
-            .is_some_and(|e| e.reserve())
+            .is_some_and(|target| target.reserve())
     }
 
     fn no_capacity(&self, class: RequestClass, elsewhere: bool) -> Answer {
         if class != RequestClass::Workers {
             return Answer::later("too many connections", 1);
         }
-        let there = self.shared.redirect_target.load();
-        let label = there.as_ref().filter(|_| elsewhere);
-        redirect(label.map(|e| e.label.clone()))
+        let current = self.shared.redirect_target.load();
+        let target = current.as_ref().filter(|_| elsewhere);
+        redirect(target.map(|target| target.label.clone()))
     }
 }
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! The command-line client's requests.
+//! Requests of the command-line client to a controller.
 
 use crate::store::client::{agent, finish};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 fn call(method: &str, addr: &str, path: &str, body: Option<&[u8]>) -> Result<String, String> {
     let agent = agent(Duration::from_secs(6), 1);
     let url = format!("http://{addr}{path}");
-    let r = match (method, body) {
+    let response = match (method, body) {
         ("GET", _) => agent.get(&url).call(),
-        (_, b) => agent.post(&url).send(b.unwrap_or(b"")),
+        (_, body) => agent.post(&url).send(body.unwrap_or(b"")),
     };
-    let Some((status, body)) = finish(r) else {
+    let Some((status, body)) = finish(response) else {
         return Err(format!("{addr}: no answer"));
     };
     let text = String::from_utf8_lossy(&body).into_owned();
@@ -22,12 +22,12 @@
     }
 }
 
-/// Submits the job described in a file; answers what the controller told.
+/// Submits the job described in a file; returns the controller's answer.
 ///
 /// # Errors
 ///
-/// The file can't be read, there is no answer, or the job is refused; one line for the user,
-/// as for all requests here.
+/// The file can't be read, there is no answer, or the job is refused. The error is one
+/// line for the user, as for all requests here.
 pub fn submit(addr: &str, file: &str) -> Result<String, String> {
     let body = std::fs::read(file).map_err(|e| format!("{file}: {e}"))?;
     call("POST", addr, "/v2/runs", Some(&body))
@@ -40,7 +40,7 @@
 /// No answer, or a refusal.
 pub fn status(addr: &str, job: Option<&str>) -> Result<String, String> {
     match job {
-        Some(j) => call("GET", addr, &format!("/v2/runs/{j}"), None),
+        Some(job) => call("GET", addr, &format!("/v2/runs/{job}"), None),
         None => call("GET", addr, "/v2/overview", None),
     }
 }
@@ -54,7 +54,7 @@
     call("POST", addr, &format!("/v2/runs/{job}/abort"), None)
 }
 
-/// A job whole: history, use, holds.
+/// A job in full: history, resource usage and holds.
 ///
 /// # Errors
 ///
@@ -63,7 +63,7 @@
     call("GET", addr, &format!("/v2/jobs/{job}"), None)
 }
 
-/// Holds a job; `kind` is `user` or `operator`, and `stop` ends what runs of it.
+/// Holds a job; `kind` is `user` or `operator`, and `stop` also stops its running tasks.
 ///
 /// # Errors
 ///
@@ -81,7 +81,7 @@
     call("POST", addr, &path, Some(body.to_string().as_bytes()))
 }
 
-/// Takes back the hold of that kind.
+/// Releases the hold of that kind.
 ///
 /// # Errors
 ///
@@ -92,13 +92,17 @@
     call("POST", addr, &path, Some(body.to_string().as_bytes()))
 }
 
-/// One page; `filters` are `name=value`, as the API takes them.
+/// A page of jobs; `filters` are `name=value`, as the API takes them.
+///
+/// # Errors
+///
+/// A malformed filter, no answer, or a refusal.
 pub fn jobs(addr: &str, filters: &[String]) -> Result<String, String> {
     let mut query = form_urlencoded::Serializer::new(String::new());
-    for f in filters {
-        let (name, value) = f
+    for filter in filters {
+        let (name, value) = filter
             .split_once('=')
-            .ok_or_else(|| format!("{f}: must be name=value"))?;
+            .ok_or_else(|| format!("{filter}: must be name=value"))?;
         query.append_pair(name, value);
     }
     call("GET", addr, &format!("/v2/jobs?{}", query.finish()), None)
--- a/src/election.rs
+++ b/src/election.rs
@@ -1,8 +1,8 @@
-//! Leader election by a leased key; every leadership has a new, larger epoch.
+//! Leader election by a leased key; every leadership has a new and larger epoch.
 //!
 //! A controller that finds the key held by an earlier process of its own does
-//! not wait for that lease to expire: it revokes it and campaigns at once. Why
-//! that is safe, and when it is not done: docs/notes/quick-restarts.md.
+//! not wait for that lease to expire: it revokes the lease and campaigns at once.
+//! For why that is safe, and when it is not done, see docs/notes/quick-restarts.md.
 
 use crate::ids::{Epoch, Instance, Label, Stamp};
 use crate::store::client::{Outcome, ReadError, State};
@@ -15,25 +15,25 @@
 
 /// How often a follower reads the leader's key.
 const POLL_INTERVAL: Span = Span(400_000);
-/// The same while the state service gives no answer: when it does again, users
-/// have waited for long.
+/// The same while the state service does not answer: shorter, as users have already
+/// waited long when it recovers.
 const POLL_INTERVAL_UNAVAILABLE: Span = Span(200_000);
 /// The same while the leader is suspected to have failed.
 const POLL_INTERVAL_SUSPECTED: Span = Span(120_000);
-/// So many reads follow at that interval after a suspicion.
+/// Number of reads at that interval after a suspicion.
 const POLLS_AFTER_SUSPICION: u32 = 16;
-/// A leader renews its lease so many times within the lease's duration.
+/// Number of renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: u64 = 4;
 
 /// The address at which a process listens for the other controllers. The
-/// operating system gives an address to one process at a time, so whoever holds
-/// it knows that every other process that ever held it has ended.
+/// operating system binds an address to one process at a time, so the process that
+/// holds it knows that every earlier holder has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoundAddress {
-    /// What the listening socket is bound to.
+    /// The address of the listening socket.
     pub addr: SocketAddr,
-    /// The boot and the network namespace that the address belongs to; none
-    /// where the operating system does not tell.
+    /// The boot id and the network namespace that the address belongs to; none where the
+    /// operating system does not report them.
     #[serde(default)]
     pub system: Option<String>,
 }
@@ -50,15 +50,15 @@
         BoundAddress { addr, system }
     }
 
-    /// Whether only one of two processes with these addresses can be alive. After
-    /// a reboot, or on another machine with the same address, that is not known:
-    /// the earlier process may be cut off rather than gone. Where the system is
-    /// unknown, the address must be one that no other machine has.
+    /// Whether only one of two processes with these addresses can be alive. That is
+    /// unknown after a reboot or on another machine with the same address: the earlier
+    /// process may be partitioned rather than dead. Where the system is unknown, the
+    /// address must be unique to one machine.
     fn excludes(&self, other: &BoundAddress) -> bool {
         let ip = self.addr.ip();
         let unique = !ip.is_unspecified() && !ip.is_loopback();
         let same_system = match (&self.system, &other.system) {
-            (Some(mine), Some(theirs)) => mine == theirs,
+            (Some(own), Some(others)) => own == others,
             _ => unique,
         };
         self.addr == other.addr && same_system
@@ -70,33 +70,33 @@
 pub struct LeaderRecord {
     /// Which controller leads.
     pub label: Label,
-    /// The number of its leadership.
+    /// The epoch of its leadership.
     pub epoch: Epoch,
-    /// Tells its process from an earlier one of the same label.
+    /// Distinguishes its process from earlier ones with the same label.
     pub instance: Instance,
-    /// Where its process listens; versions before that field left it out.
+    /// Where its process listens; earlier versions don't write it.
     #[serde(rename = "home", default, skip_serializing_if = "Option::is_none")]
     pub address: Option<BoundAddress>,
 }
 
-/// Who stands for election.
+/// A controller process that takes part in the election.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// The label of this controller.
     pub label: Label,
-    /// This process of it.
+    /// The instance of this process.
     pub instance: Instance,
-    /// Where it listens for the other controllers, if that is known.
+    /// Where it listens for the other controllers, if known.
     pub address: Option<BoundAddress>,
 }
 
 impl Candidate {
-    /// Whether `record` was written by a process of this controller that has
-    /// ended. To be asked while this one does not lead: then it is also true of
-    /// an election of its own that was given up because its outcome was unclear.
+    /// Whether `record` was written by a process of this controller that has ended.
+    /// Valid only while this process does not lead; then it is also true of a campaign
+    /// of its own that was abandoned because its outcome was unclear.
     fn has_replaced(&self, record: &LeaderRecord) -> bool {
         let addresses = self.address.as_ref().zip(record.address.as_ref());
-        record.label == self.label && addresses.is_some_and(|(mine, theirs)| mine.excludes(theirs))
+        record.label == self.label && addresses.is_some_and(|(own, others)| own.excludes(others))
     }
 
     fn record(&self, epoch: Epoch) -> LeaderRecord {
@@ -109,22 +109,21 @@
     }
 }
 
-/// What a step of the election has shown.
+/// The outcome of an election step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ElectionOutcome {
-    /// This controller follows: another one leads, or none does that is known.
+    /// This controller follows the given leader, or none is known.
     Following(Option<LeaderRecord>),
     /// This controller was elected.
     Elected {
-        /// The number of the new leadership.
+        /// The epoch of the new leadership.
         epoch: Epoch,
         /// The revision of the leader's key, the condition of all later writes.
         revision: Stamp,
-        /// The leadership is proven as of this time.
+        /// When the lease was requested: the lease is proven as of this time.
         proven: Time,
     },
-    /// The lease was renewed; the leadership is proven as of the time at which
-    /// the renewal was sent.
+    /// The lease was renewed; it is proven as of the time at which the renewal was sent.
     Renewed(Time),
     /// The lease has expired or was revoked.
     LeaseLost,
@@ -132,21 +131,21 @@
     Unavailable,
 }
 
-/// Takes part in the election, a step at a time; the caller waits between steps.
+/// Takes part in the election one step at a time; the caller waits between steps.
 pub struct Elector<S> {
     state: S,
     candidate: Candidate,
     lease_duration: Span,
     /// The lease of the leader's key while this controller leads.
     lease: Option<u64>,
-    /// Reads that follow at the short interval.
+    /// Number of reads left at the short interval.
     fast_polls_left: u32,
     /// The last step got no answer from the state service.
     unavailable: bool,
 }
 
 impl<S: State> Elector<S> {
-    /// Starts as a follower; leases are asked for with `lease_duration`.
+    /// Starts as a follower; leases are granted for `lease_duration`.
     pub fn new(state: S, candidate: Candidate, lease_duration: Span) -> Self {
         Elector {
             state,
@@ -158,7 +157,7 @@
         }
     }
 
-    /// Whether this controller was elected and has not seen its lease lost.
+    /// Whether this controller was elected and does not know of the loss of its lease.
     pub fn leads(&self) -> bool {
         self.lease.is_some()
     }
@@ -176,13 +175,13 @@
         }
     }
 
-    /// The leader is suspected to have failed: reads its key more often for a while.
+    /// Reads the leader's key more often for a while, as the leader may have failed.
     pub fn suspect_leader(&mut self) {
         self.fast_polls_left = POLLS_AFTER_SUSPICION;
     }
 
     /// Renews the lease as leader, or reads the leader's key as follower and
-    /// campaigns if nobody holds it.
+    /// campaigns if it is free.
     pub fn step(&mut self, now: impl Fn() -> Time) -> ElectionOutcome {
         self.fast_polls_left = self.fast_polls_left.saturating_sub(1);
         let outcome = match self.lease {
@@ -195,9 +194,9 @@
     }
 
     fn renew(&mut self, lease: u64, now: impl Fn() -> Time) -> Result<ElectionOutcome, ReadError> {
-        let sent = now();
+        let sent_at = now();
         if self.state.renew(lease)? {
-            return Ok(ElectionOutcome::Renewed(sent));
+            return Ok(ElectionOutcome::Renewed(sent_at));
         }
         self.lease = None;
         Ok(ElectionOutcome::LeaseLost)
@@ -205,56 +204,58 @@
 
     fn follow(&mut self, now: impl Fn() -> Time) -> Result<ElectionOutcome, ReadError> {
         match self.state.get(LEADER)? {
-            Some(held) => self.follow_or_replace(held, now),
+            Some(leader_key) => self.follow_or_replace(leader_key, now),
             None => self.campaign(now),
         }
     }
 
-    /// The key is held: by another controller, or by an earlier process of this one.
+    /// Handles a key that is held by another controller, or by an earlier process of this
+    /// one.
     fn follow_or_replace(
         &mut self,
-        held: Item,
+        leader_key: Item,
         now: impl Fn() -> Time,
     ) -> Result<ElectionOutcome, ReadError> {
-        let leader: Option<LeaderRecord> = serde_json::from_value(held.value).ok();
-        let (Some(record), Some(lease)) = (&leader, held.lease) else {
+        let leader: Option<LeaderRecord> = serde_json::from_value(leader_key.value).ok();
+        let (Some(record), Some(lease)) = (&leader, leader_key.lease) else {
             return Ok(ElectionOutcome::Following(leader));
         };
         if !self.candidate.has_replaced(record) {
             return Ok(ElectionOutcome::Following(leader));
         }
-        tracing::info!(epoch = %record.epoch, lease, "lease of an earlier process revoked");
+        tracing::info!(epoch = %record.epoch, lease, "revoking the leader lease of an earlier process of this controller");
         self.state.revoke(lease);
-        // If the revocation was not carried out, the key is still held and this fails.
+        // If the revocation failed, the key is still held and the campaign fails.
         self.campaign(now)
     }
 
     fn campaign(&mut self, now: impl Fn() -> Time) -> Result<ElectionOutcome, ReadError> {
-        let sent = now();
+        let sent_at = now();
         let lease = self.state.grant(self.lease_duration.0 / 1000)?;
         let last_epoch = self.state.get(EPOCH)?;
         let record = self.candidate.record(next_epoch(last_epoch.as_ref()));
         let txn = campaign_txn(&record, last_epoch.as_ref(), lease);
         match self.state.txn(&txn) {
-            Outcome::Ok(stamp) => Ok(self.elected(lease, record.epoch, stamp, sent)),
-            Outcome::Unclear => Ok(self.read_back(lease, &record, sent)),
+            Outcome::Ok(stamp) => Ok(self.elected(lease, record.epoch, stamp, sent_at)),
+            Outcome::Unclear => Ok(self.read_back(lease, &record, sent_at)),
             Outcome::Conflict(_) => {
                 self.state.revoke(lease);
                 Ok(ElectionOutcome::Following(None))
             }
-            // Not carried out.
+            // The transaction was not applied.
             _ => Ok(ElectionOutcome::Unavailable),
         }
     }
 
-    /// The answer to the campaign was lost, perhaps after it was carried out.
-    fn read_back(&mut self, lease: u64, record: &LeaderRecord, sent: Time) -> ElectionOutcome {
-        if let Ok(Some(held)) = self.state.get(LEADER)
-            && serde_json::from_value(held.value).is_ok_and(|r: LeaderRecord| r == *record)
+    /// Reads the key back after the answer to the campaign was lost: the transaction may
+    /// have been applied.
+    fn read_back(&mut self, lease: u64, record: &LeaderRecord, sent_at: Time) -> ElectionOutcome {
+        if let Ok(Some(leader_key)) = self.state.get(LEADER)
+            && serde_json::from_value(leader_key.value).is_ok_and(|r: LeaderRecord| r == *record)
         {
-            return self.elected(lease, record.epoch, held.stamp, sent);
+            return self.elected(lease, record.epoch, leader_key.stamp, sent_at);
         }
-        // If the campaign is still carried out, the key goes with this lease.
+        // If the transaction is applied later, the key is deleted with this lease.
         self.state.revoke(lease);
         ElectionOutcome::Unavailable
     }
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Gives the leadership up, so that the next leader need not wait.
+    /// Revokes the own lease, so that the next leader need not wait for its expiry.
     pub fn resign(&mut self) {
         if let Some(lease) = self.lease.take() {
             self.state.revoke(lease);
@@ -282,7 +283,8 @@
     Epoch(last.unwrap_or(0) + 1)
 }
 
-/// Takes the leader's key and counts the epoch up, if nobody else has done either.
+/// A transaction that takes the leader's key and increments the epoch, provided that
+/// neither was changed meanwhile.
 fn campaign_txn(record: &LeaderRecord, last_epoch: Option<&Item>, lease: u64) -> Txn {
     let unchanged = |key: &str, stamp| Condition {
         key: key.into(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: a controller, its check of settings, and the client.
+//! The command line: runs a controller, checks settings, or acts as a client.
 
 use clap::{Parser, Subcommand};
 use hookworks::settings::Settings;
@@ -6,22 +6,22 @@
 use hookworks_http_server::RequestClass;
 use std::process::ExitCode;
 
-/// A cluster scheduler that balances machines in time.
+/// A cluster scheduler that balances the tasks of each machine in time.
 #[derive(Parser)]
 #[command(name = "hookworks", version)]
 struct Cli {
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Run a controller.
     Serve {
-        /// The platform's settings, JSON.
+        /// Settings of the platform, a JSON file.
         #[arg(long)]
         config: String,
-        /// The operators' settings, XML.
+        /// Settings of the operators, an XML file.
         #[arg(long)]
         tuning: Option<String>,
     },
@@ -45,37 +45,37 @@
         to: String,
         job: Option<String>,
     },
-    /// Show a job whole: what happened to it, what it used, who holds it.
+    /// Show a job in full: its history, its resource usage and its holds.
     Show {
         #[arg(long)]
         to: String,
         job: String,
     },
-    /// Keep a job from starting anything.
+    /// Hold a job: none of its tasks is started.
     Hold {
         #[arg(long)]
         to: String,
         job: String,
-        /// Who asks.
+        /// The person who asks, for the record.
         #[arg(long)]
         by: String,
         #[arg(long, default_value = "")]
         why: String,
-        /// Put by operators rather than by the job's user.
+        /// Place the hold as an operator rather than as the job's user.
         #[arg(long)]
         operator: bool,
-        /// Stop what runs, with time to save.
+        /// Also stop running tasks, after a grace period to save their state.
         #[arg(long)]
         stop: bool,
     },
-    /// Let a held job go on.
+    /// Release a hold, so that the job continues.
     Release {
         #[arg(long)]
         to: String,
         job: String,
         #[arg(long)]
         by: String,
-        /// Which hold: user, operator or system.
+        /// The kind of hold: user, operator or system.
         #[arg(long, default_value = "user")]
         kind: String,
     },
@@ -94,7 +94,7 @@
     },
 }
 
-fn logs() {
+fn init_logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let level = level.parse().unwrap_or(tracing::Level::INFO);
     tracing_subscriber::fmt()
@@ -104,15 +104,15 @@
         .init();
 }
 
-fn load(config: &str, tuning: Option<&str>) -> Result<Settings, ExitCode> {
+fn load_settings(config: &str, tuning: Option<&str>) -> Result<Settings, ExitCode> {
     Settings::load(config, tuning).map_err(|e| {
         eprintln!("hookworks: {e}");
         ExitCode::from(2)
     })
 }
 
-fn tell(r: Result<String, String>) -> ExitCode {
-    match r {
+fn print_result(result: Result<String, String>) -> ExitCode {
+    match result {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
@@ -124,11 +124,11 @@
     }
 }
 
-fn run(verb: Verb) -> Result<ExitCode, ExitCode> {
-    match verb {
-        Verb::Serve { config, tuning } => {
-            let settings = load(&config, tuning.as_deref())?;
-            logs();
+fn run(command: Command) -> Result<ExitCode, ExitCode> {
+    match command {
+        Command::Serve { config, tuning } => {
+            let settings = load_settings(&config, tuning.as_deref())?;
+            init_logging();
             match node::serve(settings) {
                 Ok(()) => Ok(ExitCode::SUCCESS),
                 Err(e) => {
@@ -137,82 +137,88 @@
                 }
             }
         }
-        Verb::Check { config, tuning } => {
-            let s = load(&config, tuning.as_deref())?;
-            println!("{:#?}", s.platform);
-            println!("{:#?}", s.tuning);
-            let b = api::bounds(&s).map_err(|_| ExitCode::from(2))?;
-            let one = |l: RequestClass| b.guaranteed[l as usize];
-            println!("connections: {} at a time, {}", b.connections, b.limited_by);
-            println!("  threads that serve them: {} at the most", b.threads);
-            for (who, class) in [
+        Command::Check { config, tuning } => {
+            let settings = load_settings(&config, tuning.as_deref())?;
+            println!("{:#?}", settings.platform);
+            println!("{:#?}", settings.tuning);
+            let bounds = api::bounds(&settings).map_err(|_| ExitCode::from(2))?;
+            let guaranteed = |class: RequestClass| bounds.guaranteed[class as usize];
+            println!(
+                "connections: {} at a time, {}",
+                bounds.connections, bounds.limited_by
+            );
+            println!("  threads that serve them: {} at the most", bounds.threads);
+            for (name, class) in [
                 ("workers", RequestClass::Workers),
                 ("users", RequestClass::Users),
                 ("health checks and operators", RequestClass::Watch),
                 ("without a request yet (also the most)", RequestClass::Fresh),
             ] {
                 println!(
-                    "  {who}: {} guaranteed, {} at the most",
-                    one(class),
+                    "  {name}: {} guaranteed, {} at the most",
+                    guaranteed(class),
                     match class {
-                        RequestClass::Fresh => one(class),
-                        _ => b.max_for(class),
+                        RequestClass::Fresh => guaranteed(class),
+                        _ => bounds.max_for(class),
                     }
                 );
             }
-            let z = s.sizes().map_err(|_| ExitCode::from(2))?;
-            let [c, j, f, m] = z.bytes.map(|n| n / 1_000_000);
+            let sizes = settings.sizes().map_err(|_| ExitCode::from(2))?;
+            let [connections, jobs, finals, machines] = sizes.bytes.map(|n| n / 1_000_000);
             println!(
                 "sizes: {} machines with no other controller left, limited by {}; {} of them can keep a connection open",
-                z.alone.most,
-                z.alone.limited_by,
-                z.machines.min(z.alone.most)
+                sizes.alone.most,
+                sizes.alone.limited_by,
+                sizes.machines.min(sizes.alone.most)
             );
             println!(
                 "  {} unfinished jobs, {} final states at hand, {} open requests, {} messages",
-                z.jobs, z.finals, z.requests, z.inbox
+                sizes.jobs, sizes.finals, sizes.requests, sizes.inbox
             );
             println!(
-                "  memory at the most: connections {c} MB, jobs {j} MB, final states {f} MB, machines {m} MB of {} MB",
-                s.platform.params.machine_limits.ram_mb
+                "  memory at the most: connections {connections} MB, jobs {jobs} MB, final states {finals} MB, machines {machines} MB of {} MB",
+                settings.platform.params.machine_limits.ram_mb
             );
-            println!("  large bodies: {} KiB together", b.body_bytes / 1024);
-            println!("  sockets set aside for calls to others: {}", b.set_aside);
-            let w = &s.platform.params.workers;
-            let z = s.tuning.zones.limits(w.report_s);
+            println!("  large bodies: {} KiB together", bounds.body_bytes / 1024);
+            println!(
+                "  sockets set aside for calls to others: {}",
+                bounds.set_aside
+            );
+            let workers = &settings.platform.params.workers;
+            let zone_limits = settings.tuning.zones.limits(workers.report_s);
             println!(
                 "zones: {}",
-                match s.tuning.zones.act {
+                match settings.tuning.zones.act {
                     true => "verdicts are acted on",
                     false => "verdicts are shown, not acted on",
                 }
             );
             println!(
                 "  in doubt when nothing is heard for {} s and {}% of its machines are overdue ({} s)",
-                z.quiet.as_secs(),
-                z.overdue_share * 100.0,
-                z.overdue_after().as_secs()
+                zone_limits.quiet.as_secs(),
+                zone_limits.overdue_share * 100.0,
+                zone_limits.overdue_after().as_secs()
             );
             println!(
                 "  lost {} s later; its machines are kept for {} s",
-                z.lost_after.as_secs(),
-                z.keep.as_secs()
+                zone_limits.lost_after.as_secs(),
+                zone_limits.keep.as_secs()
             );
             println!(
                 "  back in full after {} to {} s",
-                z.settle.as_secs(),
-                z.settle_most.as_secs()
+                zone_limits.settle.as_secs(),
+                zone_limits.settle_most.as_secs()
             );
-            if let Err(e) = s.check_machines(&config) {
+            if let Err(e) = settings.check_machines(&config) {
                 eprintln!("hookworks: {e}");
                 return Err(ExitCode::from(2));
             }
             Ok(ExitCode::SUCCESS)
         }
-        Verb::Submit { to, file } => Ok(tell(client::submit(&to, &file))),
-        Verb::Status { to, job } => Ok(tell(client::status(&to, job.as_deref()))),
-        Verb::Show { to, job } => Ok(tell(client::show(&to, &job))),
-        Verb::Hold {
+        Command::Submit { to, file } => Ok(print_result(client::submit(&to, &file))),
+        Command::Status { to, job } => Ok(print_result(client::status(&to, job.as_deref()))),
+        Command::Show { to, job } => Ok(print_result(client::show(&to, &job))),
+        Command::Hold {
             to,
             job,
             by,
@@ -221,16 +227,18 @@
             stop,
         } => {
             let kind = if operator { "operator" } else { "user" };
-            Ok(tell(client::hold(&to, &job, kind, &by, &why, stop)))
+            Ok(print_result(client::hold(&to, &job, kind, &by, &why, stop)))
+        }
+        Command::Release { to, job, by, kind } => {
+            Ok(print_result(client::release(&to, &job, &kind, &by)))
         }
-        Verb::Release { to, job, by, kind } => Ok(tell(client::release(&to, &job, &kind, &by))),
-        Verb::Jobs { to, filters } => Ok(tell(client::jobs(&to, &filters))),
-        Verb::Cancel { to, job } => Ok(tell(client::cancel(&to, &job))),
+        Command::Jobs { to, filters } => Ok(print_result(client::jobs(&to, &filters))),
+        Command::Cancel { to, job } => Ok(print_result(client::cancel(&to, &job))),
     }
 }
 
 fn main() -> ExitCode {
-    match run(Cli::parse().verb) {
+    match run(Cli::parse().command) {
         Ok(code) | Err(code) => code,
     }
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,7 +1,8 @@
-//! Controllers among themselves: each keeps a connection to every other, says
-//! twice a second whom it hears and who leads, and at once when that changes, and
-//! passes requests on; through the third controller where the direct way is cut.
-//! What follows from all that is [`hookworks_membership`]'s; here are the sockets.
+//! Connections between the controllers. Each controller keeps a connection to every other
+//! one and pings it twice a second, and at once on a change, with the peers that it hears
+//! and the leader that it knows. Requests are forwarded over these connections, through
+//! the third controller where the direct link is down. This module does the I/O;
+//! [`hookworks_membership`] evaluates the pings.
 
 mod inbound;
 mod outbound;
@@ -18,54 +19,60 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Not heard for longer, a controller is suspected to have failed.
+/// A controller without a ping for longer is suspected to have failed.
 const SUSPECT_AFTER: Span = Span(1_700_000);
-/// Connections of each other controller; an old one may linger beside the new.
+/// The most connections accepted per other controller; an old one may stay open beside
+/// the new one.
 const MAX_INBOUND_PER_PEER: usize = 6;
-/// Batches of messages that may wait for a link.
+/// Length of a link's queue, in batches of messages.
 const MAX_QUEUED_BATCHES: usize = 1024;
 
-/// Sockets for talk with so many other controllers.
+/// The most sockets used for connections with that many other controllers.
 pub fn max_sockets(others: usize) -> usize {
-    // To each, from each, the listening one, and one that is refused.
+    // Outbound and inbound ones for each, the listening one, and one being refused.
     others * (2 + MAX_INBOUND_PER_PEER) + 2
 }
 
-/// What comes of the talk with other controllers.
+/// What the main loop is told of the other controllers.
 pub enum PeerEvent {
-    /// With the moment at which it arrived, from which answers count: it may wait
-    /// its turn for longer than they are good for.
+    /// A message and the time of its arrival. Timeouts count from then, as the message may
+    /// be queued for longer than an answer is useful.
     Message(Time, PeerMsg),
-    /// The process of that label has ended, or the link by which it was heard:
-    /// what it was asked will not be answered.
+    /// The process with that label, or the link from it, has ended: requests forwarded to
+    /// it will not be answered.
     Disconnected(Label),
 }
 
 /// How many workers report to a controller, and how many it can hold.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerLoad {
+    /// Which controller.
     pub label: Label,
+    /// How many workers report to it.
     pub workers: u32,
+    /// The most workers that it can hold; earlier versions don't report it.
     pub max_workers: Option<u32>,
 }
 
-/// The way to one other controller.
+/// The outbound side of the link to one other controller.
 struct Link {
     queue: Sender<Vec<PeerMsg>>,
-    /// Counts the processes that have taken up its label: a connection to an
-    /// earlier one is of no use, but may not say so for a while.
-    process_count: AtomicU64,
+    /// Number of restarts seen of that controller. A connection to an earlier process is
+    /// useless, but may not fail for a while.
+    restart_count: AtomicU64,
 }
 
-/// Who this process is.
+/// The identity of this process, and its limit of workers.
 pub struct LocalController {
+    /// The label of this controller.
     pub label: Label,
+    /// Distinguishes this process from earlier ones with the same label.
     pub instance: Instance,
-    /// How many workers it can hold.
+    /// The most workers that it can hold.
     pub max_workers: u32,
 }
 
-/// Shared by the threads of this module and whoever sends.
+/// The connections to all other controllers, shared by their threads and the main loop.
 pub struct Peers {
     local: LocalController,
     clock: Clock,
@@ -76,10 +83,14 @@
 }
 
 impl Peers {
-    /// Starts the threads; what arrives for this controller goes to `inbox`. The
-    /// listening socket is held as long as the process lives.
+    /// Starts the threads; messages to this controller go to `inbox`. The listening socket
+    /// stays bound as long as the process lives.
+    ///
+    /// # Errors
+    ///
+    /// When the listening address can't be bound.
     pub fn start<F>(
-        me: LocalController,
+        local: LocalController,
         clock: Clock,
         listen: SocketAddr,
         seeds: &[Seed],
@@ -91,34 +102,34 @@
         let listener = TcpListener::bind(listen)?;
         let mut links = HashMap::new();
         let mut queues = vec![];
-        for s in seeds {
-            let (queue, rx) = bounded(MAX_QUEUED_BATCHES);
-            let process = AtomicU64::new(0);
+        for seed in seeds {
+            let (queue, receiver) = bounded(MAX_QUEUED_BATCHES);
+            let restart_count = AtomicU64::new(0);
             links.insert(
-                s.label.clone(),
+                seed.label.clone(),
                 Link {
                     queue,
-                    process_count: process,
+                    restart_count,
                 },
             );
-            queues.push((s.label.clone(), s.peer_addr, rx));
+            queues.push((seed.label.clone(), seed.peer_addr, receiver));
         }
-        let others = seeds.iter().map(|s| s.label.clone()).collect();
-        let members = Membership::new(me.label.clone(), others, SUSPECT_AFTER);
+        let others = seeds.iter().map(|seed| seed.label.clone()).collect();
+        let membership = Membership::new(local.label.clone(), others, SUSPECT_AFTER);
         let peers = Arc::new(Peers {
-            local: me,
+            local,
             clock,
             links,
-            membership: Mutex::new(members),
+            membership: Mutex::new(membership),
             next_link_id: AtomicU64::new(1),
             worker_count: AtomicU32::new(0),
         });
         for (to, addr, queue) in queues {
-            let p = peers.clone();
-            crate::node::spawn("peer-out", move || p.keep_link(&to, addr, &queue));
+            let peers = peers.clone();
+            crate::node::spawn("peer-out", move || peers.keep_link(&to, addr, &queue));
         }
-        let p = peers.clone();
-        crate::node::spawn("peer-listen", move || p.accept(&listener, &inbox));
+        let acceptor = peers.clone();
+        crate::node::spawn("peer-listen", move || acceptor.accept(&listener, &inbox));
         Ok(peers)
     }
 
@@ -132,99 +143,103 @@
 
     fn ping(&self) -> PeerMsg {
         let now = self.now();
-        let m = self.membership();
+        let membership = self.membership();
         PeerMsg::Ping {
             from: self.local.label.to_string(),
-            leader: m.announced_leader().map(|(l, e)| (l.to_string(), e.0)),
-            hears: m.live_peers(now).map(Label::to_string).collect(),
+            leader: membership
+                .announced_leader()
+                .map(|(label, epoch)| (label.to_string(), epoch.0)),
+            hears: membership.live_peers(now).map(Label::to_string).collect(),
             workers: self.worker_count.load(Ordering::Relaxed),
         }
     }
 
-    /// Something has changed that the others should not wait to hear.
+    /// Pings all others at once, after a change that should not wait for the next ping.
     fn ping_all(&self) {
-        for l in self.links.values() {
-            let _ = l.queue.try_send(vec![self.ping()]);
+        for link in self.links.values() {
+            let _ = link.queue.try_send(vec![self.ping()]);
         }
     }
 
-    /// How many workers this controller can hold; told to the others.
+    /// The most workers that this controller can hold; announced to the others.
     pub fn max_workers(&self) -> u32 {
         self.local.max_workers
     }
 
     fn ping_extension(&self) -> (PingMore, PingSelf) {
-        let more = PingMore {
+        let extension = PingMore {
             workers_most: Some(self.local.max_workers),
             speaks: versions::OWN.0,
         };
         let instance = self.local.instance.0;
-        (more, PingSelf { instance })
+        (extension, PingSelf { instance })
     }
 
-    /// How many workers report to this controller; told to the others.
+    /// Sets how many workers report to this controller; announced to the others.
     pub fn set_worker_count(&self, n: u32) {
         self.worker_count.store(n, Ordering::Relaxed);
     }
 
-    /// How many workers report to each controller that can be talked to.
+    /// The load of each other controller that is directly reachable.
     pub fn worker_loads(&self) -> Vec<PeerLoad> {
         let now = self.now();
-        let m = self.membership();
-        let load = |l: &Label| {
-            m.status(now, l).map(|t| PeerLoad {
-                label: l.clone(),
-                workers: t.workers,
-                max_workers: t.workers_most,
+        let membership = self.membership();
+        let load = |label: &Label| {
+            membership.status(now, label).map(|status| PeerLoad {
+                label: label.clone(),
+                workers: status.workers,
+                max_workers: status.workers_most,
             })
         };
-        m.others().filter_map(load).collect()
+        membership.others().filter_map(load).collect()
     }
 
-    /// What this controller believes; told to the others.
-    pub fn set_leader(&self, l: Option<(Label, Epoch)>) {
-        if self.membership().set_leader(l) {
+    /// Sets the leader that this controller knows; announced to the others.
+    pub fn set_leader(&self, leader: Option<(Label, Epoch)>) {
+        if self.membership().set_leader(leader) {
             self.ping_all();
         }
     }
 
-    /// The latest leader that any controller in touch speaks of.
+    /// The leader with the largest epoch that any connected controller has announced.
     pub fn best_leader(&self) -> Option<(Label, Epoch)> {
         self.membership().latest_leader(self.now())
     }
 
-    /// The epoch that a controller in touch says it leads itself.
+    /// The epoch in which a connected controller claims to lead itself.
     pub fn claimed_epoch(&self, label: &Label) -> Option<Epoch> {
-        let members = self.membership();
-        let claim = members.status(self.now(), label)?.leader.as_ref();
+        let membership = self.membership();
+        let claim = membership.status(self.now(), label)?.leader.as_ref();
         claim.filter(|l| l.0 == *label).map(|l| l.1)
     }
 
-    /// Any other controller can be talked to.
+    /// Whether any other controller is reachable.
     pub fn any_reachable(&self) -> bool {
         self.membership().any_reachable(self.now())
     }
 
-    /// Controllers that can't be talked to directly.
+    /// Controllers that are not directly reachable.
     pub fn unreachable_peers(&self) -> Vec<Label> {
         self.membership().unreachable(self.now())
     }
 
-    /// The version of each controller that was ever heard, in touch or not.
+    /// The last reported version of each controller, connected or not.
     pub fn versions(&self) -> Vec<(Label, ReportedVersion)> {
-        let members = self.membership();
+        let membership = self.membership();
         let owned = |(label, reported): (&Label, _)| (label.clone(), reported);
-        members.versions().map(owned).collect()
+        membership.versions().map(owned).collect()
     }
 
+    /// Whether a controller is reachable, directly or through the third one.
     pub fn reachable(&self, to: &Label) -> bool {
         self.membership().route(self.now(), to).is_some()
     }
 
-    /// False if there is no way at the moment; nothing is sent then.
-    pub fn send(&self, to: &Label, msgs: Vec<PeerMsg>) -> bool {
+    /// Queues messages to a controller. False if it is unreachable or its queue is full;
+    /// then nothing is sent.
+    pub fn send(&self, to: &Label, messages: Vec<PeerMsg>) -> bool {
         let via = self.membership().route(self.now(), to).cloned();
-        let link = via.and_then(|l| self.links.get(&l));
-        link.is_some_and(|l| l.queue.try_send(msgs).is_ok())
+        let link = via.and_then(|label| self.links.get(&label));
+        link.is_some_and(|link| link.queue.try_send(messages).is_ok())
     }
 }
--- a/src/peer/inbound.rs
+++ b/src/peer/inbound.rs
@@ -1,5 +1,5 @@
-//! Connections of the other controllers: pings go to the membership, messages for this
-//! controller to the main loop, and those for the third are passed on.
+//! Inbound connections from the other controllers: pings go to the membership, messages to
+//! this controller go to the main loop, and those to the third one are forwarded.
 
 use super::{MAX_INBOUND_PER_PEER, PeerEvent, Peers};
 use crate::ids::{ControllerVersion, Epoch, Instance, Label};
@@ -12,10 +12,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// A live peer pings twice a second; a connection that is silent for longer is closed.
+/// A live peer pings twice a second; a connection without data for longer is closed.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 const READ_BUFFER_BYTES: usize = 32 * 1024;
-/// After a failure to accept, most likely for want of descriptors.
+/// Delay after a failure to accept, most likely for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Peers {
@@ -34,12 +34,12 @@
                 open.fetch_sub(1, Ordering::SeqCst);
                 continue;
             }
-            // Numbered here: threads may begin in another order.
+            // Numbered here, as the threads may start in another order.
             let link = LinkId(self.next_link_id.fetch_add(1, Ordering::Relaxed));
-            let (peers, inbox, now_open) = (self.clone(), inbox.clone(), open.clone());
+            let (peers, inbox, open_connections) = (self.clone(), inbox.clone(), open.clone());
             let started = crate::node::spawn("peer-in", move || {
                 peers.listen_to(stream, link, &inbox);
-                now_open.fetch_sub(1, Ordering::SeqCst);
+                open_connections.fetch_sub(1, Ordering::SeqCst);
             });
             if !started {
                 open.fetch_sub(1, Ordering::SeqCst);
@@ -51,27 +51,27 @@
         let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
         let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
         while let Ok((message, (more, sender))) = peer_frame::read(&mut stream) {
-            let goes_on = match message {
+            let main_loop_runs = match message {
                 PeerMsg::Ping { .. } => match ping_status(message, &more, sender) {
                     Some((from, status)) => self.receive_ping(from, link, status, inbox),
                     None => true,
                 },
                 message => self.receive(message, inbox),
             };
-            if !goes_on {
+            if !main_loop_runs {
                 break;
             }
         }
         let gone = self.membership().link_closed(link);
         if let Some(label) = gone {
-            tracing::debug!(%label, "its link has ended");
+            tracing::debug!(%label, "inbound link from controller closed");
             self.ping_all();
             inbox(PeerEvent::Disconnected(label));
         }
     }
 
-    /// Takes a message for this controller, or passes it on to where it belongs; false
-    /// once nobody listens any more.
+    /// Handles a message to this controller, or forwards it to its receiver. False once
+    /// the main loop has ended.
     fn receive(&self, message: PeerMsg, inbox: &impl Fn(PeerEvent) -> bool) -> bool {
         let to = match &message {
             PeerMsg::Ask { to, .. } | PeerMsg::Tell { to, .. } => Label::from(to.as_str()),
@@ -80,7 +80,7 @@
         if to == self.local.label {
             return inbox(PeerEvent::Message(self.now(), message));
         }
-        // Passed on once, straight to where it belongs.
+        // Forwarded once, and only over a direct link.
         if self.membership().reachable(self.now(), &to)
             && let Some(link) = self.links.get(&to)
         {
@@ -89,28 +89,30 @@
         true
     }
 
-    /// Takes a ping; false once nobody listens any more.
+    /// Handles a ping. False once the main loop has ended.
     fn receive_ping(
         &self,
         from: Label,
-        by: LinkId,
+        link_id: LinkId,
         status: PeerStatus,
         inbox: &impl Fn(PeerEvent) -> bool,
     ) -> bool {
         let Some(link) = self.links.get(&from) else {
             return true;
         };
-        let outcome = self.membership().record_ping(self.now(), &from, by, status);
+        let outcome = self
+            .membership()
+            .record_ping(self.now(), &from, link_id, status);
         match outcome {
             PingOutcome::Unchanged | PingOutcome::Stale => true,
             PingOutcome::Joined => {
-                // It waits for our word that it is heard.
+                // The peer waits for a ping that confirms that it is heard.
                 self.ping_all();
                 true
             }
             PingOutcome::Restarted => {
-                tracing::info!(label = %from, "another process has taken up that label");
-                link.process_count.fetch_add(1, Ordering::SeqCst);
+                tracing::info!(label = %from, "controller restarted under the same label");
+                link.restart_count.fetch_add(1, Ordering::SeqCst);
                 self.ping_all();
                 inbox(PeerEvent::Disconnected(from))
             }
@@ -118,7 +120,7 @@
     }
 }
 
-/// Who sent a ping, and what it says; none if the message is no ping.
+/// The sender and the content of a ping; none if the message is no ping.
 fn ping_status(
     message: PeerMsg,
     more: &PingMore,
--- a/src/peer/outbound.rs
+++ b/src/peer/outbound.rs
@@ -1,4 +1,4 @@
-//! The connection to one other controller: pings and messages leave by it.
+//! The outbound connection to one other controller, for pings and messages.
 
 use super::Peers;
 use crate::ids::Label;
@@ -12,37 +12,39 @@
 
 /// How often a controller pings the others.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
-/// For connecting, and for each write.
-const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A controller that can't be connected to is tried again after so long.
+/// Timeout of connecting and of each write.
+const IO_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a failed attempt to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
-/// The same for the first attempts: a process that ended may be back in a moment.
+/// The same for the first attempts: a process that has ended may restart at once.
 const FIRST_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Number of attempts with the short delay.
 const FIRST_RECONNECTS: u32 = 20;
-/// A connection over which we are not heard by then is made anew.
+/// A connection is replaced if the peer does not report by then that it hears this
+/// controller.
 const UNHEARD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Batches of messages that leave in one go.
+/// The most queued batches that are added to one write.
 const BATCHES_PER_WRITE: usize = 64;
 
-/// How a connection came to its end.
+/// Why a connection has ended.
 #[derive(PartialEq)]
 enum ConnectionEnd {
-    /// It is to be made anew.
+    /// It failed or is stale and is to be replaced.
     Reconnect,
-    /// Nobody sends any more.
+    /// The sending side of the queue was dropped.
     Closed,
 }
 
 impl Peers {
-    /// Keeps a connection to that controller as long as this process lives.
+    /// Keeps a connection to that controller open as long as this process lives.
     pub(super) fn keep_link(&self, to: &Label, addr: SocketAddr, queue: &Receiver<Vec<PeerMsg>>) {
         let Some(link) = self.links.get(to) else {
             return;
         };
         let mut failed_attempts = 0;
         loop {
-            let process = link.process_count.load(Ordering::SeqCst);
-            let Ok(mut stream) = TcpStream::connect_timeout(&addr, CALL_TIMEOUT) else {
+            let restarts_at_connect = link.restart_count.load(Ordering::SeqCst);
+            let Ok(mut stream) = TcpStream::connect_timeout(&addr, IO_TIMEOUT) else {
                 while queue.try_recv().is_ok() {}
                 std::thread::sleep(match failed_attempts < FIRST_RECONNECTS {
                     true => FIRST_RECONNECT_DELAY,
@@ -53,16 +55,16 @@
             };
             failed_attempts = 0;
             let _ = stream.set_nodelay(true);
-            let _ = stream.set_write_timeout(Some(CALL_TIMEOUT));
-            let is_current = || is_process(&link.process_count, process);
+            let _ = stream.set_write_timeout(Some(IO_TIMEOUT));
+            let is_current = || is_unchanged(&link.restart_count, restarts_at_connect);
             if self.serve_link(&mut stream, to, queue, is_current) == ConnectionEnd::Closed {
                 return;
             }
         }
     }
 
-    /// Sends pings and messages until the connection fails, the other side does not hear
-    /// us, or another process has taken up its label.
+    /// Sends pings and messages until the connection fails, the peer does not hear this
+    /// controller, or the peer has restarted.
     fn serve_link(
         &self,
         stream: &mut TcpStream,
@@ -70,32 +72,33 @@
         queue: &Receiver<Vec<PeerMsg>>,
         is_current: impl Fn() -> bool,
     ) -> ConnectionEnd {
-        let connected = Instant::now();
-        let mut pinged = Instant::now();
+        let connected_at = Instant::now();
+        let mut pinged_at = Instant::now();
         let mut ok = self.write(stream, vec![self.ping()], queue).is_ok();
-        // A peer that came back after a crash may leave the old connection
-        // unanswered for long; only its own word says that we are heard.
-        let is_heard =
-            || connected.elapsed() < UNHEARD_TIMEOUT || self.membership().reachable(self.now(), to);
+        // After a crash of the peer, writes to the old connection may succeed for long.
+        // Only the peer's own ping confirms that it hears this controller.
+        let is_heard = || {
+            connected_at.elapsed() < UNHEARD_TIMEOUT || self.membership().reachable(self.now(), to)
+        };
         while ok && is_current() && is_heard() {
-            match queue.recv_timeout(PING_INTERVAL.saturating_sub(pinged.elapsed())) {
+            match queue.recv_timeout(PING_INTERVAL.saturating_sub(pinged_at.elapsed())) {
                 Ok(_) if !is_current() => break,
                 Ok(messages) => ok = self.write(stream, messages, queue).is_ok(),
                 Err(RecvTimeoutError::Timeout) => {
-                    pinged = Instant::now();
+                    pinged_at = Instant::now();
                     ok = self.write(stream, vec![self.ping()], queue).is_ok();
                 }
                 Err(RecvTimeoutError::Disconnected) => return ConnectionEnd::Closed,
             }
-            if pinged.elapsed() >= PING_INTERVAL {
-                pinged = Instant::now();
+            if pinged_at.elapsed() >= PING_INTERVAL {
+                pinged_at = Instant::now();
                 ok = ok && self.write(stream, vec![self.ping()], queue).is_ok();
             }
         }
         ConnectionEnd::Reconnect
     }
 
-    /// Sends messages, along with some of what waits behind them.
+    /// Writes messages, together with some of those queued behind them.
     fn write(
         &self,
         stream: &mut TcpStream,
@@ -115,7 +118,7 @@
     }
 }
 
-/// No other process has taken up the label meanwhile.
-fn is_process(now: &AtomicU64, process: u64) -> bool {
-    now.load(Ordering::SeqCst) == process
+/// Whether the peer has not restarted since the count was read.
+fn is_unchanged(restart_count: &AtomicU64, expected: u64) -> bool {
+    restart_count.load(Ordering::SeqCst) == expected
 }
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -1,4 +1,4 @@
-//! Client of workers, for direct calls.
+//! Client for direct calls to workers.
 
 use crate::sched::DirectResult;
 use crate::store::client::{agent, finish};
@@ -7,19 +7,19 @@
 use std::time::Duration;
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The same worker is hardly ever called twice in a while: no connection is kept.
+/// The same worker is rarely called twice within a short time, so no connection is kept.
 const MAX_IDLE_CONNECTIONS: usize = 0;
 
-/// Makes one call at a time; keeps no state.
+/// A blocking client; keeps no state.
 pub struct WorkerClient(ureq::Agent);
 
 impl WorkerClient {
-    /// Nothing is sent yet.
+    /// Creates a client; sends nothing yet.
     pub fn new() -> WorkerClient {
         WorkerClient(agent(CALL_TIMEOUT, MAX_IDLE_CONNECTIONS))
     }
 
-    /// Sends commands to the worker at `addr` and tells what is proven by its answer.
+    /// Sends commands to the worker at `addr`. The result says what its answer proves.
     pub fn send_orders(&self, addr: &str, orders: &Orders) -> DirectResult {
         let Ok(body) = serde_json::to_vec(orders) else {
             return DirectResult::Refused;
