--- a/src/main.rs
+++ b/src/main.rs
@@ -195,19 +195,19 @@
             );
             println!(
                 "  in doubt when nothing is heard for {} s and {}% of its machines are overdue ({} s)",
-                zone_limits.quiet.as_secs(),
+                zone_limits.quiet_after.as_secs(),
                 zone_limits.overdue_share * 100.0,
                 zone_limits.overdue_after().as_secs()
             );
             println!(
                 "  lost {} s later; its machines are kept for {} s",
                 zone_limits.lost_after.as_secs(),
-                zone_limits.keep.as_secs()
+                zone_limits.retain_for.as_secs()
             );
             println!(
                 "  back in full after {} to {} s",
-                zone_limits.settle.as_secs(),
-                zone_limits.settle_most.as_secs()
+                zone_limits.recovery_ramp.as_secs(),
+                zone_limits.max_recovery_ramp.as_secs()
             );
             if let Err(e) = settings.check_machines(&config) {
                 eprintln!("hookworks: {e}");
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -157,7 +157,7 @@
         // make it too late.
         let (time_of_day, at) = (wall(), self.clock.now());
         if let Some(fences) = loaded.fences {
-            scheduler.take_fences(at, time_of_day, fences);
+            scheduler.load_fences(at, time_of_day, fences);
         }
         scheduler.load(now, loaded.jobs, loaded.unreadable);
         Leadership {
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -4,7 +4,7 @@
 use super::Sched;
 use super::fleet::Shortage;
 use super::job::{Job, Live, Phase};
-use super::machine::{ENDLESS, Life, Machine};
+use super::machine::{ENDLESS, Machine, MachineState};
 use super::order::Order;
 use super::place::{Candidate, JobView, Score, may_run_on};
 use crate::ids::{Attempt, Host, JobId, Zone};
@@ -152,11 +152,15 @@
         let fresh = self.max_heartbeat_age();
         let view = JobView::of(self, now, job, order, false);
         let mut suitable = vec![];
-        for machine in self.machines.values().filter(|m| m.open(now, fresh)) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|m| m.accepts_tasks(now, fresh))
+        {
             let candidate = Candidate {
                 machine,
                 free: machine.free(),
-                remaining: machine.remaining(now),
+                remaining: machine.remaining_range(now),
                 reserved: held.contains(&machine.host),
             };
             if let Some(score) = view.score(&candidate) {
@@ -196,7 +200,7 @@
         for machine in self.machines.values() {
             let kept =
                 held.contains(&machine.host) && !(overdue && machine.reservation_expired(now));
-            if !may_run_on(&job.spec, machine) || kept || self.watch.silent(&machine.zone) {
+            if !may_run_on(&job.spec, machine) || kept || self.watch.is_silent(&machine.zone) {
                 continue;
             }
             if let Some(soon_free) = self.soon_free(now, job, machine) {
@@ -219,10 +223,10 @@
             after,
             tasks,
         };
-        if machine.life == Life::Booting {
+        if machine.state == MachineState::Booting {
             return Some(soon_free(ENDLESS, whole));
         }
-        if !machine.open(now, self.max_heartbeat_age()) {
+        if !machine.accepts_tasks(now, self.max_heartbeat_age()) {
             return None;
         }
         let free = machine.free().tasks_that_fit(&job.need);
@@ -230,10 +234,12 @@
             return Some(soon_free(Span::ZERO, free));
         }
         let boot = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
-        let empty_after = machine.remaining(now).map_or(Span::ZERO, |(_, high)| high);
+        let empty_after = machine
+            .remaining_range(now)
+            .map_or(Span::ZERO, |(_, high)| high);
         let overruns = || {
             machine
-                .slots
+                .allocations
                 .values()
                 .any(|slot| slot.overran_estimate(now))
         };
@@ -271,7 +277,7 @@
         let going_on = job.live.iter().filter(|(_, live)| live.stop.is_none());
         let tasks: Vec<_> = going_on.map(|(task, _)| *task).collect();
         for task in tasks {
-            self.stop(now, id, task, leeway_s);
+            self.stop_attempt(now, id, task, leeway_s);
         }
     }
 }
--- a/src/sched/headroom.rs
+++ b/src/sched/headroom.rs
@@ -132,7 +132,11 @@
     pub(super) fn free_capacity(&self, now: Time) -> FreeCapacity {
         let fresh = self.max_heartbeat_age();
         let mut free = FreeCapacity::default();
-        for m in self.machines.values().filter(|m| m.open(now, fresh)) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.accepts_tasks(now, fresh))
+        {
             free.add(m);
         }
         free
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -103,7 +103,7 @@
     pub(super) fn job_order(&self, now: Time) -> Order {
         let within = self.jobs_within_guarantee();
         let mut whole = Resources::default();
-        for m in self.machines.values().filter(|m| !m.shut) {
+        for m in self.machines.values().filter(|m| !m.closed) {
             whole += m.capacity;
         }
         let rank = |j: &Job| {
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -12,7 +12,7 @@
 use super::fleet::Shortage;
 use super::headroom::FreeCapacity;
 use super::job::{Job, Live, Phase};
-use super::machine::{ENDLESS, Machine, Slot};
+use super::machine::{Allocation, ENDLESS, Machine};
 use super::order::{Order, Turn};
 use super::records::Purpose;
 use super::{Resources, Sched, estimate};
@@ -103,7 +103,7 @@
         }
         for m in self.machines.values_mut() {
             let kept = held.contains(&m.host);
-            m.kept_since = kept.then(|| m.kept_since.unwrap_or(now));
+            m.reserved_for_gangs_since = kept.then(|| m.reserved_for_gangs_since.unwrap_or(now));
         }
         if now >= self.preempt_at {
             self.preempt_at = now + PREEMPTION_INTERVAL;
@@ -221,7 +221,7 @@
         let spare = self.free_above_headroom(now);
         let mut best: Option<(Score, &Machine)> = None;
         for m in self.machines.values() {
-            if !m.open(now, fresh) {
+            if !m.accepts_tasks(now, fresh) {
                 continue;
             }
             if !view.may_use(&spare, m.spot, 0) {
@@ -230,7 +230,7 @@
             if !zones.contains(&m.zone) {
                 continue;
             }
-            let (free, span) = (m.free(), m.remaining(now));
+            let (free, span) = (m.free(), m.remaining_range(now));
             let kept = held.contains(&m.host);
             let c = Candidate {
                 machine: m,
@@ -295,14 +295,14 @@
         if let Some(m) = self.machines.get_mut(host) {
             holds_image = m.has_image(&j.spec.image);
             m.used += j.need;
-            let slot = Slot {
+            let slot = Allocation {
                 need: j.need,
                 start: now,
                 estimate: est,
                 endless: est == ENDLESS,
                 image: j.spec.image.clone(),
             };
-            m.slots.insert(task_id(id, ix), slot);
+            m.allocations.insert(task_id(id, ix), slot);
         }
         self.unsent.insert(host.clone());
         tracing::debug!(job = %id, class = %j.spec.class, task = %ix, %host, holds_image, "placed");
@@ -455,7 +455,11 @@
 fn candidates<'a>(sched: &'a Sched, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
     let fresh = sched.max_heartbeat_age();
     let mut candidates = vec![];
-    for machine in sched.machines.values().filter(|m| m.open(now, fresh)) {
+    for machine in sched
+        .machines
+        .values()
+        .filter(|m| m.accepts_tasks(now, fresh))
+    {
         let (free, kept) = (machine.free(), held.contains(&machine.host));
         if free.cpu <= 0 || kept && !machine.reservation_expired(now) {
             continue;
@@ -463,7 +467,7 @@
         candidates.push(Candidate {
             machine,
             free,
-            remaining: machine.remaining(now),
+            remaining: machine.remaining_range(now),
             reserved: kept,
         });
     }
