--- a/src/main.rs
+++ b/src/main.rs
@@ -11,7 +11,7 @@
 #[command(name = "hookworks", version)]
 struct Cli {
     #[command(subcommand)]
-    command: Command,
+    verb: Command,
 }
 
 #[derive(Subcommand)]
@@ -238,7 +238,7 @@
 }
 
 fn main() -> ExitCode {
-    match run(Cli::parse().command) {
+    match run(Cli::parse().verb) {
         Ok(code) | Err(code) => code,
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -634,9 +634,9 @@
         self.publish(now);
         self.log_requests(now);
         self.check_invariants(now);
-        let healthy = self.stopping.is_none() && self.can_serve(now);
-        if healthy != self.shared.healthy.swap(healthy, Ordering::Relaxed) {
-            tracing::info!(healthy, "health check result changed");
+        let is_healthy = self.stopping.is_none() && self.can_serve(now);
+        if is_healthy != self.shared.healthy.swap(is_healthy, Ordering::Relaxed) {
+            tracing::info!(healthy = is_healthy, "health check result changed");
         }
     }
 }
