--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,17 +1,16 @@
-//! The fleet in zones. A zone whose machines fall silent together is one event,
-//! not hundreds: what it holds may be running, ending or gone, and nobody here
-//! can tell which. This package turns evidence into a state for each zone
-//! ([`Zones`]) and, for one that is lost, into a plan of what is worth getting
-//! proof for ([`plan`]).
+//! Zone outage detection. A zone whose machines fall silent together is one event, not
+//! hundreds: its attempts may be running, ending or gone, and the leader can't tell
+//! which. This crate turns evidence into a state for each zone ([`Zones`]) and, for a
+//! lost zone, into a plan of which machines to release ([`plan_releases`]).
 //!
-//! It promises that verdicts come and go in order, with hysteresis, that they
-//! never fall on all zones at once (then the fault is the leader's own), and
-//! that the work of a look grows with zones only, that of a plan with the tasks
-//! that it is given.
+//! Guarantees: states change in a fixed order and with hysteresis; never do all zones
+//! count as silent at once (then the fault is the leader's own); the cost of an update
+//! depends on the number of zones only, that of a plan on the number of tasks given.
 //!
-//! It must never free anything: a verdict orders and paces. That an attempt is
-//! gone is proven elsewhere, by a report, an ended session, a lease that has
-//! run out or the cloud's word. No I/O, clock or threads.
+//! A state never ends an attempt or frees its resources; it only prioritizes and limits
+//! actions. That an attempt is gone is proven elsewhere: by a report, an ended session,
+//! an expired lease or a release confirmed by the cloud. The crate uses no I/O, clock
+//! or threads.
 
 mod limits;
 mod plan;
--- a/crates/zones/src/limits.rs
+++ b/crates/zones/src/limits.rs
@@ -1,41 +1,43 @@
-//! How long, how many, how sure.
+//! Thresholds and times for zone states.
 
 use hookworks_base::time::Span;
 
-/// What the verdicts rest on; operators may set most of it.
+/// The parameters of zone states; most are settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Workers report so often, give or take a quarter.
+    /// The heartbeat interval of workers, which varies by up to a quarter.
     pub report: Span,
-    /// Nothing at all heard from a zone for so long is the first sign.
+    /// First condition for doubt: nothing at all heard from the zone for this long.
     pub quiet_after: Span,
-    /// The second: this share of its machines is overdue.
+    /// Second condition for doubt: this share of its machines is overdue.
     pub overdue_share: f64,
-    /// The share that makes a zone doubtful though some of it is heard.
+    /// The overdue share that puts a zone in doubt although some machines are still
+    /// heard.
     pub partial_outage_share: f64,
-    /// A zone with fewer machines is not judged: each is, by itself.
+    /// Zones with fewer machines have no state of their own; their machines are judged
+    /// one by one.
     pub min_machines: u32,
-    /// In doubt for so long, a zone is lost.
+    /// A zone in doubt for this long counts as lost.
     pub lost_after: Span,
-    /// A zone that comes back is used in full after so long; twice as long for
-    /// each trouble before that is still remembered.
+    /// The time over which a returning zone is reopened; doubled for each earlier
+    /// outage that is still remembered.
     pub recovery_ramp: Span,
-    /// It never takes longer than this.
+    /// The upper bound of that time.
     pub max_recovery_ramp: Span,
-    /// Troubles are remembered for so long.
+    /// How long outages are remembered.
     pub outage_memory: Span,
-    /// Machines of a lost zone are kept for so long: while renting others in
-    /// their place would cost more.
+    /// How long machines of a lost zone are kept: while renting replacements would cost
+    /// more.
     pub retain_for: Span,
 }
 
-/// The longest that a worker waits between two reports, as a share of the period.
+/// The longest interval between two heartbeats, relative to the nominal one.
 const MAX_REPORT_INTERVAL_RATIO: f64 = 1.25;
-/// A report may be on its way for so long.
+/// The longest delivery time of a heartbeat, in seconds.
 const MAX_DELIVERY_S: f64 = 1.0;
 
 impl Limits {
-    /// For workers that report so often.
+    /// The defaults for a heartbeat interval.
     pub fn of(report: Span) -> Limits {
         Limits {
             report,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// A machine not heard for longer has missed a report for certain.
+    /// A machine not heard for longer has certainly missed a heartbeat.
     pub fn overdue_after(&self) -> Span {
         Span::secs(self.report.as_secs() * MAX_REPORT_INTERVAL_RATIO + MAX_DELIVERY_S)
     }
--- a/src/sched/consistency.rs
+++ b/src/sched/consistency.rs
@@ -1,53 +1,65 @@
-//! Sums that are kept up as things happen, held against the plain computation.
+//! Consistency check: compares incrementally maintained totals with totals computed
+//! from scratch.
 
 use super::{Resources, Sched};
 use crate::ids::Team;
 use std::collections::BTreeMap;
 
 impl Sched {
-    /// What does not add up; nothing, unless there is a mistake in the code.
+    /// Describes every inconsistency found; empty unless the scheduler has a bug.
     pub fn check_totals(&self) -> Vec<String> {
-        let mut wrong = vec![];
+        let mut inconsistencies = vec![];
         let mut by_team: BTreeMap<&Team, Resources> = BTreeMap::new();
-        let mut lives = 0;
-        for j in self.jobs.values() {
-            for (t, l) in &j.live {
-                *by_team.entry(&j.spec.team).or_default() += j.need;
-                lives += 1;
+        let mut active_attempts = 0;
+        for job in self.jobs.values() {
+            for (ix, live) in &job.live {
+                *by_team.entry(&job.spec.team).or_default() += job.need;
+                active_attempts += 1;
                 let task = crate::ids::TaskId {
-                    job: j.id().clone(),
-                    ix: *t,
+                    job: job.id().clone(),
+                    ix: *ix,
                 };
-                let m = self.machines.get(&l.host);
-                if !m.is_some_and(|m| m.allocations.contains_key(&task)) {
-                    wrong.push(format!("{task} has no place on {}", l.host));
+                let machine = self.machines.get(&live.host);
+                if !machine.is_some_and(|machine| machine.allocations.contains_key(&task)) {
+                    inconsistencies.push(format!("{task} has no allocation on {}", live.host));
                 }
             }
-            let listed = j.live.len() as u32 + j.done_count;
-            if listed > j.spec.tasks {
-                wrong.push(format!("{}: {listed} of {}", j.id(), j.spec.tasks));
+            let listed = job.live.len() as u32 + job.done_count;
+            if listed > job.spec.tasks {
+                inconsistencies.push(format!(
+                    "{}: {listed} tasks active or done, of {}",
+                    job.id(),
+                    job.spec.tasks
+                ));
             }
         }
-        let mut slots = 0;
-        for m in self.machines.values() {
+        let mut allocations = 0;
+        for machine in self.machines.values() {
             let mut used = Resources::default();
-            for s in m.allocations.values() {
-                used += s.need;
+            for allocation in machine.allocations.values() {
+                used += allocation.need;
             }
-            slots += m.allocations.len();
-            if used != m.used {
-                wrong.push(format!("{}: {used} in use, not {}", m.host, m.used));
+            allocations += machine.allocations.len();
+            if used != machine.used {
+                inconsistencies.push(format!(
+                    "{}: allocations sum up to {used}, recorded are {}",
+                    machine.host, machine.used
+                ));
             }
         }
-        if slots != lives {
-            wrong.push(format!("{slots} claims of {lives} attempts"));
+        if allocations != active_attempts {
+            inconsistencies.push(format!(
+                "{allocations} allocations for {active_attempts} active attempts"
+            ));
         }
         for (team, used) in by_team {
-            let kept = self.teams.used(team);
-            if kept.is_some_and(|k| k != used) {
-                wrong.push(format!("{team} uses {used}, not {kept:?}"));
+            let recorded = self.teams.used(team);
+            if recorded.is_some_and(|recorded| recorded != used) {
+                inconsistencies.push(format!(
+                    "{team}: active attempts use {used}, recorded are {recorded:?}"
+                ));
             }
         }
-        wrong
+        inconsistencies
     }
 }
--- a/src/sched/direct_calls.rs
+++ b/src/sched/direct_calls.rs
@@ -1,5 +1,5 @@
-//! Direct calls: commands that go straight to a worker, not to lose the time until its
-//! next heartbeat, and what their answers prove.
+//! Direct calls: commands sent to a worker without waiting for its next heartbeat, and
+//! the handling of their results.
 
 use super::job::{Live, Phase};
 use super::machine::{Machine, MachineState};
@@ -9,19 +9,19 @@
 use crate::time::{Span, Time};
 use crate::wire::worker::{Order, Orders};
 
-/// After a refused or unanswered direct call, none follows for so long: the next
-/// heartbeat has to do.
+/// Backoff after a refused or unanswered direct call; until then commands go with
+/// heartbeat answers.
 const FAILED_CALL_BACKOFF: Span = Span(4_000_000);
-/// Only a worker that was heard within so many heartbeat intervals is called.
+/// Only a worker that sent something within this many heartbeat intervals is called.
 const MAX_INTERVALS_SINCE_HEARD: f64 = 1.5;
 
-/// The attempt is stored or about to be, and no command has left for it.
+/// Whether the attempt is placed and its start has not been sent yet.
 fn awaits_command(live: &Live) -> bool {
     live.phase == Phase::Placed && !live.sent
 }
 
 impl Sched {
-    /// Sends what waits for this worker, with the answer that is held for it or by a
+    /// Sends pending commands to this worker, with its held heartbeat answer or by a
     /// direct call.
     pub(super) fn send_commands(&mut self, now: Time, host: &Host) {
         if let Some(beat) = self.held.remove(host) {
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Where the worker listens, if a direct call to it may be made now.
+    /// The worker's address, if a direct call to it may be made now.
     fn callable_address(&self, now: Time, host: &Host) -> Option<String> {
         let machine = self.machines.get(host)?;
         let fresh = Span::secs(self.cfg.workers.report_s * MAX_INTERVALS_SINCE_HEARD);
@@ -64,7 +64,7 @@
             && machine.state == MachineState::Up
             && machine.direct_call.is_none()
             && machine.unconfirmed_token.is_none()
-            // Calls to a zone that is cut off hold up those to others.
+            // Calls to an unreachable zone would delay calls to other zones.
             && !self.watch.is_silent(&machine.zone)
             && now >= machine.no_direct_call_until
             && now - machine.last_contact < fresh;
@@ -77,10 +77,11 @@
         call
     }
 
-    /// A call under way may start what is to end. Answers to heartbeats tell that, and
-    /// renew the lease; one that overtakes the call tells a worker to end what it does
-    /// not have yet, and the call would start it under the renewed lease. So they carry
-    /// a token from now on that puts the call out of force.
+    /// Invalidates a direct call in flight that may start an attempt to be stopped. An
+    /// answer to a heartbeat that overtakes the call would stop an attempt that the
+    /// worker does not have yet and renew the lease; the call would then start it. So
+    /// commands carry a new fencing token from now on, which makes the worker reject
+    /// the call.
     pub(super) fn invalidate_call(&mut self, host: &Host) {
         let token = self.next_token();
         if let Some(machine) = self.machines.get_mut(host)
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Something of this job is stored: commands that waited for that may leave.
+    /// A write of this job is stored: commands that waited for it may be sent.
     pub(super) fn note_job_stored(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -100,14 +101,14 @@
         }
     }
 
-    /// Sends what has become ready during this event.
+    /// Sends commands that became ready during this event.
     pub(super) fn send_ready_commands(&mut self, now: Time) {
         for host in std::mem::take(&mut self.ready) {
             self.send_commands(now, &host);
         }
     }
 
-    /// Tries all machines again for which commands wait.
+    /// Retries all machines with unsent commands.
     pub(super) fn retry_unsent_commands(&mut self, now: Time) {
         for host in std::mem::take(&mut self.unsent) {
             if self.any_awaits_command(&host) {
@@ -128,7 +129,7 @@
         })
     }
 
-    /// A direct call has ended.
+    /// Handles the end of a direct call.
     pub(super) fn handle_call_result(
         &mut self,
         now: Time,
@@ -148,7 +149,7 @@
         self.probe_finished(now, call);
     }
 
-    /// `token`: a new one, for a worker that may still carry the call out.
+    /// `token`: a new token for a worker that may still execute the call.
     fn apply_call_result(&mut self, now: Time, host: &Host, token: Token, result: DirectResult) {
         let Some(machine) = self.machines.get_mut(host) else {
             return;
@@ -159,7 +160,7 @@
                 self.send_commands(now, host);
             }
             DirectResult::Conflict(report) => {
-                // A probe of a machine that had not reported yet ends so, too.
+                // A probe of a machine that has not reported yet also ends this way.
                 if machine.has_reported {
                     machine.no_direct_call_until = now + FAILED_CALL_BACKOFF;
                 }
@@ -172,8 +173,8 @@
                 self.watch.note_failed_call(&zone);
             }
             DirectResult::Unclear => {
-                // It may be carried out minutes from now, unless the worker has
-                // heard a higher token by then.
+                // The call may be executed minutes from now, unless the worker receives
+                // a higher token before.
                 machine.no_direct_call_until = now + FAILED_CALL_BACKOFF;
                 machine.await_confirmation(token);
                 let zone = machine.zone.clone();
@@ -184,7 +185,7 @@
 }
 
 impl Machine {
-    /// What was sent may be carried out until the worker has confirmed this token.
+    /// Earlier commands may be executed until the worker confirms this token.
     pub(super) fn await_confirmation(&mut self, token: Token) {
         self.token = token;
         self.unconfirmed_token = Some(token);
--- a/src/sched/fences.rs
+++ b/src/sched/fences.rs
@@ -1,12 +1,12 @@
-//! Fences: zones whose workers are not answered, on record, so that a leader elected
-//! while a zone is lost knows how long ago the leases there began to expire, and need
+//! Zone fences: a stored record of zones whose workers get no answers. With it a leader
+//! elected during a zone outage knows when the leases there were last renewed and need
 //! not count them from its own election.
 //!
-//! The record of epoch `n` says of a zone: no leader of an epoch up to `n` has
-//! answered any of its workers since then, nor will one while this stands. Who
-//! has written so answers them only once it is stored that it no longer holds.
-//! A later leader relies on the record of the very epoch before its own and on
-//! no other: a leader in between may have answered without knowing of it.
+//! The record of epoch `n` states for a zone: no leader of an epoch up to `n` has
+//! answered any of its workers since the given time, nor will while the record stands.
+//! The leader that wrote it answers them only once the removal is stored. A later
+//! leader relies only on the record of the epoch immediately before its own: a leader
+//! in between may have answered workers without knowing of the record.
 
 use super::Sched;
 use super::machine::Machine;
@@ -15,19 +15,19 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The record, as it is stored.
+/// The stored record of fenced zones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FenceRecord {
-    /// The leadership that has written it.
+    /// The epoch of the leader that wrote it.
     pub epoch: Epoch,
-    /// The last moment at which one of the zone's workers may have been
-    /// answered, in milliseconds of the time of day.
+    /// For each zone the last time at which one of its workers may have been answered,
+    /// in milliseconds of wall-clock time.
     pub since: BTreeMap<Zone, u64>,
 }
 
 impl FenceRecord {
-    /// As many zones as so many bytes hold. Nothing is known of one that is left
-    /// out, so that the next leader waits for its leases from its own beginning.
+    /// Drops zones until the record fits into `bytes`. For a dropped zone the next
+    /// leader counts the leases from its own election.
     pub fn truncated_to(mut self, bytes: usize) -> FenceRecord {
         while self.since.len() > 1
             && serde_json::to_string(&self).is_ok_and(|text| text.len() > bytes)
@@ -38,33 +38,33 @@
     }
 }
 
-/// What is on record, what is to be, and what earlier terms left.
+/// Fences as stored, as wanted, and as inherited from the previous epoch.
 #[derive(Default)]
 pub struct Fences {
-    /// Zones that are not answered, since when.
+    /// Zones to be fenced, with the time of the last possible answer.
     wanted: BTreeMap<Zone, Wall>,
-    /// Zones that the state service may name under our epoch.
+    /// Zones that the stored record of our epoch may name.
     possibly_written: BTreeSet<Zone>,
-    /// Counts the changes of `wanted`.
+    /// Incremented with each change of `wanted`.
     wanted_version: u64,
-    /// The version that was given out to be written.
+    /// The version last handed out for writing.
     sent_version: u64,
-    /// The version that is stored.
+    /// The latest version known to be stored.
     stored_version: u64,
-    /// What the leader before us left, as moments of our clock.
+    /// Fences left by the previous leader, as times of our clock.
     inherited: BTreeMap<Zone, Time>,
     /// When a worker of a zone was last answered by this leader.
     last_answered: BTreeMap<Zone, Time>,
 }
 
 impl Fences {
-    /// A worker there must not be answered: the record that says so stands, or
-    /// may do so.
+    /// Whether workers of the zone must not be answered, because a record that names it
+    /// is or may be stored.
     pub fn is_fenced(&self, zone: &Zone) -> bool {
         self.possibly_written.contains(zone)
     }
 
-    /// A worker of the zone is answered.
+    /// Records an answer to a worker of the zone.
     pub fn note_answer(&mut self, zone: &Zone, now: Time) {
         match self.last_answered.get_mut(zone) {
             Some(at) => *at = now,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// When a worker of the zone that this leader never heard may have been answered
-    /// last, if the leader before us left word of it.
+    /// The last time at which earlier leaders may have answered a worker of the zone,
+    /// if the previous leader left a fence.
     pub fn inherited_since(&self, zone: &Zone) -> Option<Time> {
         self.inherited.get(zone).copied()
     }
@@ -93,7 +93,7 @@
         Some((FenceRecord { epoch, since }, self.wanted_version))
     }
 
-    /// The record could not be written, as far as is known.
+    /// The write failed or its outcome is unknown, so it must be repeated.
     pub fn write_failed(&mut self) {
         self.sent_version = self.stored_version;
     }
@@ -101,20 +101,20 @@
     /// That version of the record is stored.
     pub fn stored(&mut self, version: u64) {
         self.stored_version = self.stored_version.max(version);
-        // What is on record is what was wanted, if nothing has changed since.
+        // The stored record equals `wanted` if nothing has changed since.
         if self.stored_version == self.wanted_version {
             self.possibly_written = self.wanted.keys().cloned().collect();
         }
     }
 
-    /// A machine that this leader never heard was not answered later than its zone
-    /// was, if the leader before us left word of that.
+    /// Limits the lease and contact times of a machine that has not reported to this
+    /// leader by the inherited fence of its zone.
     pub fn bound_machine_times(&self, machine: &mut Machine) {
         if machine.last_report.is_none()
             && let Some(at) = self.inherited_since(&machine.zone)
         {
             machine.last_renewal = machine.last_renewal.min(at);
-            // Nor was it heard: that would have lowered the fence.
+            // It can't have been heard later either: that would have removed the fence.
             machine.last_heartbeat = machine.last_heartbeat.min(at);
             machine.last_contact = machine.last_contact.min(at);
         }
@@ -126,8 +126,9 @@
     }
 }
 
-/// A time of day on our clock, never too early: both clocks may be off, in
-/// opposite directions. It may lie ahead, where an earlier leader could still answer.
+/// Converts wall-clock time `at` to our monotonic clock, never too early: both wall
+/// clocks may be off in opposite directions. It may lie in the future, where an earlier
+/// leader could still answer.
 fn to_local_time(now: Time, wall: Wall, at: Wall, clock_error: Span) -> Time {
     let error = Span(2 * clock_error.0);
     if at.0 > wall.0 {
@@ -138,19 +139,19 @@
 }
 
 impl Sched {
-    /// The record of fenced zones, if it is to be written, and its version.
+    /// The record of fenced zones and its version, if it must be written.
     pub fn fences_to_write(&mut self) -> Option<(FenceRecord, u64)> {
         self.fences.next_write(self.epoch)
     }
 
-    /// That record could not be written, as far as is known.
+    /// The write of that record failed or its outcome is unknown.
     pub fn fence_write_failed(&mut self) {
         self.fences.write_failed();
     }
 
-    /// Takes the record that was stored when this leadership began. The time of day
-    /// must have been read no later than `now`: what follows from it is then never too
-    /// early.
+    /// Loads the record stored when this leadership began; ignored unless it is of the
+    /// previous epoch. `wall` must have been read no later than `now`, so that
+    /// converted times are never too early.
     pub fn load_fences(&mut self, now: Time, wall: Wall, record: FenceRecord) {
         if record.epoch.0 + 1 != self.epoch.0 {
             return;
@@ -158,25 +159,25 @@
         for (zone, since) in record.since {
             let at = to_local_time(now, wall, Wall(since), self.cfg.clock_error);
             let ago_s = now.0 as f64 / 1e6 - at.0 as f64 / 1e6;
-            tracing::info!(%zone, ago_s, "not answered under the term before");
+            tracing::info!(%zone, ago_s, "zone was fenced by the previous leader");
             self.fences.inherited.insert(zone.clone(), at);
-            // On record again under this epoch, for the next leader.
+            // Recorded again under this epoch, for the next leader.
             self.fences.raise(zone, Wall(since));
         }
     }
 
-    /// The zone's workers are not answered from now on.
-    /// To be called with the tick that told the time of day.
+    /// Fences the zone: its workers get no answers from now on. Must be called in the
+    /// tick that read the wall clock.
     pub(super) fn raise_fence(&mut self, now: Time, zone: &Zone) {
         let inherited = self.fences.inherited_since(zone);
         let answered = self.fences.last_answered.get(zone).copied();
         let at = answered.or(inherited).unwrap_or(self.began);
-        // Earlier leaders may have gone on for a while after our beginning, but
-        // for those of which the leader before us left word.
+        // Without an inherited fence, earlier leaders may have answered for the grace
+        // period after our election.
         let earlier = inherited.unwrap_or(self.began + self.cfg.report_grace());
         let at = at.max(earlier);
-        // The time of day was told with this very moment, or read after it:
-        // what goes on record is never too early.
+        // The wall clock was read at this time or later, so the recorded time is never
+        // too early.
         let since = if at >= now {
             self.wall.0 + (at - now).0.div_ceil(1000)
         } else {
@@ -185,7 +186,8 @@
         self.fences.raise(zone.clone(), Wall(since));
     }
 
-    /// One of its workers is heard: it is answered once that is on record.
+    /// Removes the fence because a worker of the zone was heard; the worker is answered
+    /// once the removal is stored.
     pub(super) fn lower_fence(&mut self, zone: &Zone) {
         self.fences.inherited.remove(zone);
         if self.fences.wanted.remove(zone).is_some() {
--- a/src/sched/heartbeats.rs
+++ b/src/sched/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Answers to workers' heartbeats: who is entitled to one, and when it leaves.
+//! Answers to workers' heartbeats: which are answered, and when. An answer renews the
+//! worker's lease.
 
 use super::Sched;
 use super::machine::{Machine, MachineState, SentAnswer};
@@ -8,27 +9,28 @@
 use crate::wire::peer::Answer;
 use crate::wire::worker::{Report, ReportAnswer};
 
-/// An answer waits no longer for its zone to be taken back on record.
+/// The longest time an answer waits until the fence of its zone is removed from the
+/// record.
 const MAX_FENCE_WAIT: Span = Span(1_000_000);
 
-/// Tokens that one leadership may give out; a larger one comes from a later leader.
+/// Fencing tokens per epoch; a larger token was issued by a later leader.
 const TOKENS_PER_EPOCH: u64 = 1 << 24;
 
-/// A heartbeat that is being answered.
+/// A heartbeat that has not been answered yet.
 pub(super) struct PendingHeartbeat {
     req: ReqId,
     received_at: Time,
-    /// Orders the heartbeats of a worker.
+    /// Session and sequence number, which order the heartbeats of a worker.
     position: (Session, Seq),
-    /// The worker has heard our token: it drops the answers of earlier leaders.
+    /// The worker has received our token, so it drops answers of earlier leaders.
     has_our_token: bool,
-    /// The newest of its worker, which may be told what to do.
+    /// The newest one of its worker, whose answer may carry any command.
     newest: bool,
 }
 
 impl Sched {
-    /// Takes a heartbeat, which came by way of the controller `via` if not directly,
-    /// and answers it now or holds the answer back.
+    /// Handles a heartbeat, forwarded by the controller `via` unless it came directly,
+    /// and answers it now or later.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: Time,
@@ -42,10 +44,16 @@
         };
         if !self.may_report(now) || self.fleet.is_returned(&report.host) {
             self.reports_refused += 1;
-            return self.answer(req, Answer::later("not entitled to answer", 1));
+            return self.answer(
+                req,
+                Answer::later("leadership is not proven or machine is released", 1),
+            );
         }
         if report.token.0 >= self.epoch.base() + TOKENS_PER_EPOCH {
-            return self.answer(req, Answer::error(503, "a later leader has spoken"));
+            return self.answer(
+                req,
+                Answer::error(503, "worker carries the token of a later leader"),
+            );
         }
         let host = report.host.clone();
         let tasks_before = self.tasks_on(&host);
@@ -54,21 +62,21 @@
             machine.relayed_by = via;
         }
         let freed = self.tasks_on(&host) < tasks_before;
-        let beat = PendingHeartbeat {
+        let heartbeat = PendingHeartbeat {
             req,
             received_at: now,
             position: (report.session, report.seq),
             has_our_token: report.token >= self.base_token(),
             newest,
         };
-        if !self.supersedes_waiting(&host, &beat) {
-            return self.answer(req, Answer::later("a newer report is here", 1));
+        if !self.supersedes_waiting(&host, &heartbeat) {
+            return self.answer(req, Answer::later("superseded by a newer report", 1));
         }
         if newest && self.should_hold_answer(now, &host, freed) {
             self.reports_held += 1;
-            self.held.insert(host, beat);
+            self.held.insert(host, heartbeat);
         } else {
-            self.answer_heartbeat(now, &host, beat);
+            self.answer_heartbeat(now, &host, heartbeat);
         }
     }
 
@@ -77,78 +85,88 @@
         machine.map_or(0, |machine| machine.allocations.len())
     }
 
-    /// A worker has one heartbeat in flight, so it has given up an earlier one that
-    /// still waits for its answer. False if a newer one waits: then this is a copy.
-    fn supersedes_waiting(&mut self, host: &Host, beat: &PendingHeartbeat) -> bool {
+    /// A worker has one heartbeat in flight, so it has given up on an earlier one still
+    /// waiting for its answer. Returns false if a newer one is waiting: then this one
+    /// is a duplicate.
+    fn supersedes_waiting(&mut self, host: &Host, heartbeat: &PendingHeartbeat) -> bool {
         let waiting = self.held.get(host).or(self.at_fence.get(host));
-        if waiting.is_some_and(|waiting| waiting.position >= beat.position) {
+        if waiting.is_some_and(|waiting| waiting.position >= heartbeat.position) {
             return false;
         }
         let earlier = self.held.remove(host);
         if let Some(earlier) = earlier.or_else(|| self.at_fence.remove(host)) {
-            self.answer(earlier.req, Answer::later("a newer report is here", 1));
+            self.answer(
+                earlier.req,
+                Answer::later("superseded by a newer report", 1),
+            );
         }
         true
     }
 
-    /// Answers a heartbeat with what the worker is to do, which renews its lease, unless
-    /// that must not be or has to wait.
-    pub(super) fn answer_heartbeat(&mut self, now: Time, host: &Host, beat: PendingHeartbeat) {
+    /// Answers a heartbeat with commands, which renews the worker's lease. Refuses or
+    /// delays the answer where the lease must not be renewed now.
+    pub(super) fn answer_heartbeat(&mut self, now: Time, host: &Host, heartbeat: PendingHeartbeat) {
         if !self.may_report(now) {
-            return self.answer(beat.req, Answer::later("not entitled to answer", 1));
+            return self.answer(heartbeat.req, Answer::later("leadership is not proven", 1));
         }
         let Some(machine) = self.machines.get(host) else {
-            return self.answer(beat.req, Answer::later("unknown machine", 1));
+            return self.answer(heartbeat.req, Answer::later("unknown machine", 1));
         };
         let unreachable = machine.unreachable_since.is_some();
-        // Its lease may go on only once the record no longer says otherwise: also
-        // a record that has not left yet must not say so later.
+        // The lease may be renewed only once no stored fence of the zone remains; a
+        // fence record still to be written must not name the zone either.
         let zone = machine.zone.clone();
         self.lower_fence(&zone);
         if self.fences.is_fenced(&zone) {
-            return self.hold_at_fence(now, host, beat);
+            return self.wait_for_fence(now, host, heartbeat);
         }
         if unreachable && self.answers_are_timely(now) && self.check_pending_stops(host) {
-            // An unreachable worker ends what it has with its lease, which no answer
-            // of ours may renew: a cancellation holds by that.
+            // An unreachable worker ends its attempts when its lease expires, so no
+            // answer may renew it: cancellations rely on this.
             self.reports_refused += 1;
-            return self.answer(beat.req, Answer::later("it does not hear", 1));
+            return self.answer(
+                heartbeat.req,
+                Answer::later("machine is unreachable and must end attempts", 1),
+            );
         }
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        machine.note_answer(now, &beat);
+        machine.note_answer(now, &heartbeat);
         let token = machine.token;
         self.fences.note_answer(&zone, now);
-        // An older one was passed by the answer to a call; it renews the lease all the
-        // same, so it tells what is to end.
-        let newest = beat.newest;
+        // An older heartbeat was overtaken by the answer to a direct call. Its answer
+        // still renews the lease, so it carries all stops.
+        let newest = heartbeat.newest;
         let orders = self.orders_for(now, host, Delivery::Answer { newest });
         let answer = ReportAnswer { token, orders };
         let body = serde_json::to_string(&answer).unwrap_or_default();
-        self.answer(beat.req, Answer::new(200, body));
+        self.answer(heartbeat.req, Answer::new(200, body));
     }
 
-    /// The answer waits until it is on record that the zone is answered again: a worker
-    /// that is sent away comes back only after its lease has expired.
-    fn hold_at_fence(&mut self, now: Time, host: &Host, beat: PendingHeartbeat) {
-        if now - beat.received_at >= MAX_FENCE_WAIT {
+    /// The answer waits until the fence of the zone is removed from the record: a
+    /// worker that is refused returns only after its lease has expired.
+    fn wait_for_fence(&mut self, now: Time, host: &Host, heartbeat: PendingHeartbeat) {
+        if now - heartbeat.received_at >= MAX_FENCE_WAIT {
             self.reports_refused += 1;
-            return self.answer(beat.req, Answer::later("its zone is being taken back", 1));
+            return self.answer(
+                heartbeat.req,
+                Answer::later("zone fence is still being removed", 1),
+            );
         }
-        self.at_fence.insert(host.clone(), beat);
+        self.at_fence.insert(host.clone(), heartbeat);
     }
 
-    /// Answers that waited at a fence: those whose zone is open, and those that
-    /// have waited for too long.
+    /// Answers heartbeats that waited for a fence and whose zone is no longer fenced;
+    /// refuses those that have waited for too long.
     pub(super) fn answer_fenced_heartbeats(&mut self, now: Time) {
-        for (host, beat) in std::mem::take(&mut self.at_fence) {
-            self.answer_heartbeat(now, &host, beat);
+        for (host, heartbeat) in std::mem::take(&mut self.at_fence) {
+            self.answer_heartbeat(now, &host, heartbeat);
         }
     }
 
-    /// What the worker is to do next will be known in a moment: its answer can
-    /// wait for that, which saves a direct call and further heartbeats.
+    /// Whether commands for this worker are expected soon: holding the answer for them
+    /// saves a direct call and further heartbeats.
     fn should_hold_answer(&self, now: Time, host: &Host, freed: bool) -> bool {
         if self.cfg.hold == Span::ZERO || !self.may_start(now) {
             return false;
@@ -159,40 +177,45 @@
         waits && self.machines.get(host).is_some_and(able)
     }
 
-    /// Answers to heartbeats that need not, or may not, wait any longer; `passed`: a
+    /// Answers held heartbeats that need not or may not wait any longer; `passed`: a
     /// placement pass has just ended.
     pub(super) fn answer_held_heartbeats(&mut self, now: Time, passed: bool) {
         let hold = self.cfg.hold;
         let unsent = &self.unsent;
-        let due = |(host, beat): (&Host, &PendingHeartbeat)| {
+        let due = |(host, heartbeat): (&Host, &PendingHeartbeat)| {
             let idle = passed && !unsent.contains(host);
-            (idle || now - beat.received_at >= hold).then(|| host.clone())
+            (idle || now - heartbeat.received_at >= hold).then(|| host.clone())
         };
         let hosts: Vec<Host> = self.held.iter().filter_map(due).collect();
         for host in hosts {
-            if let Some(beat) = self.held.remove(&host) {
-                self.answer_heartbeat(now, &host, beat);
+            if let Some(heartbeat) = self.held.remove(&host) {
+                self.answer_heartbeat(now, &host, heartbeat);
             }
         }
     }
 
-    /// When the next held answer is due.
+    /// When the next held heartbeat must be answered.
     pub(super) fn next_held_deadline(&self) -> Option<Time> {
-        let first = self.held.values().map(|beat| beat.received_at).min();
+        let first = self
+            .held
+            .values()
+            .map(|heartbeat| heartbeat.received_at)
+            .min();
         first.map(|since| since + self.cfg.hold)
     }
 }
 
 impl Machine {
-    /// Notes that a heartbeat is answered with 200, which renews the worker's lease.
-    fn note_answer(&mut self, now: Time, beat: &PendingHeartbeat) {
-        // Until the worker has heard our token, an earlier leader may renew it, too.
-        self.last_renewal = if beat.has_our_token {
+    /// Records a 200 answer to a heartbeat, which renews the worker's lease.
+    fn note_answer(&mut self, now: Time, heartbeat: &PendingHeartbeat) {
+        // Until the worker has received our token, an earlier leader may renew its
+        // lease, too.
+        self.last_renewal = if heartbeat.has_our_token {
             now
         } else {
             self.last_renewal.max(now)
         };
-        if beat.newest {
+        if heartbeat.newest {
             self.last_answer = Some(SentAnswer {
                 at: now,
                 seq: self.seq,
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -1,4 +1,4 @@
-//! A rented machine as the leader knows it.
+//! The leader's view of a rented machine.
 
 use super::resources::Resources;
 use crate::ids::{
@@ -8,18 +8,19 @@
 use crate::wire::cloud::Flavor;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The phase of a machine's rental.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented, has not reported yet.
+    /// Rented; its worker has not reported yet.
     Booting,
+    /// Its worker has reported.
     Up,
-    /// To be given back; `next` is when to ask the cloud (again).
-    Leaving {
-        next: Time,
-    },
+    /// Being released; `next` is when the release is requested next.
+    Leaving { next: Time },
 }
 
-/// A task's claim on its machine, with what the spread check needs.
+/// The resources that a task holds on its machine, with what the placement rules need
+/// to know of it.
 #[derive(Clone, Debug)]
 pub struct Allocation {
     pub need: Resources,
@@ -29,6 +30,7 @@
     pub image: Image,
 }
 
+/// A rented machine, its worker's lease and what runs there.
 #[derive(Clone, Debug)]
 pub struct Machine {
     pub host: Host,
@@ -43,74 +45,86 @@
     pub rented_at: Time,
     pub session: Session,
     pub seq: Seq,
-    /// The token that our commands to this worker carry.
+    /// The fencing token carried by this leader's commands to the worker.
     pub token: Token,
-    /// An unanswered direct command may be carried out until the worker has
-    /// confirmed this token.
+    /// Set while an earlier command may still be executed: until the worker confirms
+    /// this token.
     pub unconfirmed_token: Option<Token>,
+    /// The direct call in flight, if any.
     pub direct_call: Option<CallId>,
+    /// Backoff after a failed direct call.
     pub no_direct_call_until: Time,
-    /// When it last reported by itself, or was met. An answer to a call is no proof
-    /// that its reports arrive, and so none that its lease can be renewed.
+    /// When its last heartbeat arrived, or it was first seen. An answer to a direct
+    /// call does not prove that heartbeats arrive, so it does not prove that the lease
+    /// can be renewed.
     pub last_heartbeat: Time,
-    /// When it last sent anything, answers to calls included: calls reach it.
+    /// When it last sent anything, answers to direct calls included.
     pub last_contact: Time,
-    /// The controller that passed its last report on, if not the leader itself.
+    /// The controller that forwarded its last heartbeat; none if it came directly.
     pub relayed_by: Option<Label>,
-    /// When the last answer to one of its reports left; its lease counts from
-    /// an earlier moment.
+    /// When the last answer to one of its heartbeats was sent. The worker's lease
+    /// starts earlier, when it sent the heartbeat.
     pub last_renewal: Time,
+    /// It has reported to this leader.
     pub has_reported: bool,
-    /// Its last report in this term.
+    /// When its last report to this leader arrived.
     pub last_report: Option<Time>,
-    /// It is there: rented or listed in this term, or heard in answer to it. A
-    /// copy of an earlier report proves nothing, and may be of one long gone.
+    /// It is known to exist: rented or listed under this leader, or its worker has
+    /// answered this leader. A duplicate of an old report proves nothing; that machine
+    /// may have been released long ago.
     pub existence_confirmed: bool,
-    /// Its session is known from what it sent in this term, so whatever it was
-    /// told before has ended once it reports a later one.
+    /// Its session is known from a message sent under this leader, so a later session
+    /// proves that everything started before has ended.
     pub session_confirmed: bool,
-    /// What its latest report was answered with.
+    /// The answer to its latest heartbeat.
     pub last_answer: Option<SentAnswer>,
-    /// Answers in a row whose effect the next heartbeat did not show.
+    /// Consecutive answers that had no effect visible in the next heartbeat.
     pub ineffective_answers: u32,
-    /// It reports, but answers and commands do not reach it: nothing more is placed
-    /// there until it has confirmed the token of that moment.
+    /// It sends heartbeats, but answers and commands do not reach it: nothing is placed
+    /// there until it confirms the token issued at that moment.
     pub unreachable_since: Option<Time>,
-    /// Its zone is in trouble, or not back in full: it takes nothing new.
+    /// Its zone is in an outage or still recovering: no new tasks are placed here.
     pub closed: bool,
+    /// When the cloud reclaims this spot machine, by its notice.
     pub spot_notice_until: Option<Time>,
     pub idle_since: Time,
-    /// Images that it should still hold, with their sizes, the latest last.
+    /// Images expected in its cache with their sizes in GB, least recently used first.
     pub cached_images: Vec<(Image, f64)>,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
-    /// Attempts that its last report showed and that are no longer ours.
+    /// Attempts in its last report that do not belong there by our records; true if the
+    /// attempt has ended.
     pub unknown_attempts: BTreeMap<(TaskId, Attempt), bool>,
+    /// Task failures since the last success.
     pub failures: u32,
+    /// The jobs of these failures.
     pub failed_jobs: BTreeSet<JobId>,
     pub quarantined: bool,
     pub quarantined_at: Time,
-    /// Since when it is kept free for gangs.
+    /// Since when it has been reserved for gangs.
     pub reserved_for_gangs_since: Option<Time>,
+    /// No new task is placed here before, after a refused start or a failure.
     pub backoff_until: Time,
 }
 
-/// An answer to a heartbeat.
+/// The last answer sent to a heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub struct SentAnswer {
-    /// When it left.
+    /// When it was sent.
     pub at: Time,
-    /// The heartbeat that it answers.
+    /// The sequence number of the heartbeat.
     pub seq: Seq,
-    /// The token that it carried.
+    /// The fencing token in the answer.
     pub token: Token,
 }
 
-/// A fetch may take a third longer than the rate says.
+/// Safety factor: a fetch may take a third longer than the nominal rate predicts.
 const FETCH_MARGIN: f64 = 1.33;
-const IMAGES_REMEMBERED: usize = 100;
+/// The most images tracked per machine.
+const MAX_CACHED_IMAGES: usize = 100;
 
 impl Machine {
+    /// A machine just rented or first seen, with no report yet.
     pub fn new(host: Host, build: Build, zone: Zone, spot: bool, now: Time, token: Token) -> Self {
         Machine {
             host,
@@ -156,11 +170,13 @@
         }
     }
 
+    /// Capacity that no task holds; negative components where it is overcommitted.
     pub fn free(&self) -> Resources {
         self.capacity.minus(&self.used)
     }
 
-    /// May take tasks now.
+    /// Whether new tasks may be placed here now; `fresh` is the longest time since its
+    /// last heartbeat.
     pub fn accepts_tasks(&self, now: Time, fresh: Span) -> bool {
         self.state == MachineState::Up
             && self.has_reported
@@ -173,52 +189,54 @@
             && now - self.last_heartbeat < fresh
     }
 
-    /// The image has been used here; the longest unused go as the cache fills.
+    /// Marks the image as most recently used; evicts the least recently used ones when
+    /// the cache is full.
     pub fn note_image_use(&mut self, image: &Image, gb: f64) {
         if self.cached_images.last().is_some_and(|i| i.0 == *image) {
             return;
         }
         self.cached_images.retain(|i| i.0 != *image);
         self.cached_images.push((image.clone(), gb));
-        let held = |v: &[(Image, f64)]| v.iter().map(|i| i.1).sum::<f64>();
-        while self.cached_images.len() > IMAGES_REMEMBERED
-            || held(&self.cached_images) > self.cache_gb
+        let cached_gb = |v: &[(Image, f64)]| v.iter().map(|i| i.1).sum::<f64>();
+        while self.cached_images.len() > MAX_CACHED_IMAGES
+            || cached_gb(&self.cached_images) > self.cache_gb
         {
             self.cached_images.remove(0);
         }
     }
 
+    /// Whether the image is expected in its cache.
     pub fn has_image(&self, image: &Image) -> bool {
         self.cached_images.iter().any(|i| i.0 == *image)
     }
 
-    /// What the cloud says of this type of machine.
-    pub fn set_machine_type(&mut self, f: &Flavor) {
-        self.capacity = Resources::of_machine_type(f);
-        self.cache_gb = f.cache_gb;
-        self.fetch_gb_per_s = f.fetch_gb_per_s;
+    /// Sets capacity, cache size and fetch rate from the machine type.
+    pub fn set_machine_type(&mut self, machine_type: &Flavor) {
+        self.capacity = Resources::of_machine_type(machine_type);
+        self.cache_gb = machine_type.cache_gb;
+        self.fetch_gb_per_s = machine_type.fetch_gb_per_s;
     }
 
-    /// How long a task would wait here for its image, by the slowest rate to be
-    /// expected. Images fetched at the same time share the rate.
+    /// Upper estimate of the time a task waits here for its image. Images fetched at
+    /// the same time share the rate.
     pub fn fetch_time(&self, now: Time, image: &Image, gb: f64) -> Span {
         if self.fetch_gb_per_s <= 0.0 || self.has_image(image) {
             return Span::ZERO;
         }
-        let whole = Span::secs(gb / self.fetch_gb_per_s * FETCH_MARGIN);
+        let fetch_alone = Span::secs(gb / self.fetch_gb_per_s * FETCH_MARGIN);
         let mut fetched: Vec<&Image> = vec![];
-        for s in self.allocations.values() {
-            if s.image == *image {
-                return whole - (now - s.start);
+        for allocation in self.allocations.values() {
+            if allocation.image == *image {
+                return fetch_alone - (now - allocation.start);
             }
-            if !fetched.contains(&&s.image) && !self.has_image(&s.image) {
-                fetched.push(&s.image);
+            if !fetched.contains(&&allocation.image) && !self.has_image(&allocation.image) {
+                fetched.push(&allocation.image);
             }
         }
-        Span(whole.0 * (1 + fetched.len() as u64))
+        Span(fetch_alone.0 * (1 + fetched.len() as u64))
     }
 
-    /// Remaining runtimes of its tasks, the smallest and the largest.
+    /// The smallest and the largest remaining runtime of its tasks.
     pub fn remaining_range(&self, now: Time) -> Option<(Span, Span)> {
         let each = self.allocations.values().map(|s| s.remaining(now));
         each.fold(None, |acc, r| match acc {
@@ -228,10 +246,11 @@
     }
 }
 
-/// Services run until they are cancelled.
+/// Stands for the remaining runtime of services, which run until they are cancelled.
 pub const ENDLESS: Span = Span(u64::MAX / 4);
 
 impl Allocation {
+    /// Remaining runtime by the estimate; [`ENDLESS`] for services.
     pub fn remaining(&self, now: Time) -> Span {
         if self.endless {
             ENDLESS
--- a/src/sched/reachability.rs
+++ b/src/sched/reachability.rs
@@ -1,17 +1,17 @@
-//! Unreachable workers: their heartbeats arrive while answers and commands don't
-//! reach them.
+//! Detection of unreachable workers, whose heartbeats arrive while answers and commands
+//! don't reach them.
 //!
-//! Such a machine looks alive, its lease is not renewed whatever it is answered, and
-//! what it is told has no effect. What shows it is that heartbeats sent after an answer
-//! bear no trace of it: neither its token, nor what it told to run; or that a session
-//! ended though its heartbeats were answered.
+//! Such a machine looks alive, but its lease is not renewed and commands have no
+//! effect. It is detected by heartbeats that show no effect of an answer sent before
+//! them (neither its token nor the attempts it started), or by a session that ended
+//! although its heartbeats were answered.
 //!
-//! Nothing is placed there until it has confirmed a token that it was first told
-//! after that, which also puts commands that may still be under way out of force.
-//! While it has anything that is to end, its heartbeats are not answered with 200: it
-//! might hear that very answer, and every one that renews its lease would have to
-//! tell it all there is to tell. What it has is gone by the usual proofs: a later
-//! session, the release carried out, a lease that expired since the last 200.
+//! Nothing is placed there until it confirms a token issued after the detection; that
+//! token also invalidates commands that may still be in flight. While it has attempts
+//! that must end, its heartbeats are not answered with 200: that answer might arrive
+//! and renew the lease, and would then have to carry every stop. Its attempts are
+//! proven gone as usual: by a later session, by the release of the machine, or by a
+//! lease that expired since the last 200.
 
 use super::Sched;
 use super::job::{Live, Phase};
@@ -21,41 +21,43 @@
 use crate::wire::worker::Report;
 use std::collections::BTreeSet;
 
-/// So many answers in a row without effect make a worker unreachable. One is lost now
-/// and then.
+/// Consecutive answers without effect after which a worker counts as unreachable. A
+/// single answer is lost now and then.
 const MAX_INEFFECTIVE_ANSWERS: u32 = 2;
-/// The same while none of its heartbeats was sent under this leader for certain: the
-/// first may be a copy, whose answer nobody hears.
+/// The same while no heartbeat is proven to have been sent under this leader: the first
+/// may be a duplicate, whose answer nobody receives.
 const MAX_INEFFECTIVE_ANSWERS_UNPROVEN: u32 = 3;
-/// A worker sends no heartbeat sooner after another. One that comes sooner after an
-/// answer was sent before that, or is a copy, and shows nothing of it.
+/// The shortest interval between heartbeats. One that arrives sooner after an answer
+/// was sent before it, or is a duplicate, and can't show its effect.
 const MIN_HEARTBEAT_INTERVAL: Span = Span(500_000);
-/// So long after requests last waited for too long, answers are in time again.
+/// After an overload, answers count as timely again once no request has waited too long
+/// for this time.
 const RECOVERY_AFTER_OVERLOAD: Span = Span(10_000_000);
-/// The longest time from a heartbeat to an answer that its worker still takes.
+/// The longest time from a heartbeat to an answer that the worker still accepts.
 const MAX_ANSWER_DELAY: Span = Span(4_000_000);
 
-/// The session of a report, against that of the one before.
+/// The session of a report compared with that of the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SessionChange {
-    /// The same one, or there was none before.
+    /// The same session, or there was no previous report.
     Same,
-    /// A later one than was heard under this leader.
+    /// Later than a session proven under this leader.
     Later,
-    /// A later one than a report told that may be a copy of an old one.
+    /// Later than a session known only from a report that may be a duplicate of an old
+    /// one.
     Unproven,
 }
 
 impl Machine {
-    /// The worker tells that it has heard this token. True if that makes an unreachable
-    /// worker reachable again.
+    /// Handles a token confirmed by the worker. Returns true if that makes an
+    /// unreachable worker reachable again.
     pub(super) fn confirm_token(&mut self, now: Time, token: Token) -> bool {
         if self.unconfirmed_token.is_some_and(|doubt| token >= doubt) {
             self.unconfirmed_token = None;
         }
         let reachable_again = token >= self.token && self.unreachable_since.is_some();
         if reachable_again {
-            tracing::info!(host = %self.host, "hears again");
+            tracing::info!(host = %self.host, "unreachable worker is reachable again");
             self.unreachable_since = None;
             self.ineffective_answers = 0;
             self.last_answer = None;
@@ -65,18 +67,18 @@
     }
 
     fn is_unreachable(&self) -> bool {
-        let enough = if self.session_confirmed {
+        let limit = if self.session_confirmed {
             MAX_INEFFECTIVE_ANSWERS
         } else {
             MAX_INEFFECTIVE_ANSWERS_UNPROVEN
         };
-        self.ineffective_answers >= enough
+        self.ineffective_answers >= limit
     }
 }
 
 impl Sched {
-    /// Notes what a heartbeat shows of the answer to the one before; `shown`: the
-    /// attempts of ours on it.
+    /// Checks whether a heartbeat shows the effect of the previous answer; `shown`: our
+    /// active attempts in the heartbeat.
     pub(super) fn check_answer_effect(
         &mut self,
         now: Time,
@@ -84,21 +86,21 @@
         shown: &BTreeSet<TaskId>,
         session: SessionChange,
     ) {
-        let keeps_up = self.answers_are_timely(now);
+        let answers_are_timely = self.answers_are_timely(now);
         let Some(machine) = self.machines.get_mut(&report.host) else {
             return;
         };
         let Some(answer) = machine.last_answer.take() else {
             return;
         };
-        if !keeps_up {
+        if !answers_are_timely {
             machine.ineffective_answers = 0;
             return;
         }
         if now - answer.at < MIN_HEARTBEAT_INTERVAL {
             return;
         }
-        let lost_lease =
+        let lease_expired =
             session == SessionChange::Later && self.answered_in_time(now, &report.host);
         let heard = report.token >= answer.token
             && (session != SessionChange::Same
@@ -106,7 +108,7 @@
         let Some(machine) = self.machines.get_mut(&report.host) else {
             return;
         };
-        if lost_lease {
+        if lease_expired {
             machine.ineffective_answers = MAX_INEFFECTIVE_ANSWERS;
         } else if heard {
             machine.ineffective_answers = 0;
@@ -118,14 +120,15 @@
         }
     }
 
-    /// Whether the last answer should have kept the worker's lease up.
+    /// Whether the last answer was sent early enough to keep the worker's lease from
+    /// expiring.
     fn answered_in_time(&self, now: Time, host: &Host) -> bool {
         let lease = Span::secs(self.cfg.workers.lease_s).shrunk() - MAX_ANSWER_DELAY;
         let machine = self.machines.get(host);
         machine.is_some_and(|machine| now < machine.last_renewal + lease)
     }
 
-    /// Whether all that this answer told to run is shown, or has been seen before.
+    /// Whether every attempt that this answer started is shown, or was seen before.
     fn orders_took_effect(
         &self,
         host: &Host,
@@ -145,15 +148,16 @@
     }
 
     fn mark_unreachable(&mut self, now: Time, host: &Host) {
-        // Only now: a number for each heartbeat would use up the epoch's within hours.
+        // The token is issued only now: one for each heartbeat would exhaust the
+        // epoch's tokens within hours.
         let token = self.next_token();
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
         machine.unreachable_since = Some(now);
         machine.await_confirmation(token);
-        tracing::info!(%host, tasks = machine.allocations.len(), "does not hear");
-        // What was not told to start there can start elsewhere at once.
+        tracing::info!(%host, tasks = machine.allocations.len(), "worker unreachable: heartbeats arrive but answers have no effect");
+        // Attempts whose start was never sent can start elsewhere at once.
         let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         for task in tasks {
             if self
@@ -165,16 +169,16 @@
         }
     }
 
-    /// Answers leave in time. Where they don't, workers drop them, and what their
-    /// heartbeats show says nothing of them: a flood of jobs must not make most of a
+    /// Whether answers are sent in time. Workers drop late answers, so heartbeats then
+    /// prove nothing about reachability: a flood of jobs must not make most of the
     /// fleet count as unreachable.
     pub(super) fn answers_are_timely(&self, now: Time) -> bool {
         now - self.behind > RECOVERY_AFTER_OVERLOAD
     }
 
-    /// Something on the machine is to end: what was stopped or is no longer ours,
-    /// and what was told to start and has not been seen, which waits elsewhere.
-    /// If so, it is tried directly as well, which renews no lease.
+    /// Whether something on the machine must end: attempts stopped or no longer ours,
+    /// and attempts not yet seen running, which wait to start elsewhere. If so, a
+    /// direct call is requested as well, which renews no lease.
     pub(super) fn check_pending_stops(&mut self, host: &Host) -> bool {
         let Some(machine) = self.machines.get(host) else {
             return false;
@@ -186,8 +190,8 @@
                 .and_then(|job| job.live.get(&task.ix));
             live.is_some_and(|live| live.stop.is_some() || live.phase == Phase::Placed)
         };
-        let running_strays = machine.unknown_attempts.values().any(|ended| !ended);
-        let any = running_strays || machine.allocations.keys().any(ends);
+        let running_unknown = machine.unknown_attempts.values().any(|ended| !ended);
+        let any = running_unknown || machine.allocations.keys().any(ends);
         if any {
             self.request_confirmation(host);
         }
--- a/src/sched/recovery.rs
+++ b/src/sched/recovery.rs
@@ -1,17 +1,16 @@
-//! Reconciliation after a failover: machines are asked for reports, attempts that an
-//! earlier leader stored but never began are begun, and the progress is logged.
+//! Recovery after a failover: machines are probed for reports, attempts that an earlier
+//! leader stored but never started are started, and the progress is logged.
 //!
-//! Nothing is placed on a machine before its report, and by themselves all would
-//! have reported within one heartbeat interval only. So each listed machine that runs
-//! is sent a command for no session of its, which changes nothing and brings its
-//! report. Direct calls are for urgent starts as well: only a few of these probes are
-//! under way at a time, those to machines with the most room first, and a machine
-//! that reports by itself meanwhile is not asked.
+//! Nothing is placed on a machine before its report, and heartbeats alone would take a
+//! whole interval to bring all reports. So each listed running machine gets a direct
+//! call without commands for a session that does not exist: it changes nothing and
+//! returns a report. Direct calls also serve urgent starts, so only a few probes are in
+//! flight at a time. Machines with the most free resources are probed first, and a
+//! machine that has sent a heartbeat meanwhile is skipped.
 //!
-//! A machine that has reported but not confirmed our token yet may still begin
-//! what an earlier leader told it. Where that keeps attempts in doubt, an empty
-//! command of its session raises the token at once, rather than with the next
-//! report or the one after.
+//! A machine that has reported but not confirmed our token may still execute commands
+//! of an earlier leader. Where that leaves attempts uncertain, an empty call in its
+//! session raises the token at once rather than one or two heartbeats later.
 
 use super::job::Phase;
 use super::machine::MachineState;
@@ -23,45 +22,45 @@
 use crate::wire::worker::Orders;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Probes that are under way at a time; the other threads for direct calls are for
-/// what users wait for.
+/// Recent probes in flight at a time; the other threads for direct calls serve commands
+/// that users wait for.
 const MAX_FRESH_PROBES: usize = 8;
-/// A machine that is gone or hangs gives no answer for seconds: its probe counts among
-/// the fresh ones no longer than this.
+/// The age up to which a probe counts as recent. A machine that is gone or hangs may
+/// not answer for seconds.
 const MAX_FRESH_PROBE_AGE: Span = Span(400_000);
-/// Probes under way, fresh or not.
+/// All probes in flight at a time.
 const MAX_PROBES: usize = 12;
 /// How often the progress is logged.
 const PROGRESS_LOG_INTERVAL: Span = Span(1_000_000);
-/// It is logged for no longer than this.
+/// Progress is logged for no longer than this.
 const MAX_PROGRESS_LOG_TIME: Span = Span(30_000_000);
 
-/// Machines that are to be asked, and those that are being asked.
+/// Machines to probe, and the probes in flight.
 #[derive(Default)]
 pub struct Probes {
-    /// Machines that have not reported, in the order in which they are asked.
+    /// Machines that have not reported, in the order of probing.
     unreported: VecDeque<Host>,
-    /// Machines that have reported, but not confirmed our token, and hold
-    /// attempts of which that is all that is not known.
+    /// Machines that have reported but not confirmed our token, and hold attempts that
+    /// stay uncertain only for that reason.
     unconfirmed: BTreeSet<Host>,
-    /// When each probe under way was sent.
+    /// When each probe in flight was sent.
     in_flight: BTreeMap<CallId, Time>,
     sent_count: u64,
-    /// Attempts of an earlier leader that were begun.
+    /// Attempts of an earlier leader that this leader has started.
     resumed: u64,
     next_progress_log: Time,
-    /// All have reported, and all tokens are confirmed.
+    /// All machines have reported, and no attempt is uncertain.
     complete: bool,
 }
 
 impl Sched {
-    /// Asks machines that were listed as running and have not reported yet.
+    /// Probes machines that are listed as running and have not reported yet.
     pub(super) fn request_reports(&mut self, now: Time, hosts: Vec<Host>) {
         let least_room_first = |host: &Host| {
             let machine = self.machines.get(host);
             machine.map_or(0, |m| m.used.cpu - m.capacity.cpu)
         };
-        // The list comes in pages.
+        // The cloud's list arrives in pages.
         let mut all: BTreeSet<Host> = self.probes.unreported.drain(..).collect();
         all.extend(hosts);
         let mut all: Vec<Host> = all.into_iter().collect();
@@ -70,15 +69,16 @@
         self.probe(now);
     }
 
-    /// An attempt there is in doubt as long as our token is not confirmed.
+    /// Requests a probe of a machine with an attempt that stays uncertain until our
+    /// token is confirmed.
     pub(super) fn request_confirmation(&mut self, host: &Host) {
         self.probes.unconfirmed.insert(host.clone());
     }
 
-    /// Asks as many as may be asked at a time.
+    /// Sends as many probes as may be in flight.
     pub(super) fn probe(&mut self, now: Time) {
         while self.probes.may_send(now) {
-            // Whoever is asked for a report confirms the token as well.
+            // A probe for a report confirms the token as well.
             let unconfirmed = self.probes.unconfirmed.pop_first();
             let Some(host) = unconfirmed.or_else(|| self.probes.unreported.pop_front()) else {
                 return;
@@ -98,7 +98,7 @@
         machine.direct_call = Some(call);
         let orders = Orders {
             token: machine.token,
-            // A worker that has not reported yet is asked in no session of its.
+            // The session of a worker that has not reported yet is unknown.
             session: if machine.has_reported {
                 machine.session
             } else {
@@ -116,10 +116,10 @@
         });
     }
 
-    /// Where the worker listens, if there is something to ask and it may be asked now.
+    /// The worker's address, if a probe of it is needed and may be sent now.
     fn probe_address(&self, now: Time, host: &Host) -> Option<String> {
         let machine = self.machines.get(host)?;
-        // Calls into a zone that is cut off hold up all others.
+        // Calls to an unreachable zone would delay all others.
         let zone = &machine.zone;
         let silent = self.watch.is_silent(zone) || self.fences.inherited_since(zone).is_some();
         let busy = machine.direct_call.is_some() || now < machine.no_direct_call_until;
@@ -127,19 +127,21 @@
         machine.addr.clone().filter(|_| !silent && !busy && !known)
     }
 
-    /// A direct call has ended, however; if it was a probe, the next one leaves.
+    /// Handles the end of a direct call, successful or not: if it was a probe, the next
+    /// one is sent.
     pub(super) fn probe_finished(&mut self, now: Time, call: CallId) {
         if self.probes.in_flight.remove(&call).is_some() {
             self.probe(now);
         }
     }
 
-    /// Begins an attempt that an earlier leader stored and provably never began, if it
-    /// could be placed where it is: it is on record already, and placed anew it would
-    /// wait for a write like any other.
+    /// Starts an attempt that an earlier leader stored and provably never started, if
+    /// the task could be placed on that machine now. The attempt is on record already;
+    /// a new placement would wait for another write. Returns false if it must be placed
+    /// again.
     ///
-    /// That leader may have given its resources to others since. So all that is on
-    /// record, this included, must fit the machine and the team's limit.
+    /// That leader may have given its resources away since. So everything on record,
+    /// this attempt included, must fit the machine and the team's quota.
     pub(super) fn resume_attempt(&mut self, now: Time, host: &Host, task: &TaskId) -> bool {
         if !self.may_resume_attempt(now, host, task) {
             return false;
@@ -147,7 +149,7 @@
         let Some(live) = self.active_attempt_mut(task) else {
             return false;
         };
-        // Whoever told the worker before us is not listened to any more.
+        // The worker rejects commands of earlier leaders from now on.
         live.inherited = false;
         live.sent = false;
         live.told = None;
@@ -175,10 +177,10 @@
         !stopped && anywhere && fits && now >= job.backoff_until && may_run_on(spec, machine)
     }
 
-    /// Logs the progress once a second until all is as it was.
+    /// Logs the progress once a second until recovery is complete.
     pub(super) fn log_recovery_progress(&mut self, now: Time) {
-        let over = self.probes.complete || now - self.began > MAX_PROGRESS_LOG_TIME;
-        if over || now < self.probes.next_progress_log {
+        let finished = self.probes.complete || now - self.began > MAX_PROGRESS_LOG_TIME;
+        if finished || now < self.probes.next_progress_log {
             return;
         }
         self.probes.next_progress_log = now + PROGRESS_LOG_INTERVAL;
@@ -198,7 +200,7 @@
             resumed = self.probes.resumed,
             writes = ?self.dirty.lengths(),
             done = self.probes.complete,
-            "catching up"
+            "recovering state after failover"
         );
     }
 
@@ -238,7 +240,7 @@
     }
 }
 
-/// Machines that are up, and how many of them are known again.
+/// Machines that are up, and how many of them have reported.
 #[derive(Default)]
 struct MachineProgress {
     up: u32,
@@ -247,11 +249,11 @@
     unconfirmed: u32,
 }
 
-/// Attempts, by what is known of them.
+/// Attempts by what is known of them.
 #[derive(Default)]
 struct AttemptProgress {
     on_machines: u32,
-    /// Placed by an earlier leader; whether they have begun is not known yet.
+    /// Placed by an earlier leader; whether they have started is not known yet.
     unproven: u32,
     /// Placed by this leader.
     not_begun: u32,
--- a/src/sched/report_reconciliation.rs
+++ b/src/sched/report_reconciliation.rs
@@ -1,6 +1,6 @@
 //! Reconciliation of workers' reports with the attempts on record: what a report
-//! proves, what its worker is to do next, and when an attempt is proven gone.
-//! Whether and when a report is answered is decided in `beats`.
+//! proves, which commands its worker gets next, and when an attempt is proven gone.
+//! Whether and when a report is answered is decided in `heartbeats`.
 
 use super::dependencies::ParentOutcome;
 use super::job::{Live, Phase, Stop};
@@ -15,29 +15,29 @@
 use hookworks_job_lifecycle::{Failure, JobEvent};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most commands in one message, but for those that end something.
+/// The most commands in one message; commands that end something are not limited.
 const MAX_ORDERS: usize = 200;
-/// A machine that refused a start gets no new task for so long.
+/// Backoff of a machine that refused a start.
 const REFUSED_START_BACKOFF: Span = Span(2_000_000);
-/// A job whose attempt ended for no known cause starts nothing for so long.
+/// Backoff of a job whose attempt ended for an unknown reason.
 const UNKNOWN_END_BACKOFF: Span = Span(3_000_000);
 
-/// How a worker is told what to do.
+/// How commands are delivered to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
     /// A direct call, which renews no lease.
     DirectCall,
-    /// The answer to a report; one that is not the newest says nothing of what the
-    /// worker has by now.
+    /// The answer to a heartbeat. If that is not the worker's newest report, it does
+    /// not show what the worker has now.
     Answer { newest: bool },
 }
 
-/// How a report came here.
+/// How a report arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReportSource {
-    /// The worker sent it by itself; it may be a copy of an old one.
+    /// Sent by the worker as a heartbeat; it may be a duplicate of an old one.
     Heartbeat,
-    /// It answers a direct call of this leader.
+    /// The response to a direct call of this leader.
     DirectCall,
 }
 
@@ -55,10 +55,10 @@
 }
 
 impl Machine {
-    /// What this session is, against that of the report before. After a failover the
-    /// first report tells nothing of what went before: the loaded attempts may well
-    /// be of this very session.
-    fn session_seen(&self, session: Session) -> SessionChange {
+    /// Compares the session with that of the previous report. After a failover the
+    /// first report proves nothing about earlier sessions: the loaded attempts may
+    /// belong to this one.
+    fn compare_session(&self, session: Session) -> SessionChange {
         if self.session == Session(0) || session <= self.session {
             SessionChange::Same
         } else if self.session_confirmed {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Notes what a newer report says of the machine itself.
-    fn note_report(&mut self, now: Time, report: &Report, source: ReportSource) {
+    /// Updates the machine from a newer report.
+    fn update_from_report(&mut self, now: Time, report: &Report, source: ReportSource) {
         self.session = report.session;
         self.seq = report.seq;
         self.last_contact = now;
@@ -88,7 +88,7 @@
         }
     }
 
-    fn note_spot_notice(&mut self, now: Time, notice_s: Option<f64>) {
+    fn update_spot_notice(&mut self, now: Time, notice_s: Option<f64>) {
         let noticed = self.spot_notice_until.is_some();
         let notice_s = notice_s.filter(|_| self.session_confirmed);
         self.spot_notice_until = notice_s.map(|s| now + Span::secs(s));
@@ -101,29 +101,30 @@
 }
 
 impl Sched {
-    /// Takes what a report says. False if a newer one was there before.
+    /// Applies a report. Returns false if a newer one has been applied already.
     pub(super) fn apply_report(
         &mut self,
         now: Time,
         report: &Report,
         source: ReportSource,
     ) -> bool {
-        let Some(session) = self.note_worker(now, report, source) else {
+        let Some(session) = self.update_worker(now, report, source) else {
             return false;
         };
         if session != SessionChange::Same {
             self.new_session(now, &report.host, session);
         }
-        let shown = self.take_tasks(now, report);
+        let shown = self.apply_tasks(now, report);
         if source == ReportSource::Heartbeat {
             self.check_answer_effect(now, report, &shown, session);
         }
-        self.take_missing(now, &report.host, &shown, source);
+        self.handle_missing_attempts(now, &report.host, &shown, source);
         true
     }
 
-    /// Notes what a report says of machine and worker; none if a newer one was there.
-    fn note_worker(
+    /// Updates machine and worker from a report; none if a newer one has been applied
+    /// already.
+    fn update_worker(
         &mut self,
         now: Time,
         report: &Report,
@@ -133,7 +134,7 @@
         let renewed = self.latest_lease_renewal(now);
         let machines = self.machines.entry(report.host.clone());
         let machine = machines.or_insert_with(|| {
-            tracing::info!(host = %report.host, "a machine that was not expected reports");
+            tracing::info!(host = %report.host, "report from an unknown machine");
             let (build, zone) = (report.build.clone(), report.zone.clone());
             let mut machine =
                 Machine::new(report.host.clone(), build, zone, report.spot, now, token);
@@ -143,18 +144,18 @@
         if (report.session, report.seq) <= (machine.session, machine.seq) {
             return None;
         }
-        let session = machine.session_seen(report.session);
-        // A heartbeat may be a copy of an old one, unless it carries our token.
-        let sent_in_term = source == ReportSource::DirectCall || report.token >= token;
-        machine.session_confirmed |= sent_in_term;
-        machine.existence_confirmed |= sent_in_term;
-        machine.note_report(now, report, source);
+        let session = machine.compare_session(report.session);
+        // A heartbeat may be a duplicate of an old one unless it carries our token.
+        let sent_under_this_leader = source == ReportSource::DirectCall || report.token >= token;
+        machine.session_confirmed |= sent_under_this_leader;
+        machine.existence_confirmed |= sent_under_this_leader;
+        machine.update_from_report(now, report, source);
         if let Some(flavor) = self.flavors.get(&machine.build) {
             machine.set_machine_type(flavor);
         }
         if !machine.has_reported || session != SessionChange::Same {
-            // Its session may have begun as late as now, long after it was rented,
-            // and its lease with it.
+            // The session, and with it the lease, may have started just now, long after
+            // the machine was rented.
             machine.last_renewal = machine.last_renewal.max(now);
         }
         if !machine.has_reported {
@@ -163,35 +164,36 @@
             self.replan = true;
         }
         self.replan |= machine.confirm_token(now, report.token);
-        machine.note_spot_notice(now, report.notice_s);
+        machine.update_spot_notice(now, report.notice_s);
         Some(session)
     }
 
-    /// Takes task by task what a report shows. Answers the live attempts of ours; the
-    /// others are noted as strays.
-    fn take_tasks(&mut self, now: Time, report: &Report) -> BTreeSet<TaskId> {
-        let mut strays = BTreeMap::new();
+    /// Applies each task of a report. Returns our active attempts; the others are kept
+    /// as unknown attempts.
+    fn apply_tasks(&mut self, now: Time, report: &Report) -> BTreeSet<TaskId> {
+        let mut unknown_attempts = BTreeMap::new();
         let mut shown = BTreeSet::new();
         for task in &report.tasks {
-            if self.take_task(now, &report.host, task) {
+            if self.apply_task(now, &report.host, task) {
                 shown.insert(task.task.clone());
                 continue;
             }
             let ended = task.state == TaskState::Ended;
             if ended && task.cause == Some(Cause::Done) {
-                self.completed_late(task);
+                self.completed_after_loss(task);
             }
-            strays.insert((task.task.clone(), task.attempt), ended);
+            unknown_attempts.insert((task.task.clone(), task.attempt), ended);
         }
         if let Some(machine) = self.machines.get_mut(&report.host) {
-            machine.unknown_attempts = strays;
+            machine.unknown_attempts = unknown_attempts;
         }
         shown
     }
 
-    /// The worker's lease has expired, so all that was there is gone. If the session
-    /// before is not proven to be of this leadership, only what is known to be of it:
-    /// a copy of an old report can make the present session look new.
+    /// A new session proves that the old lease expired, so everything on the worker has
+    /// ended. If the previous session is not proven to have been reported under this
+    /// leader, only attempts seen or started under this leader count as ended: a
+    /// duplicate of an old report can make the current session look new.
     fn new_session(&mut self, now: Time, host: &Host, session: SessionChange) {
         let proven = session == SessionChange::Later;
         let Some(machine) = self.machines.get_mut(host) else {
@@ -207,20 +209,20 @@
         let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         for task in tasks {
             if self.active_attempt_mut(&task).filter(ended).is_some() {
-                tracing::debug!(%host, %task, "gone with its worker's session");
+                tracing::debug!(%host, %task, "attempt ended with its worker's session");
                 self.attempt_gone_with(now, &task, Some(Failure::Lost), false);
             }
         }
     }
 
-    /// The attempt of a task, if it has one.
+    /// The active attempt of a task, if any.
     pub(super) fn active_attempt_mut(&mut self, task: &TaskId) -> Option<&mut Live> {
         self.jobs.get_mut(&task.job)?.live.get_mut(&task.ix)
     }
 
-    /// Takes what a report says of a task. True if it is a live attempt of ours on
-    /// that machine.
-    fn take_task(&mut self, now: Time, host: &Host, report: &TaskReport) -> bool {
+    /// Applies the report of one task. Returns true if it is an active attempt of ours
+    /// on that machine.
+    fn apply_task(&mut self, now: Time, host: &Host, report: &TaskReport) -> bool {
         let task = &report.task;
         let Some(live) = self.active_attempt_mut(task) else {
             return false;
@@ -230,12 +232,12 @@
         }
         let running_since = live.running_since;
         let Some(phase) = Phase::of(report.state) else {
-            self.ended(now, host, report, running_since);
+            self.attempt_ended(now, host, report, running_since);
             return false;
         };
         self.set_phase(host, task, phase);
         if phase == Phase::Running && running_since.is_none() {
-            self.started(now, host, task);
+            self.first_seen_running(now, host, task);
         }
         true
     }
@@ -249,7 +251,7 @@
         };
         let changed = live.phase != phase;
         live.phase = phase;
-        // What is seen to fetch or to wait has not begun to run.
+        // An attempt seen fetching or waiting has not started to run.
         live.inherited &= phase == Phase::Running;
         job.update_gang_ran(phase);
         if !changed {
@@ -262,16 +264,16 @@
         }
     }
 
-    /// The attempt was first seen to run.
-    fn started(&mut self, now: Time, host: &Host, task: &TaskId) {
+    /// Records that the attempt was first seen running.
+    fn first_seen_running(&mut self, now: Time, host: &Host, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let Some(live) = job.live.get_mut(&task.ix) else {
             return;
         };
-        // Under an earlier leader it may have begun long ago: its placement, which is
-        // on record, tells when.
+        // An attempt of an earlier leader may have been running for long: the recorded
+        // placement time is used instead.
         let since = if live.inherited { live.placed } else { now };
         live.running_since = Some(since);
         let after_s = (now - live.placed).as_secs();
@@ -283,9 +285,9 @@
             job.history.note(JobEvent::Started, self.wall.into());
         }
         if let Some(machine) = self.machines.get_mut(host)
-            && let Some(slot) = machine.allocations.get_mut(task)
+            && let Some(allocation) = machine.allocations.get_mut(task)
         {
-            slot.start = since;
+            allocation.start = since;
         }
         self.note_limit(task, since);
         if first_of_job {
@@ -294,7 +296,13 @@
         }
     }
 
-    fn ended(&mut self, now: Time, host: &Host, report: &TaskReport, running_since: Option<Time>) {
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        host: &Host,
+        report: &TaskReport,
+        running_since: Option<Time>,
+    ) {
         let task = &report.task;
         match report.cause {
             Some(Cause::Done) => {
@@ -322,8 +330,8 @@
                 self.attempt_gone(now, task);
             }
             Some(Cause::PeersGone) => {
-                // So the gang had begun, even if no report said so: members
-                // added under its number would wait for ever.
+                // So the gang had started, even if no report showed it: members added
+                // to the same gang attempt would wait forever.
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.gang_ran = true;
                 }
@@ -345,7 +353,7 @@
     }
 
     fn completed(&mut self, now: Time, task: &TaskId, running_since: Option<Time>) {
-        self.release_slot(now, task);
+        self.release_allocation(now, task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -368,9 +376,9 @@
         self.finish_if_over(&task.job);
     }
 
-    /// An attempt that was given up had been done all the same: its task need not run
-    /// again. One that has started anew meanwhile ends by itself, with the same result.
-    fn completed_late(&mut self, report: &TaskReport) {
+    /// An attempt that was presumed lost had in fact completed: its task need not run
+    /// again. An attempt started meanwhile ends by itself, with the same result.
+    fn completed_after_loss(&mut self, report: &TaskReport) {
         let task = &report.task;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -379,7 +387,7 @@
         if job.spec.kind != Kind::Array || !waits {
             return;
         }
-        tracing::debug!(%task, attempt = %report.attempt, "done under an attempt given up");
+        tracing::debug!(%task, attempt = %report.attempt, "task completed by an attempt presumed lost");
         job.history.note(JobEvent::Done, self.wall.into());
         job.attempts.done(task.ix.0);
         job.set_done(task.ix);
@@ -387,7 +395,7 @@
         self.finish_if_over(&task.job);
     }
 
-    /// Gives the running tasks of a job its present estimate.
+    /// Updates the runtime estimate of the job's running tasks.
     fn refresh_estimates(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let estimate = estimate::of(job);
@@ -397,15 +405,15 @@
                 ix: *ix,
             };
             if let Some(machine) = self.machines.get_mut(&live.host)
-                && let Some(slot) = machine.allocations.get_mut(&task)
+                && let Some(allocation) = machine.allocations.get_mut(&task)
             {
-                slot.estimate = estimate;
+                allocation.estimate = estimate;
             }
         }
     }
 
-    /// The attempt's claim on machine, quota and zone ends.
-    fn release_slot(&mut self, now: Time, task: &TaskId) {
+    /// Releases the attempt's resources on the machine and its share of the team quota.
+    fn release_allocation(&mut self, now: Time, task: &TaskId) {
         self.books.task_ended(task);
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -425,13 +433,13 @@
         self.replan = true;
     }
 
-    /// The attempt is proven gone, and nobody is to blame.
+    /// The attempt is proven gone without a failure to record.
     pub(super) fn attempt_gone(&mut self, now: Time, task: &TaskId) {
         self.attempt_gone_with(now, task, None, false);
     }
 
-    /// The attempt is proven gone without being done; `kept`: what it had
-    /// worked out was saved.
+    /// The attempt is proven gone without having completed; `kept`: its progress was
+    /// saved.
     pub(super) fn attempt_gone_with(
         &mut self,
         now: Time,
@@ -439,7 +447,7 @@
         failure: Option<Failure>,
         kept: bool,
     ) {
-        self.release_slot(now, task);
+        self.release_allocation(now, task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -454,7 +462,8 @@
             return;
         };
         if job.spec.kind == Kind::Gang && job.done_count > 0 {
-            // A gang completes together: this one's end was not reported.
+            // A gang completes as a whole: only this member's completion was not
+            // reported.
             job.set_done(task.ix);
         }
         job.put_back(task.ix);
@@ -463,8 +472,8 @@
         self.finish_if_over(&task.job);
     }
 
-    /// Attempts that a newer report does not show.
-    fn take_missing(
+    /// Handles attempts that are missing from a newer report.
+    fn handle_missing_attempts(
         &mut self,
         now: Time,
         host: &Host,
@@ -474,7 +483,8 @@
         let Some(machine) = self.machines.get(host) else {
             return;
         };
-        let clear = machine.unconfirmed_token.is_none() && machine.direct_call.is_none();
+        let no_command_pending =
+            machine.unconfirmed_token.is_none() && machine.direct_call.is_none();
         let seq = machine.seq;
         let missing = machine
             .allocations
@@ -486,20 +496,21 @@
                 continue;
             };
             let gone = match (live.phase, live.stop) {
-                // Never begun under an earlier leader: it is begun now, or, if
-                // its room may be others' by now, placed anew.
-                (Phase::Placed, None) if live.inherited && !clear => {
+                // Never started by an earlier leader: it is started now, or placed
+                // again if its resources may have been given away.
+                (Phase::Placed, None) if live.inherited && !no_command_pending => {
                     self.request_confirmation(host);
                     false
                 }
                 (Phase::Placed, None) => live.inherited && !self.resume_attempt(now, host, &task),
-                // It is not to start any more: gone once no command that may
-                // still be carried out could start it.
+                // Stopped before it was seen: gone once no command that may still be
+                // executed could start it.
                 (Phase::Placed, Some(_)) => {
                     let answered = live.told.is_none_or(|told| told < seq);
-                    !live.sent || (clear && source == ReportSource::Heartbeat && answered)
+                    !live.sent
+                        || (no_command_pending && source == ReportSource::Heartbeat && answered)
                 }
-                _ => clear,
+                _ => no_command_pending,
             };
             if gone {
                 self.attempt_gone(now, &task);
@@ -507,20 +518,20 @@
         }
     }
 
-    /// What the worker is to do. In an answer to a report nothing is lost: a
-    /// worker that did not get it reports again, and hears the same. What is to
-    /// end is told without any limit.
+    /// The commands for a worker. A worker that misses an answer sends another
+    /// heartbeat and gets the same commands again. Commands that end attempts are not
+    /// limited in number.
     pub(super) fn orders_for(&mut self, now: Time, host: &Host, delivery: Delivery) -> Vec<Order> {
-        // Without proof of the leadership nothing new is started.
-        let may_run = self.takes_starts(now, host, delivery) && self.may_start(now);
+        // Nothing is started while the leadership is not proven.
+        let may_run = self.may_start_on(now, host, delivery) && self.may_start(now);
         let Some(machine) = self.machines.get(host) else {
             return vec![];
         };
-        // While a direct call is on its way the two could overtake each other, which
-        // matters for all but ending what is there.
+        // A direct call in flight and this message could overtake each other; only
+        // commands that end attempts are safe in any order.
         let only_kill =
             machine.direct_call.is_some() || delivery == Delivery::Answer { newest: false };
-        let mut orders = self.orders_for_strays(machine, only_kill);
+        let mut orders = self.orders_for_unknown_attempts(machine, only_kill);
         let seq = machine.seq;
         let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         for task in tasks {
@@ -530,8 +541,9 @@
         orders
     }
 
-    /// A call starts nothing where no reports come from: its lease expires.
-    fn takes_starts(&self, now: Time, host: &Host, delivery: Delivery) -> bool {
+    /// A direct call starts nothing on a worker whose heartbeats have stopped: its
+    /// lease is about to expire.
+    fn may_start_on(&self, now: Time, host: &Host, delivery: Delivery) -> bool {
         let fresh = self.max_heartbeat_age();
         let takes = |machine: &Machine| {
             let reports = delivery != Delivery::DirectCall || now - machine.last_heartbeat < fresh;
@@ -540,8 +552,8 @@
         self.machines.get(host).is_some_and(takes)
     }
 
-    /// Attempts there that are not ours are to end, and to be forgotten once ended.
-    fn orders_for_strays(&self, machine: &Machine, only_kill: bool) -> Vec<Order> {
+    /// Commands to end attempts that are not ours, and to clear them once ended.
+    fn orders_for_unknown_attempts(&self, machine: &Machine, only_kill: bool) -> Vec<Order> {
         let may_clear = !only_kill && machine.unconfirmed_token.is_none();
         let order = |((task, attempt), ended): (&(TaskId, Attempt), &bool)| {
             let (task, attempt) = (task.clone(), *attempt);
@@ -552,13 +564,12 @@
                     leeway_s: 0.0,
                 });
             }
-            (may_clear && self.may_clear(&task)).then_some(Order::Clear { task, attempt })
+            (may_clear && self.can_clear(&task)).then_some(Order::Clear { task, attempt })
         };
         machine.unknown_attempts.iter().filter_map(order).collect()
     }
 
-    /// What a worker is to do with an attempt of ours, if anything; `seq`: its last
-    /// report.
+    /// The command for an attempt of ours, if any; `seq`: the worker's last report.
     fn order_for_attempt(
         &mut self,
         task: TaskId,
@@ -582,8 +593,9 @@
                 }
                 Some(Order::Run { task, attempt })
             }
-            // It may begin after this report and before the answer: an answer that
-            // renews the lease tells all that is to end. A call renews nothing.
+            // The attempt may start between this report and the answer, so an answer
+            // that renews the lease must repeat every stop. A direct call renews no
+            // lease.
             (Phase::Placed, Some(_)) if !(answers && live.sent) => None,
             (_, Some(stop)) => Some(Order::Kill {
                 task,
@@ -594,10 +606,10 @@
         }
     }
 
-    /// An ended attempt may be forgotten once nothing of it waits to be stored.
-    fn may_clear(&self, task: &TaskId) -> bool {
+    /// An ended attempt may be cleared once its outcome is stored.
+    fn can_clear(&self, task: &TaskId) -> bool {
         match self.jobs.get(&task.job) {
-            // What it has done is on no record that we can read.
+            // The record of its outcome can't be read.
             None if self.unreadable.contains_key(&task.job) => false,
             Some(job) if task.ix.0 < job.spec.tasks => {
                 job.closing.is_none() && job.part_stored(task.ix)
@@ -606,9 +618,9 @@
         }
     }
 
-    /// The attempt is to end, saving for so long. The command leaves once the event
-    /// has been taken in whole: in the middle of it, it would carry `run` for attempts
-    /// that are about to be stopped or taken for gone.
+    /// Stops an attempt, with `leeway_s` seconds to save its progress. The command is
+    /// sent after the current event has been processed: sent earlier, it could carry
+    /// `run` for attempts that the same event stops or declares gone.
     pub(super) fn stop_attempt(&mut self, now: Time, id: &JobId, ix: TaskIx, leeway_s: f64) {
         let task = TaskId {
             job: id.clone(),
@@ -621,8 +633,8 @@
             return self.attempt_gone(now, &task);
         }
         live.stop = Some(Stop { leeway_s });
-        let (host, unseen) = (live.host.clone(), live.phase == Phase::Placed);
-        if unseen {
+        let (host, not_seen) = (live.host.clone(), live.phase == Phase::Placed);
+        if not_seen {
             self.invalidate_call(&host);
         }
         self.ready.insert(host);
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -1,6 +1,7 @@
-//! The fleet in zones: gathers what is known of each, closes and opens their
-//! machines, and gives back those of a lost zone whose work is worth starting
-//! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
+//! Zone outages: collects evidence for each zone, closes and reopens machines for new
+//! tasks, and releases machines of a lost zone where it pays to restart their tasks
+//! elsewhere. A verdict on a zone never ends an attempt: attempts are proven gone as
+//! usual.
 
 use super::fleet::boot_timeout;
 use super::job::{Job, Live, Phase};
@@ -15,36 +16,37 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashSet};
 
-/// What is worth moving is looked into so often.
+/// How often releases from lost zones are planned.
 const PLAN_INTERVAL: Span = Span(1_000_000);
 
-/// What became of the work of a zone, since its latest trouble began.
+/// What happened to the attempts of a zone since its latest outage began.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct Tally {
-    /// Attempts whose machines were given back for it.
+    /// Attempts whose machines were released to restart them elsewhere.
     moved: u64,
-    /// Attempts that their leases ended.
+    /// Attempts ended by lease expiry.
     ended: u64,
-    /// Attempts that went on.
+    /// Attempts that were still running when their machines returned.
     returned: u64,
-    /// Machines given back, for whatever reason.
+    /// Machines released, for any reason.
     machines_given_back: u64,
 }
 
-/// What the scheduler keeps of zones.
+/// The scheduler's state about zones.
 pub(super) struct ZoneMonitor {
     pub zones: Zones,
-    /// Where the other controllers are.
+    /// The zones of the other controllers.
     controllers: BTreeMap<Label, Zone>,
-    /// Direct calls that failed since the last look.
+    /// Direct calls that failed since the last update.
     failed_calls: BTreeMap<Zone, u32>,
     tally: BTreeMap<Zone, Tally>,
     next_plan_at: Time,
-    /// Verdicts are acted on.
+    /// Verdicts are acted on, not only shown.
     act_on_verdicts: bool,
 }
 
 impl ZoneMonitor {
+    /// No zone has evidence at first.
     pub fn new(cfg: &Config, now: Time) -> ZoneMonitor {
         ZoneMonitor {
             zones: Zones::new(cfg.zones, now),
@@ -56,48 +58,52 @@
         }
     }
 
-    pub fn note_failed_call(&mut self, z: &Zone) {
-        *self.failed_calls.entry(z.clone()).or_default() += 1;
+    /// A direct call to a machine of the zone failed.
+    pub fn note_failed_call(&mut self, zone: &Zone) {
+        *self.failed_calls.entry(zone.clone()).or_default() += 1;
     }
 
-    /// Attempts there were ended by their machine's lease.
-    pub fn note_lease_expired(&mut self, z: &Zone, n: usize) {
-        if self.zones.last_heard_before_outage(z).is_some() {
-            self.tally.entry(z.clone()).or_default().ended += n as u64;
+    /// Counts attempts of the zone ended by lease expiry.
+    pub fn note_lease_expired(&mut self, zone: &Zone, attempts: usize) {
+        if self.zones.last_heard_before_outage(zone).is_some() {
+            self.tally.entry(zone.clone()).or_default().ended += attempts as u64;
         }
     }
 
-    /// A machine there has been given back.
-    pub fn note_released(&mut self, z: &Zone) {
-        if self.zones.last_heard_before_outage(z).is_some() {
-            self.tally.entry(z.clone()).or_default().machines_given_back += 1;
+    /// Counts a released machine of the zone.
+    pub fn note_released(&mut self, zone: &Zone) {
+        if self.zones.last_heard_before_outage(zone).is_some() {
+            self.tally
+                .entry(zone.clone())
+                .or_default()
+                .machines_given_back += 1;
         }
     }
 
-    /// The share of the zone that may be used.
-    pub fn usable_share(&self, now: Time, z: &Zone) -> f64 {
+    /// The share of the zone's machines that may take new tasks.
+    pub fn usable_share(&self, now: Time, zone: &Zone) -> f64 {
         match self.act_on_verdicts {
-            true => self.zones.usable_share(now, z),
+            true => self.zones.usable_share(now, zone),
             false => 1.0,
         }
     }
 
-    /// It gets nothing new: nothing is heard from there.
-    pub fn is_silent(&self, z: &Zone) -> bool {
-        self.act_on_verdicts && self.zones.state(z).silent()
+    /// Whether nothing is heard from the zone, so that it gets no new tasks.
+    pub fn is_silent(&self, zone: &Zone) -> bool {
+        self.act_on_verdicts && self.zones.state(zone).silent()
     }
 }
 
 impl Sched {
-    /// New evidence of all zones, and what follows from it.
+    /// Collects new evidence for all zones and acts on it.
     pub(super) fn update_zones(&mut self, now: Time) {
-        // A leader that can't prove that it is one may be cut off itself.
+        // A leader that can't prove its leadership may be partitioned itself.
         if !self.may_start(now) {
             return;
         }
-        let seen = self.collect_evidence(now);
-        for c in self.watch.zones.update(now, seen) {
-            self.zone_changed(now, &c);
+        let evidence = self.collect_evidence(now);
+        for change in self.watch.zones.update(now, evidence) {
+            self.zone_changed(now, &change);
         }
         if !self.watch.act_on_verdicts {
             return;
@@ -111,63 +117,71 @@
         }
     }
 
-    fn zone_changed(&mut self, now: Time, c: &Change) {
-        let e = &c.evidence;
-        tracing::info!(zone = %c.zone, from = c.from.as_str(), to = c.to.as_str(),
-            lasted_s = c.previous_duration.as_secs(), machines = e.machines, overdue = e.overdue,
-            controllers = e.controllers, away = e.unreachable_controllers, unanswered = e.failed_calls,
-            late_boots = e.overdue_boots, tally = ?self.watch.tally.get(&c.zone), "zone");
-        if c.to == State::Doubt && c.from == State::Well {
-            self.watch.tally.insert(c.zone.clone(), Tally::default());
+    fn zone_changed(&mut self, now: Time, change: &Change) {
+        let evidence = &change.evidence;
+        tracing::info!(zone = %change.zone, from = change.from.as_str(), to = change.to.as_str(),
+            lasted_s = change.previous_duration.as_secs(), machines = evidence.machines, overdue = evidence.overdue,
+            controllers = evidence.controllers, away = evidence.unreachable_controllers, unanswered = evidence.failed_calls,
+            late_boots = evidence.overdue_boots, tally = ?self.watch.tally.get(&change.zone), "zone state changed");
+        if change.to == State::Doubt && change.from == State::Well {
+            self.watch
+                .tally
+                .insert(change.zone.clone(), Tally::default());
         }
         let quiet = self.watch.zones.limits().quiet_after;
-        let heard = e.last_heard.is_some_and(|t| now - t < quiet);
-        if self.watch.act_on_verdicts && c.to.silent() && !heard {
-            self.raise_fence(now, &c.zone);
+        let heard = evidence.last_heard.is_some_and(|at| now - at < quiet);
+        if self.watch.act_on_verdicts && change.to.silent() && !heard {
+            self.raise_fence(now, &change.zone);
         }
         self.replan = true;
     }
 
     fn collect_evidence(&mut self, now: Time) -> BTreeMap<Zone, Evidence> {
-        let late = self.watch.zones.limits().overdue_after();
+        let overdue_after = self.watch.zones.limits().overdue_after();
         let mut all: BTreeMap<Zone, Evidence> = BTreeMap::new();
-        for f in self.flavors.values() {
-            for z in &f.zones {
-                all.entry(z.clone()).or_default();
+        for machine_type in self.flavors.values() {
+            for zone in &machine_type.zones {
+                all.entry(zone.clone()).or_default();
             }
         }
-        for (label, z) in &self.watch.controllers {
-            let e = all.entry(z.clone()).or_default();
-            e.controllers += 1;
-            let away = self.fleet.unreachable_controllers.get(label);
-            e.unreachable_controllers += away.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
+        for (label, zone) in &self.watch.controllers {
+            let evidence = all.entry(zone.clone()).or_default();
+            evidence.controllers += 1;
+            let since = self.fleet.unreachable_controllers.get(label);
+            evidence.unreachable_controllers +=
+                since.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
         }
-        for (z, n) in std::mem::take(&mut self.watch.failed_calls) {
-            all.entry(z).or_default().failed_calls += n;
+        for (zone, failed) in std::mem::take(&mut self.watch.failed_calls) {
+            all.entry(zone).or_default().failed_calls += failed;
         }
-        for m in self.machines.values() {
-            if m.zone.as_str().is_empty() {
+        for machine in self.machines.values() {
+            if machine.zone.as_str().is_empty() {
                 continue;
             }
-            if !all.contains_key(&m.zone) {
-                all.insert(m.zone.clone(), Evidence::default());
+            if !all.contains_key(&machine.zone) {
+                all.insert(machine.zone.clone(), Evidence::default());
             }
-            let Some(e) = all.get_mut(&m.zone) else {
+            let Some(evidence) = all.get_mut(&machine.zone) else {
                 continue;
             };
-            match m.state {
-                MachineState::Booting => e.overdue_boots += self.is_boot_overdue(now, m) as u32,
+            match machine.state {
+                MachineState::Booting => {
+                    evidence.overdue_boots += self.is_boot_overdue(now, machine) as u32
+                }
                 MachineState::Up => {
-                    e.machines += 1;
-                    e.reported += m.last_report.is_some() as u32;
-                    let gone = self.watch.zones.last_heard_before_outage(&m.zone);
-                    e.returned += gone.is_some_and(|t| m.last_contact > t) as u32;
-                    e.last_heard = e.last_heard.max(m.last_report);
-                    if now - m.last_contact.max(self.awake) > late {
-                        e.overdue += 1;
-                        e.overdue_last_heard = Some(match e.overdue_last_heard {
-                            None => (m.last_contact, m.last_contact),
-                            Some((a, b)) => (a.min(m.last_contact), b.max(m.last_contact)),
+                    evidence.machines += 1;
+                    evidence.reported += machine.last_report.is_some() as u32;
+                    let outage = self.watch.zones.last_heard_before_outage(&machine.zone);
+                    evidence.returned += outage.is_some_and(|t| machine.last_contact > t) as u32;
+                    evidence.last_heard = evidence.last_heard.max(machine.last_report);
+                    if now - machine.last_contact.max(self.awake) > overdue_after {
+                        evidence.overdue += 1;
+                        evidence.overdue_last_heard = Some(match evidence.overdue_last_heard {
+                            None => (machine.last_contact, machine.last_contact),
+                            Some((first, last)) => (
+                                first.min(machine.last_contact),
+                                last.max(machine.last_contact),
+                            ),
                         });
                     }
                 }
@@ -177,102 +191,106 @@
         all
     }
 
-    /// It should have come up long ago.
-    fn is_boot_overdue(&self, now: Time, m: &Machine) -> bool {
-        let boot = self.flavors.get(&m.build).map_or(60.0, |f| f.boot_s);
-        now - m.rented_at > boot_timeout(boot)
+    /// Whether the machine has exceeded its boot timeout.
+    fn is_boot_overdue(&self, now: Time, machine: &Machine) -> bool {
+        let boot = self.flavors.get(&machine.build).map_or(60.0, |f| f.boot_s);
+        now - machine.rented_at > boot_timeout(boot)
     }
 
-    /// Machines of zones in trouble take nothing new; those of one that comes
-    /// back open by degrees, as they are heard.
+    /// Closes machines of zones in an outage for new tasks, and gradually reopens those
+    /// of a returning zone as they are heard.
     fn close_and_reopen_machines(&mut self, now: Time) {
         let zones = &self.watch.zones;
-        // How many of each zone that comes back may be open.
-        let mut most: BTreeMap<&Zone, usize> = BTreeMap::new();
-        for m in self
+        // The most machines that may be open in each returning zone.
+        let mut max_open: BTreeMap<&Zone, usize> = BTreeMap::new();
+        for machine in self
             .machines
             .values()
-            .filter(|m| m.state == MachineState::Up)
+            .filter(|machine| machine.state == MachineState::Up)
         {
-            if zones.state(&m.zone) == State::Returning {
-                *most.entry(&m.zone).or_default() += 1;
+            if zones.state(&machine.zone) == State::Returning {
+                *max_open.entry(&machine.zone).or_default() += 1;
             }
         }
-        for (z, n) in &mut most {
-            *n = (*n as f64 * zones.usable_share(now, z)).ceil() as usize;
+        for (zone, count) in &mut max_open {
+            *count = (*count as f64 * zones.usable_share(now, zone)).ceil() as usize;
         }
-        for m in self.machines.values() {
+        for machine in self.machines.values() {
             let back = zones
-                .last_heard_before_outage(&m.zone)
-                .is_none_or(|t| m.last_contact > t);
+                .last_heard_before_outage(&machine.zone)
+                .is_none_or(|t| machine.last_contact > t);
             if back
-                && !m.closed
-                && let Some(n) = most.get_mut(&m.zone)
+                && !machine.closed
+                && let Some(count) = max_open.get_mut(&machine.zone)
             {
-                *n = n.saturating_sub(1);
+                *count = count.saturating_sub(1);
             }
         }
         let (mut closed, mut opened) = (vec![], vec![]);
-        for m in self.machines.values() {
+        for machine in self.machines.values() {
             let back = zones
-                .last_heard_before_outage(&m.zone)
-                .is_none_or(|t| m.last_contact > t);
-            match (m.closed, back) {
-                (false, false) => closed.push(m.host.clone()),
+                .last_heard_before_outage(&machine.zone)
+                .is_none_or(|t| machine.last_contact > t);
+            match (machine.closed, back) {
+                (false, false) => closed.push(machine.host.clone()),
                 (true, true) => {
-                    if let Some(n) = most.get_mut(&m.zone) {
-                        if *n == 0 {
+                    if let Some(count) = max_open.get_mut(&machine.zone) {
+                        if *count == 0 {
                             continue;
                         }
-                        *n -= 1;
+                        *count -= 1;
                     }
-                    opened.push(m.host.clone());
+                    opened.push(machine.host.clone());
                 }
                 _ => {}
             }
         }
-        for h in opened {
-            let Some(m) = self.machines.get_mut(&h) else {
+        for host in opened {
+            let Some(machine) = self.machines.get_mut(&host) else {
                 continue;
             };
-            m.closed = false;
-            // It had no chance to be anything but idle.
-            m.idle_since = now;
-            let (z, n) = (m.zone.clone(), m.allocations.len() as u64);
-            self.watch.tally.entry(z).or_default().returned += n;
+            machine.closed = false;
+            // It could not take tasks while it was closed, so its idle time starts now.
+            machine.idle_since = now;
+            let (zone, count) = (machine.zone.clone(), machine.allocations.len() as u64);
+            self.watch.tally.entry(zone).or_default().returned += count;
             self.replan = true;
         }
-        for h in closed {
-            self.close_machine(now, &h);
+        for host in closed {
+            self.close_machine(now, &host);
         }
     }
 
-    /// The machine gets nothing new. What was to start there and has not been
-    /// told to can start elsewhere at once.
+    /// Closes a machine for new tasks. Attempts whose start was never sent can start
+    /// elsewhere at once.
     fn close_machine(&mut self, now: Time, host: &Host) {
-        let Some(m) = self.machines.get_mut(host) else {
+        let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        m.closed = true;
-        let tasks: Vec<TaskId> = m.allocations.keys().cloned().collect();
-        for t in tasks {
-            if self.active_attempt_mut(&t).is_some_and(|l| !l.sent) {
-                self.attempt_gone(now, &t);
+        machine.closed = true;
+        let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
+        for task in tasks {
+            if self
+                .active_attempt_mut(&task)
+                .is_some_and(|live| !live.sent)
+            {
+                self.attempt_gone(now, &task);
             }
         }
     }
 
-    /// Gives back what is better started elsewhere, as far as that can be.
+    /// Releases machines of lost zones whose tasks are better restarted elsewhere,
+    /// within the free capacity there.
     fn release_from_lost_zones(&mut self, now: Time) {
         let zones = &self.watch.zones;
         let lost: Vec<(Zone, Span)> = zones
             .views(now)
             .into_iter()
-            .filter(|v| v.state == State::Lost)
-            .map(|v| {
-                let known = self.fences.inherited_since(&v.zone).unwrap_or(now);
-                let silent = zones.silent_for(now, &v.zone).max(now - known);
-                (v.zone, silent)
+            .filter(|view| view.state == State::Lost)
+            .map(|view| {
+                let known = self.fences.inherited_since(&view.zone).unwrap_or(now);
+                let silent = zones.silent_for(now, &view.zone).max(now - known);
+                (view.zone, silent)
             })
             .collect();
         if lost.is_empty() {
@@ -280,118 +298,126 @@
         }
         let mut budget = self.capacity_elsewhere(now);
         for (zone, silent) in lost {
-            let mut cases = vec![];
-            for m in self.machines.values() {
-                if m.zone == zone
-                    && m.state == MachineState::Up
-                    && m.closed
-                    && !m.allocations.is_empty()
+            let mut lost_machines = vec![];
+            for machine in self.machines.values() {
+                if machine.zone == zone
+                    && machine.state == MachineState::Up
+                    && machine.closed
+                    && !machine.allocations.is_empty()
                 {
-                    cases.push(self.lost_machine(now, m));
+                    lost_machines.push(self.lost_machine(now, machine));
                 }
             }
-            let n = cases.len();
-            let chosen = plan_releases(silent, cases, budget);
-            if n > 0 {
-                tracing::info!(%zone, silent_s = silent.as_secs(), machines = n, worth_moving = chosen.worthwhile,
-                    chosen = chosen.machines.len(), free = budget.free, made = budget.preemptible, "lost zone");
+            let candidates = lost_machines.len();
+            let plan = plan_releases(silent, lost_machines, budget);
+            if candidates > 0 {
+                tracing::info!(%zone, silent_s = silent.as_secs(), machines = candidates, worth_moving = plan.worthwhile,
+                    chosen = plan.machines.len(), free = budget.free, made = budget.preemptible, "planned releases from a lost zone");
             }
-            budget = chosen.remaining;
+            budget = plan.remaining;
             let mut moved = 0;
-            for h in chosen.machines {
-                let Some(m) = self.machines.get_mut(&h) else {
+            for host in plan.machines {
+                let Some(machine) = self.machines.get_mut(&host) else {
                     continue;
                 };
-                moved += m.allocations.len() as u64;
-                m.state = MachineState::Leaving { next: now };
-                tracing::info!(host = %h, %zone, tasks = m.allocations.len(), "given back for its work");
+                moved += machine.allocations.len() as u64;
+                machine.state = MachineState::Leaving { next: now };
+                tracing::info!(%host, %zone, tasks = machine.allocations.len(), "releasing machine of a lost zone to restart its tasks elsewhere");
             }
-            let t = self.watch.tally.entry(zone).or_default();
-            t.moved += moved;
+            let tally = self.watch.tally.entry(zone).or_default();
+            tally.moved += moved;
         }
     }
 
-    fn lost_machine(&self, now: Time, m: &Machine) -> LostMachine<Host> {
+    fn lost_machine(&self, now: Time, machine: &Machine) -> LostMachine<Host> {
         let lease = self.lease_bound();
-        let stake = |t: &TaskId| {
-            let j = self.jobs.get(&t.job)?;
-            let l = j.live.get(&t.ix)?;
-            Some(self.attempt_at_risk(now, m, j, l))
+        let at_risk = |task: &TaskId| {
+            let job = self.jobs.get(&task.job)?;
+            let live = job.live.get(&task.ix)?;
+            Some(self.attempt_at_risk(now, machine, job, live))
         };
         LostMachine {
-            machine: m.host.clone(),
-            attempts: m.allocations.keys().filter_map(stake).collect(),
-            lease_remaining: m.last_renewal + lease - now,
-            boot_time: Span::secs(self.boot_s(&m.build)),
+            machine: machine.host.clone(),
+            attempts: machine.allocations.keys().filter_map(at_risk).collect(),
+            lease_remaining: machine.last_renewal + lease - now,
+            boot_time: Span::secs(self.boot_s(&machine.build)),
         }
     }
 
-    fn attempt_at_risk(&self, now: Time, m: &Machine, j: &Job, l: &Live) -> AttemptAtRisk {
-        let size = j.need.dominant_share_of(&m.capacity);
-        let est = estimate::of(j);
-        let ran = match (l.phase, l.running_since) {
-            (Phase::Running, Some(s)) => now - s,
-            // Of what an earlier leader started only that is known.
-            _ if l.inherited => now - l.placed,
+    fn attempt_at_risk(
+        &self,
+        now: Time,
+        machine: &Machine,
+        job: &Job,
+        live: &Live,
+    ) -> AttemptAtRisk {
+        let machine_share = job.need.dominant_share_of(&machine.capacity);
+        let estimate_total = estimate::of(job);
+        let ran_for = match (live.phase, live.running_since) {
+            (Phase::Running, Some(since)) => now - since,
+            // For attempts started by an earlier leader only the placement time is
+            // known.
+            _ if live.inherited => now - live.placed,
             _ => Span::ZERO,
         };
-        let saves = j.spec.checkpoint_s;
-        let unsaved = match saves > 0.0 {
-            true => Span::secs(ran.as_secs() % saves),
-            false => ran,
+        let checkpoint_s = job.spec.checkpoint_s;
+        let unsaved_work = match checkpoint_s > 0.0 {
+            true => Span::secs(ran_for.as_secs() % checkpoint_s),
+            false => ran_for,
         };
-        let gang = j.spec.kind == Kind::Gang;
-        // A gang goes on only as a whole: one that has lost a member, or is
-        // being stopped, waits for nothing but the proof of the others' end.
-        let whole =
-            j.live.len() as u32 == j.spec.tasks && j.live.values().all(|l| l.stop.is_none());
-        let standing = match j.spec.kind {
+        let gang = job.spec.kind == Kind::Gang;
+        // A gang runs only as a whole: one that has lost a member or is being stopped
+        // only waits for proof that the other members have ended.
+        let complete = job.live.len() as u32 == job.spec.tasks
+            && job.live.values().all(|live| live.stop.is_none());
+        let kind = match job.spec.kind {
             Kind::Service => AttemptKind::Replica,
-            Kind::Gang if !whole || l.stop.is_some() => AttemptKind::BrokenGang,
-            _ if j.priority() <= Priority::High || self.is_quick(&j.spec.class) => {
+            Kind::Gang if !complete || live.stop.is_some() => AttemptKind::BrokenGang,
+            _ if job.priority() <= Priority::High || self.is_quick(&job.spec.class) => {
                 AttemptKind::Urgent
             }
             _ => AttemptKind::Other,
         };
         AttemptAtRisk {
-            kind: standing,
+            kind,
             unsaved_work: match gang {
-                true => Span(unsaved.0 * j.spec.tasks as u64),
-                false => unsaved,
+                true => Span(unsaved_work.0 * job.spec.tasks as u64),
+                false => unsaved_work,
             },
-            rerun_time: match saves > 0.0 {
-                true => (est - ran) + unsaved,
-                false => est,
+            rerun_time: match checkpoint_s > 0.0 {
+                true => (estimate_total - ran_for) + unsaved_work,
+                false => estimate_total,
             },
-            remaining: est - ran,
-            due_in: self.next_deadline(now, j).map(|t| t - now),
-            machine_share: size,
+            remaining: estimate_total - ran_for,
+            due_in: self.next_deadline(now, job).map(|deadline| deadline - now),
+            machine_share,
         }
     }
 
-    /// What the zones that are well can start soon, beyond what waits already.
+    /// The capacity that healthy zones can offer soon, beyond the tasks already
+    /// waiting.
     fn capacity_elsewhere(&self, now: Time) -> Budget {
         let fresh = self.max_heartbeat_age();
-        let keep = self.headroom(now);
+        let headroom = self.headroom(now);
         let mut free = Resources::default();
-        let (mut whole, mut n) = (Resources::default(), 0u32);
-        let (mut lower, mut soon_free) = (Resources::default(), Resources::default());
-        let mut within = Span::secs(1.0);
-        for m in self
+        let (mut total, mut open_machines) = (Resources::default(), 0u32);
+        let (mut preemptible, mut freed_soon) = (Resources::default(), Resources::default());
+        let mut horizon = Span::secs(1.0);
+        for machine in self
             .machines
             .values()
-            .filter(|m| m.accepts_tasks(now, fresh))
+            .filter(|machine| machine.accepts_tasks(now, fresh))
         {
-            free += m.free().at_least_zero();
-            whole += m.capacity;
-            n += 1;
-            let soon = Span::secs(self.boot_s(&m.build) * self.cfg.tuning.wait_share);
-            within = within.max(soon);
-            for (t, s) in &m.allocations {
-                if s.remaining(now) < soon {
-                    soon_free += s.need;
-                } else if self.jobs.get(&t.job).is_some_and(may_be_preempted) {
-                    lower += s.need;
+            free += machine.free().at_least_zero();
+            total += machine.capacity;
+            open_machines += 1;
+            let soon = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+            horizon = horizon.max(soon);
+            for (task, allocation) in &machine.allocations {
+                if allocation.remaining(now) < soon {
+                    freed_soon += allocation.need;
+                } else if self.jobs.get(&task.job).is_some_and(may_be_preempted) {
+                    preemptible += allocation.need;
                 }
             }
         }
@@ -400,35 +426,42 @@
                 free -= j.need.scaled(s.tasks);
             }
         }
-        let free = free.minus(&keep.all).at_least_zero();
-        // Of what running tasks leave until the next look, half is for those
-        // who wait already.
-        let turns = 2.0 * within.as_secs() / PLAN_INTERVAL.as_secs();
-        let turn = soon_free.smallest_share_of(&whole) / turns;
+        let free = free.minus(&headroom.all).at_least_zero();
+        // Half of the resources freed by running tasks until the next plan is left to
+        // tasks already waiting.
+        let plans = 2.0 * horizon.as_secs() / PLAN_INTERVAL.as_secs();
+        let freed_per_plan = freed_soon.smallest_share_of(&total) / plans;
         Budget {
-            free: n as f64 * (free.smallest_share_of(&whole) + turn),
-            preemptible: n as f64 * lower.smallest_share_of(&whole),
+            free: open_machines as f64 * (free.smallest_share_of(&total) + freed_per_plan),
+            preemptible: open_machines as f64 * preemptible.smallest_share_of(&total),
         }
     }
 
-    /// Until when the lease of a worker may run, counted from the last answer.
+    /// The longest time from an answer to a heartbeat until the worker's lease has
+    /// expired.
     pub(super) fn lease_bound(&self) -> Span {
         self.cfg.workers.lease_bound()
     }
 
-    /// Machines of a zone in trouble are not given up for their silence: while
-    /// it lasts, and for as long as others in their place would cost more.
-    pub(super) fn retains_zone(&self, now: Time, z: &Zone) -> bool {
-        let keep = self.watch.zones.limits().retain_for;
-        self.watch.is_silent(z) && self.watch.zones.silent_for(now, z) < keep
+    /// Whether silent machines of this zone are kept: during an outage, for as long as
+    /// renting replacements would cost more.
+    pub(super) fn retains_zone(&self, now: Time, zone: &Zone) -> bool {
+        let retain_for = self.watch.zones.limits().retain_for;
+        self.watch.is_silent(zone) && self.watch.zones.silent_for(now, zone) < retain_for
     }
 
+    /// The zones whose silent machines are kept.
     pub(super) fn retained_zones(&self, now: Time) -> HashSet<Zone> {
-        let all = self.watch.zones.views(now).into_iter().map(|v| v.zone);
-        all.filter(|z| self.retains_zone(now, z)).collect()
+        let all = self
+            .watch
+            .zones
+            .views(now)
+            .into_iter()
+            .map(|view| view.zone);
+        all.filter(|zone| self.retains_zone(now, zone)).collect()
     }
 
-    /// What operators see of zones.
+    /// The zones part of the operators' overview.
     pub(super) fn zones_overview(&self, now: Time) -> Vec<serde_json::Value> {
         #[derive(Default, Serialize)]
         struct Counts {
@@ -441,35 +474,40 @@
             tasks_waiting_for_it: u32,
         }
         let mut counts: BTreeMap<&Zone, Counts> = BTreeMap::new();
-        for m in self.machines.values() {
-            let c = counts.entry(&m.zone).or_default();
-            match m.state {
-                MachineState::Up => c.up += 1,
-                MachineState::Booting => c.booting += 1,
-                MachineState::Leaving { .. } => c.leaving += 1,
+        for machine in self.machines.values() {
+            let counted = counts.entry(&machine.zone).or_default();
+            match machine.state {
+                MachineState::Up => counted.up += 1,
+                MachineState::Booting => counted.booting += 1,
+                MachineState::Leaving { .. } => counted.leaving += 1,
             }
-            c.shut += m.closed as u32;
-            c.tasks += m.allocations.len();
-            if self.watch.is_silent(&m.zone) {
-                c.tasks_out_of_reach += m.allocations.len();
+            counted.shut += machine.closed as u32;
+            counted.tasks += machine.allocations.len();
+            if self.watch.is_silent(&machine.zone) {
+                counted.tasks_out_of_reach += machine.allocations.len();
             }
         }
-        for j in self.jobs.values() {
-            if let Some(z) = &j.spec.zone {
-                counts.entry(z).or_default().tasks_waiting_for_it += j.pending();
+        for job in self.jobs.values() {
+            if let Some(zone) = &job.spec.zone {
+                counts.entry(zone).or_default().tasks_waiting_for_it += job.pending();
             }
         }
-        let one = |v: hookworks_zones::View| {
-            let mut o = serde_json::json!(v);
-            o["work"] = serde_json::json!(counts.get(&v.zone));
-            o["since_trouble"] = serde_json::json!(self.watch.tally.get(&v.zone));
-            o
+        let entry_of = |view: hookworks_zones::View| {
+            let mut entry = serde_json::json!(view);
+            entry["work"] = serde_json::json!(counts.get(&view.zone));
+            entry["since_trouble"] = serde_json::json!(self.watch.tally.get(&view.zone));
+            entry
         };
-        self.watch.zones.views(now).into_iter().map(one).collect()
+        self.watch
+            .zones
+            .views(now)
+            .into_iter()
+            .map(entry_of)
+            .collect()
     }
 }
 
-/// Production and urgent work may have room made by it.
-fn may_be_preempted(j: &Job) -> bool {
-    j.spec.kind == Kind::Array && j.priority() > Priority::High
+/// Whether production and urgent tasks may preempt this job.
+fn may_be_preempted(job: &Job) -> bool {
+    job.spec.kind == Kind::Array && job.priority() > Priority::High
 }
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -68,7 +68,7 @@
     s.put(PART, serde_json::json!({"left": "by an earlier leader"}));
     let l = load_state(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
-    for (key, stamp) in l.litter {
+    for (key, stamp) in l.garbage {
         c.add_litter(key, stamp);
     }
     let mut d = Desk::new(5);
@@ -96,7 +96,7 @@
     s.put(PART, serde_json::json!({}));
     let l = load_state(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
-    for (key, stamp) in l.litter {
+    for (key, stamp) in l.garbage {
         c.add_litter(key, stamp);
     }
     write_all(&s, &mut c, &mut Desk::new(5));
