--- a/crates/zones/src/plan.rs
+++ b/crates/zones/src/plan.rs
@@ -1,19 +1,19 @@
-//! What of a lost zone is worth getting proof for: giving a machine back proves
-//! that all on it is gone, so that it can start elsewhere, and loses what was
-//! worked out there and not saved. Waiting costs time, and what a lease ends.
+//! Decides which machines of a lost zone to release. Releasing a machine proves that
+//! its attempts are gone, so their tasks can restart elsewhere, but loses unsaved work.
+//! Waiting costs time, and the work ended by lease expiry.
 //!
-//! How long a zone stays away is not known. One that has been silent for `g`
-//! is taken to be silent for another `w` with a chance of `g / (g + w)`: an
-//! absence that has lasted is likely to last as long again.
+//! The length of an outage is unknown. A zone that has been silent for `g` is assumed
+//! to stay silent for another `w` with probability `g / (g + w)`: the longer an outage
+//! has lasted, the longer it is likely to last.
 
 use hookworks_base::time::Span;
 
-/// What an attempt's job loses by waiting.
+/// The kind of an attempt, which sets the cost of waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// A replica of a service: every second without it counts.
+    /// A replica of a service, which is missed every second.
     Replica,
-    /// A member of a gang that can't go on any more: nothing is left to lose.
+    /// A member of a gang that can't continue: no work is left to lose.
     BrokenGang,
     /// Urgent work.
     Urgent,
@@ -22,7 +22,7 @@
 }
 
 impl AttemptKind {
-    /// What a second sooner is worth, in seconds of work lost.
+    /// The value of restarting one second earlier, in seconds of lost work.
     fn weight(self) -> f64 {
         match self {
             AttemptKind::Replica => 4.0,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Others may have to make room for it.
+    /// Whether other tasks may be preempted for it.
     fn may_preempt(self) -> bool {
         matches!(self, AttemptKind::Replica | AttemptKind::Urgent)
     }
 
-    /// Nothing is being worked out there that could be lost, or come to its end.
+    /// Whether it has no progress that could be lost or completed.
     fn has_nothing_to_lose(self) -> bool {
         matches!(self, AttemptKind::Replica | AttemptKind::BrokenGang)
     }
@@ -46,58 +46,58 @@
 /// An attempt that may be running in a lost zone.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptAtRisk {
-    /// What its job loses by waiting.
+    /// Its kind.
     pub kind: AttemptKind,
-    /// Work that would be done again: of a gang, that of all its members.
+    /// Work that would have to be repeated; for a gang, that of all members.
     pub unsaved_work: Span,
-    /// How long it takes from its start, or from what it has saved.
+    /// Its runtime after a restart, from its checkpoint if it has one.
     pub rerun_time: Span,
-    /// How long it will go on by its estimate; zero if it should be done, and
-    /// its result kept.
+    /// Its estimated remaining runtime; zero if it should have completed and its result
+    /// is kept.
     pub remaining: Span,
-    /// Until when it must be done for a deadline or an aim.
+    /// The time left until its deadline or objective.
     pub due_in: Option<Span>,
-    /// The share of a machine that it takes.
+    /// The share of a machine that it uses.
     pub machine_share: f64,
 }
 
-/// A machine in a lost zone with what is on it.
+/// A machine in a lost zone with its attempts.
 #[derive(Clone, Debug)]
 pub struct LostMachine<M> {
     /// The machine.
     pub machine: M,
     /// The attempts on it.
     pub attempts: Vec<AttemptAtRisk>,
-    /// Until its lease has run out for certain, if nobody renews it.
+    /// The time until its lease has certainly expired if it is not renewed.
     pub lease_remaining: Span,
-    /// How long another one takes to boot.
+    /// The boot time of a replacement.
     pub boot_time: Span,
 }
 
-/// Machines' worth of room that others can start soon.
+/// Capacity for restarts, in machines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Budget {
-    /// Free, or about to be, beyond what is due to others.
+    /// Free now or soon, beyond what waiting tasks need.
     pub free: f64,
-    /// What more could be made by stopping others, for those entitled to it.
+    /// What preemption could free in addition, for attempts entitled to it.
     pub preemptible: f64,
 }
 
-/// From the decision to the start of a task elsewhere, in seconds.
+/// The delay from the decision until a task starts elsewhere, in seconds.
 const RESTART_DELAY_S: f64 = 3.0;
-/// What an aim met instead of missed is worth, in seconds of work.
+/// The value of meeting a deadline or objective, in seconds of work.
 const DEADLINE_VALUE_S: f64 = 30.0;
-/// What a second of work, or of a machine that must boot, is worth.
+/// The weight of a second of lost work or of machine boot time.
 const WORK_WEIGHT: f64 = 0.5;
-/// A task that is done already takes a place elsewhere for so small a share of
-/// its time.
+/// The share of its resources charged for an attempt whose task has already completed,
+/// which holds them elsewhere only briefly.
 const FINISHED_TASK_SHARE: f64 = 0.2;
 
-/// The chances of a zone that has been silent for `g`, over the next `w` seconds.
+/// The odds that a zone silent for `g` seconds returns within the next `w` seconds.
 struct ReturnOdds {
-    /// That it comes back by then.
+    /// The probability that it returns by then.
     probability: f64,
-    /// When it does, on average, if it does.
+    /// The mean time until it returns, if it does.
     mean_delay_s: f64,
 }
 
@@ -109,7 +109,7 @@
         };
     }
     let back = w / (g + w);
-    // The mean of a waiting time with P(T > t) = g / (g + t), as far as w.
+    // The mean of a waiting time with P(T > t) = g / (g + t), truncated at w.
     let sum = g * (((g + w) / g).ln() - back);
     ReturnOdds {
         probability: back,
@@ -117,93 +117,105 @@
     }
 }
 
-/// What is gained by giving the machine back now, in seconds of work; below
-/// zero if waiting is better.
-pub fn release_benefit<M>(silent: Span, c: &LostMachine<M>) -> f64 {
-    let (g, w) = (silent.as_secs(), c.lease_remaining.as_secs());
-    let o = return_odds(g, w);
-    let one = |s: &AttemptAtRisk| {
-        let (left, again) = (s.remaining.as_secs(), s.rerun_time.as_secs());
-        let idle = s.kind.has_nothing_to_lose();
-        let done = !idle && left <= 0.0;
-        let ends = !idle && left <= w;
-        // When its job has this task behind it, or a replica up again.
-        let then = if idle || ends { 0.0 } else { again };
-        let comes = if idle {
-            o.mean_delay_s
+/// The benefit of releasing the machine now, in seconds of work; negative if waiting is
+/// better.
+pub fn release_benefit<M>(silent: Span, machine: &LostMachine<M>) -> f64 {
+    let (g, w) = (silent.as_secs(), machine.lease_remaining.as_secs());
+    let odds = return_odds(g, w);
+    let benefit = |attempt: &AttemptAtRisk| {
+        let (remaining_s, rerun_s) = (attempt.remaining.as_secs(), attempt.rerun_time.as_secs());
+        let nothing_to_lose = attempt.kind.has_nothing_to_lose();
+        let done = !nothing_to_lose && remaining_s <= 0.0;
+        let completes = !nothing_to_lose && remaining_s <= w;
+        // Time from a restart after lease expiry until the task is completed or the
+        // replica is up again.
+        let after_expiry_s = if nothing_to_lose || completes {
+            0.0
+        } else {
+            rerun_s
+        };
+        let back_after_s = if nothing_to_lose {
+            odds.mean_delay_s
         } else {
-            o.mean_delay_s.max(left)
+            odds.mean_delay_s.max(remaining_s)
         };
-        let waits = o.probability * comes + (1.0 - o.probability) * (w + RESTART_DELAY_S + then);
-        let moves = RESTART_DELAY_S + if idle || done { 0.0 } else { again };
-        let due = s.due_in.map_or(f64::INFINITY, Span::as_secs);
-        let meets = (moves <= due) as i32 - (waits <= due) as i32;
-        let spared = if ends { 1.0 } else { o.probability };
-        let lost = if idle || done {
+        let wait_s = odds.probability * back_after_s
+            + (1.0 - odds.probability) * (w + RESTART_DELAY_S + after_expiry_s);
+        let move_s = RESTART_DELAY_S
+            + if nothing_to_lose || done {
+                0.0
+            } else {
+                rerun_s
+            };
+        let due_s = attempt.due_in.map_or(f64::INFINITY, Span::as_secs);
+        let deadline_gain = (move_s <= due_s) as i32 - (wait_s <= due_s) as i32;
+        let kept_share = if completes { 1.0 } else { odds.probability };
+        let lost_s = if nothing_to_lose || done {
             0.0
         } else {
-            s.unsaved_work.as_secs() * spared
+            attempt.unsaved_work.as_secs() * kept_share
         };
-        s.machine_share
-            * (s.kind.weight() * (waits - moves) + DEADLINE_VALUE_S * meets as f64
-                - WORK_WEIGHT * lost)
+        attempt.machine_share
+            * (attempt.kind.weight() * (wait_s - move_s) + DEADLINE_VALUE_S * deadline_gain as f64
+                - WORK_WEIGHT * lost_s)
     };
-    // If the zone is soon back, another machine has to boot in its place.
-    let boot = c.boot_time.as_secs();
-    let missed = WORK_WEIGHT * boot * return_odds(g, boot).probability;
-    c.attempts.iter().map(one).sum::<f64>() - missed
+    // If the zone returns soon, a replacement for the released machine must boot.
+    let boot_s = machine.boot_time.as_secs();
+    let boot_cost = WORK_WEIGHT * boot_s * return_odds(g, boot_s).probability;
+    machine.attempts.iter().map(benefit).sum::<f64>() - boot_cost
 }
 
-/// What a look at a lost zone comes to.
+/// The planned releases for a lost zone.
 #[derive(Clone, Debug)]
 pub struct ReleasePlan<M> {
-    /// To be given back now, in this order.
+    /// Machines to release now, in this order.
     pub machines: Vec<M>,
-    /// How many are worth it, whether or not there is room for their work.
+    /// How many machines have a positive benefit, whether or not the budget suffices.
     pub worthwhile: usize,
     /// What is left of the budget.
     pub remaining: Budget,
 }
 
-/// Which machines to give back now, those first that gain most, as far as what
-/// was on them can start elsewhere soon. Each look takes from the same budget.
+/// Chooses the machines to release now, highest benefit first, as far as their tasks
+/// can start elsewhere soon within `budget`. Returns the rest of the budget for further
+/// zones.
 pub fn plan_releases<M>(
     silent: Span,
-    cases: Vec<LostMachine<M>>,
+    lost_machines: Vec<LostMachine<M>>,
     mut budget: Budget,
 ) -> ReleasePlan<M> {
-    let mut worthy: Vec<(f64, LostMachine<M>)> = cases
+    let mut candidates: Vec<(f64, LostMachine<M>)> = lost_machines
         .into_iter()
-        .filter(|c| !c.attempts.is_empty())
-        .map(|c| (release_benefit(silent, &c), c))
-        .filter(|(w, _)| *w > 0.0)
+        .filter(|machine| !machine.attempts.is_empty())
+        .map(|machine| (release_benefit(silent, &machine), machine))
+        .filter(|(benefit, _)| *benefit > 0.0)
         .collect();
-    worthy.sort_by(|a, b| b.0.total_cmp(&a.0));
+    candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
     let mut machines = vec![];
-    let n = worthy.len();
-    for (_, c) in worthy {
-        let (mut asks, mut entitled) = (0.0, 0.0);
-        for s in &c.attempts {
-            let done = !s.kind.has_nothing_to_lose() && s.remaining == Span::ZERO;
-            let size = s.machine_share * if done { FINISHED_TASK_SHARE } else { 1.0 };
-            match s.kind.may_preempt() {
-                true => entitled += size,
-                false => asks += size,
+    let worthwhile = candidates.len();
+    for (_, machine) in candidates {
+        let (mut needed, mut may_preempt) = (0.0, 0.0);
+        for attempt in &machine.attempts {
+            let done = !attempt.kind.has_nothing_to_lose() && attempt.remaining == Span::ZERO;
+            let share = attempt.machine_share * if done { FINISHED_TASK_SHARE } else { 1.0 };
+            match attempt.kind.may_preempt() {
+                true => may_preempt += share,
+                false => needed += share,
             }
         }
-        // What may make room takes free room first, all the same.
-        let from_free = entitled.min((budget.free - asks).max(0.0));
-        let made = entitled - from_free;
-        if asks + from_free > budget.free + 1e-9 || made > budget.preemptible + 1e-9 {
+        // Attempts that may preempt others use free capacity first.
+        let from_free = may_preempt.min((budget.free - needed).max(0.0));
+        let from_preemption = may_preempt - from_free;
+        if needed + from_free > budget.free + 1e-9 || from_preemption > budget.preemptible + 1e-9 {
             continue;
         }
-        budget.free -= asks + from_free;
-        budget.preemptible -= made;
-        machines.push(c.machine);
+        budget.free -= needed + from_free;
+        budget.preemptible -= from_preemption;
+        machines.push(machine.machine);
     }
     ReleasePlan {
         machines,
-        worthwhile: n,
+        worthwhile,
         remaining: budget,
     }
 }
--- a/crates/zones/src/state.rs
+++ b/crates/zones/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of each zone, from evidence with its time.
+//! The state of each zone, derived from timed evidence.
 
 use crate::Limits;
 use hookworks_base::ids::Zone;
@@ -6,17 +6,17 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a zone is, as far as the leader can tell.
+/// The state of a zone as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Heard.
+    /// Its machines are heard.
     Well,
-    /// Silent, for too short a time to act on: it gets nothing new.
+    /// Silent, but too briefly to act on: it gets no new tasks.
     Doubt,
-    /// Silent for long enough that what it holds may have to go elsewhere.
+    /// Silent for so long that its tasks may have to restart elsewhere.
     Lost,
-    /// Heard again; used by degrees.
+    /// Heard again; reopened gradually.
     Returning,
 }
 
@@ -31,38 +31,39 @@
         }
     }
 
-    /// Nothing is heard from there.
+    /// Whether the zone is in doubt or lost.
     pub fn silent(self) -> bool {
         matches!(self, State::Doubt | State::Lost)
     }
 }
 
-/// What is known of a zone at one moment.
+/// What is known about a zone at one time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evidence {
-    /// Machines that were up when last heard of.
+    /// Machines that were up when last heard.
     pub machines: u32,
-    /// Of these, those that were heard in this term.
+    /// Of these, those that have reported to this leader.
     pub reported: u32,
-    /// And those that have missed a report for certain.
+    /// Of these, those that have certainly missed a heartbeat.
     pub overdue: u32,
-    /// The first and the last that the overdue ones were heard.
+    /// The earliest and the latest time that an overdue machine was last heard.
     pub overdue_last_heard: Option<(Time, Time)>,
-    /// Those heard since the zone's present trouble began ([`Zones::gone_since`]).
+    /// Machines heard since the current outage began
+    /// ([`Zones::last_heard_before_outage`]).
     pub returned: u32,
-    /// When anything there was heard last, in this term.
+    /// When any machine there last reported to this leader.
     pub last_heard: Option<Time>,
-    /// Controllers there, besides the leader.
+    /// Controllers in the zone, except the leader.
     pub controllers: u32,
-    /// Of these, those that the leader can't reach.
+    /// Of these, those unreachable for the leader.
     pub unreachable_controllers: u32,
-    /// Direct calls to machines there that failed since the last look.
+    /// Direct calls to its machines that failed since the last update.
     pub failed_calls: u32,
-    /// Rentals there that should have come up long ago.
+    /// Machines rented there that have exceeded their boot timeout.
     pub overdue_boots: u32,
 }
 
-/// A zone has another state.
+/// A change of a zone's state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The zone.
@@ -77,68 +78,70 @@
     pub evidence: Evidence,
 }
 
-/// A zone as operators see it.
+/// The state of a zone for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct View {
     /// The zone.
     pub zone: Zone,
     /// Its state.
     pub state: State,
-    /// For how long it has had that state, in seconds.
+    /// Time in this state, in seconds.
     pub since_s: f64,
-    /// Not heard for so long; none while it is heard.
+    /// Time since it was last heard, in seconds; none unless it is in doubt or lost.
     pub silent_s: Option<f64>,
-    /// The share of its machines that may take new work.
+    /// The share of its machines that may take new tasks.
     pub open: f64,
-    /// Troubles that are remembered.
+    /// Outages that are remembered.
     pub troubles: usize,
     /// Machines that were up when last heard.
     pub machines: u32,
-    /// Of these, those that have missed a report.
+    /// Of these, those that have missed a heartbeat.
     pub overdue: u32,
-    /// Controllers there, besides the leader.
+    /// Controllers in the zone, except the leader.
     pub controllers: u32,
-    /// Of these, those that the leader can't reach.
+    /// Of these, those unreachable for the leader.
     pub controllers_away: u32,
-    /// Direct calls to machines there that failed lately.
+    /// Direct calls to its machines that failed recently.
     pub calls_unanswered: u32,
-    /// Rentals there that should have come up long ago.
+    /// Machines rented there that have exceeded their boot timeout.
     pub rentals_overdue: u32,
 }
 
+/// What is kept of a zone between updates.
 struct ZoneRecord {
     state: State,
     since: Time,
-    /// The last that was heard before the trouble.
+    /// When it was last heard before the current or latest outage.
     last_heard_before_outage: Time,
     returned_at: Time,
-    /// Not one of it has been heard in this term, and most of another zone has.
+    /// None of its machines has reported to this leader, while most of another zone
+    /// have.
     unheard_since_start: bool,
-    /// It takes so long to come back in full.
+    /// The time over which it is reopened.
     recovery_ramp: Span,
     recent_outages: VecDeque<Time>,
     evidence: Evidence,
 }
 
-/// All zones that there is evidence of.
+/// The states of all zones with evidence.
 pub struct Zones {
     limits: Limits,
     began: Time,
     all: BTreeMap<Zone, ZoneRecord>,
-    /// Steps of all looks so far, for tests.
+    /// Zones examined by all updates so far, for tests.
     steps: u64,
 }
 
-/// With none left to be heard, a lost zone is tried again after so long.
+/// A lost zone without any machines left is tried again after this time.
 const EMPTY_ZONE_RETRY: Span = Span(30_000_000);
-/// What must be heard of a zone beyond the share that may be silent.
+/// Margin on the share of machines that must be heard again to end an outage.
 const HEARD_MARGIN_SHARE: f64 = 0.05;
-/// The share of a returning zone that is used at once.
+/// The share of a returning zone that is open at once.
 const MIN_OPEN_SHARE: f64 = 0.02;
 
 impl Zones {
-    /// Nothing is known before this moment: the state is never taken over from
-    /// the past, only rebuilt from evidence.
+    /// Creates an empty set of zones. State is never taken over from an earlier leader,
+    /// only rebuilt from evidence since `began`.
     pub fn new(limits: Limits, began: Time) -> Zones {
         Zones {
             limits,
@@ -153,14 +156,13 @@
         &self.limits
     }
 
-    /// Takes new evidence of all zones; answers what has changed by it. To be
-    /// called only while the leadership is proven: a leader that is cut off
-    /// itself hears nothing either.
-    pub fn update(&mut self, now: Time, seen: BTreeMap<Zone, Evidence>) -> Vec<Change> {
-        let l = self.limits;
-        for (z, e) in seen {
+    /// Applies new evidence for all zones and returns the state changes. Must be called
+    /// only while the leadership is proven: a partitioned leader hears nothing either.
+    pub fn update(&mut self, now: Time, evidence_by_zone: BTreeMap<Zone, Evidence>) -> Vec<Change> {
+        let limits = self.limits;
+        for (zone, evidence) in evidence_by_zone {
             self.steps += 1;
-            let one = self.all.entry(z).or_insert_with(|| ZoneRecord {
+            let record = self.all.entry(zone).or_insert_with(|| ZoneRecord {
                 state: State::Well,
                 since: self.began,
                 last_heard_before_outage: self.began,
@@ -170,99 +172,113 @@
                 recent_outages: VecDeque::new(),
                 evidence: Evidence::default(),
             });
-            one.evidence = e;
+            record.evidence = evidence;
         }
-        // A leader that hears nobody has itself to blame, not all zones.
+        // If no zone is heard, the fault is the leader's own.
         let began = self.began;
-        let heard = |o: &ZoneRecord| {
-            o.evidence
+        let heard = |record: &ZoneRecord| {
+            record
+                .evidence
                 .last_heard
-                .is_some_and(|t| now - t < l.quiet_after)
+                .is_some_and(|t| now - t < limits.quiet_after)
         };
-        let heard_zones = self.all.values().filter(|o| heard(o)).count();
-        // A new leader has heard most machines of the others, and none of one.
-        let met = |o: &ZoneRecord| 2 * o.evidence.reported >= o.evidence.machines.max(1);
-        let met_zones = self.all.values().filter(|o| met(o)).count();
+        let heard_zones = self.all.values().filter(|record| heard(record)).count();
+        // Detects that a new leader has heard most machines of another zone but none of
+        // this one.
+        let mostly_reported =
+            |record: &ZoneRecord| 2 * record.evidence.reported >= record.evidence.machines.max(1);
+        let reported_zones = self
+            .all
+            .values()
+            .filter(|record| mostly_reported(record))
+            .count();
         let mut changes = vec![];
-        for (z, o) in &mut self.all {
+        for (zone, record) in &mut self.all {
             self.steps += 1;
-            let others = heard_zones > heard(o) as usize;
-            while o
+            let others_heard = heard_zones > heard(record) as usize;
+            while record
                 .recent_outages
                 .front()
-                .is_some_and(|t| now - *t > l.outage_memory)
+                .is_some_and(|t| now - *t > limits.outage_memory)
             {
-                o.recent_outages.pop_front();
+                record.recent_outages.pop_front();
             }
-            o.unheard_since_start = o.evidence.last_heard.is_none() && met_zones > 0;
-            let Some(to) = o.next_state(now, began, others, &l) else {
+            record.unheard_since_start = record.evidence.last_heard.is_none() && reported_zones > 0;
+            let Some(to) = record.next_state(now, began, others_heard, &limits) else {
                 continue;
             };
             changes.push(Change {
-                zone: z.clone(),
-                from: o.state,
+                zone: zone.clone(),
+                from: record.state,
                 to,
-                previous_duration: now - o.since,
-                evidence: o.evidence.clone(),
+                previous_duration: now - record.since,
+                evidence: record.evidence.clone(),
             });
-            o.change_state(to, now, began, &l);
+            record.change_state(to, now, began, &limits);
         }
         changes
     }
 
-    /// The state of a zone; one without evidence is well.
-    pub fn state(&self, z: &Zone) -> State {
-        self.all.get(z).map_or(State::Well, |o| o.state)
+    /// The state of a zone; a zone without evidence counts as well.
+    pub fn state(&self, zone: &Zone) -> State {
+        self.all
+            .get(zone)
+            .map_or(State::Well, |record| record.state)
     }
 
-    /// What of the zone may take new work: machines up to this share of it.
-    pub fn usable_share(&self, now: Time, z: &Zone) -> f64 {
-        self.all.get(z).map_or(1.0, |o| o.open(now))
+    /// The share of the zone's machines that may take new tasks.
+    pub fn usable_share(&self, now: Time, zone: &Zone) -> f64 {
+        self.all.get(zone).map_or(1.0, |record| record.open(now))
     }
 
-    /// When the zone was last heard before its present trouble; none if it has
-    /// none. Whatever has been heard since is back.
-    pub fn last_heard_before_outage(&self, z: &Zone) -> Option<Time> {
-        let o = self.all.get(z)?;
-        (o.state != State::Well).then_some(o.last_heard_before_outage)
+    /// When the zone was last heard before its current outage; none if it is well.
+    /// Machines heard since then have returned.
+    pub fn last_heard_before_outage(&self, zone: &Zone) -> Option<Time> {
+        let record = self.all.get(zone)?;
+        (record.state != State::Well).then_some(record.last_heard_before_outage)
     }
 
-    /// For how long nothing has been heard from there; zero if it is heard.
-    pub fn silent_for(&self, now: Time, z: &Zone) -> Span {
-        let o = self.all.get(z).filter(|o| o.state.silent());
-        o.map_or(Span::ZERO, |o| now - o.last_heard_before_outage)
+    /// How long nothing has been heard from the zone; zero unless it is in doubt or
+    /// lost.
+    pub fn silent_for(&self, now: Time, zone: &Zone) -> Span {
+        let record = self.all.get(zone).filter(|record| record.state.silent());
+        record.map_or(Span::ZERO, |record| now - record.last_heard_before_outage)
     }
 
-    /// When the zone last came back: its machines are given time from then on.
-    pub fn returned_at(&self, z: &Zone) -> Time {
-        self.all.get(z).map_or(self.began, |o| o.returned_at)
+    /// When the zone last returned from an outage; its machines get time to report from
+    /// then on.
+    pub fn returned_at(&self, zone: &Zone) -> Time {
+        self.all
+            .get(zone)
+            .map_or(self.began, |record| record.returned_at)
     }
 
-    /// Some zone is not well.
+    /// Whether any zone is not well.
     pub fn any_unhealthy(&self) -> bool {
-        self.all.values().any(|o| o.state != State::Well)
+        self.all.values().any(|record| record.state != State::Well)
     }
 
-    /// All zones as operators see them.
+    /// The states of all zones for operators.
     pub fn views(&self, now: Time) -> Vec<View> {
-        let one = |(z, o): (&Zone, &ZoneRecord)| View {
-            zone: z.clone(),
-            state: o.state,
-            since_s: (now - o.since).as_secs(),
-            silent_s: (o.state.silent()).then(|| (now - o.last_heard_before_outage).as_secs()),
-            open: o.open(now),
-            troubles: o.recent_outages.len(),
-            machines: o.evidence.machines,
-            overdue: o.evidence.overdue,
-            controllers: o.evidence.controllers,
-            controllers_away: o.evidence.unreachable_controllers,
-            calls_unanswered: o.evidence.failed_calls,
-            rentals_overdue: o.evidence.overdue_boots,
+        let view_of = |(name, record): (&Zone, &ZoneRecord)| View {
+            zone: name.clone(),
+            state: record.state,
+            since_s: (now - record.since).as_secs(),
+            silent_s: (record.state.silent())
+                .then(|| (now - record.last_heard_before_outage).as_secs()),
+            open: record.open(now),
+            troubles: record.recent_outages.len(),
+            machines: record.evidence.machines,
+            overdue: record.evidence.overdue,
+            controllers: record.evidence.controllers,
+            controllers_away: record.evidence.unreachable_controllers,
+            calls_unanswered: record.evidence.failed_calls,
+            rentals_overdue: record.evidence.overdue_boots,
         };
-        self.all.iter().map(one).collect()
+        self.all.iter().map(view_of).collect()
     }
 
-    /// Steps taken so far: zones looked at, not machines or tasks.
+    /// The cost of all updates so far, in zones examined.
     pub fn steps(&self) -> u64 {
         self.steps
     }
@@ -277,76 +293,96 @@
         self.evidence.overdue as f64 >= of * self.evidence.machines as f64
     }
 
-    /// As silent as a zone that is cut off.
-    fn all_silent(&self, now: Time, began: Time, l: &Limits) -> bool {
-        let e = &self.evidence;
-        // What its own controllers and direct calls say makes it sure sooner.
-        let told = e.controllers > 0 && e.unreachable_controllers == e.controllers
-            || e.failed_calls >= l.min_machines;
-        let asked = l.overdue_share / if told { 4.0 } else { 1.0 };
-        let quiet = now - self.last_heard_or(began) >= l.quiet_after;
-        let several = e.machines >= l.min_machines && e.overdue >= l.min_machines;
-        if several && quiet && self.overdue_at_least(asked) {
+    /// Whether the zone is as silent as one that is cut off.
+    fn all_silent(&self, now: Time, began: Time, limits: &Limits) -> bool {
+        let evidence = &self.evidence;
+        // Unreachable controllers or failed direct calls confirm an outage sooner.
+        let confirmed = evidence.controllers > 0
+            && evidence.unreachable_controllers == evidence.controllers
+            || evidence.failed_calls >= limits.min_machines;
+        let required_share = limits.overdue_share / if confirmed { 4.0 } else { 1.0 };
+        let quiet = now - self.last_heard_or(began) >= limits.quiet_after;
+        let enough_overdue =
+            evidence.machines >= limits.min_machines && evidence.overdue >= limits.min_machines;
+        if enough_overdue && quiet && self.overdue_at_least(required_share) {
             return true;
         }
-        if self.unheard_since_start && quiet && told && e.machines >= l.min_machines {
+        if self.unheard_since_start
+            && quiet
+            && confirmed
+            && evidence.machines >= limits.min_machines
+        {
             return true;
         }
-        // Nothing that was rented there comes up, and nothing else is there.
-        let nothing_else =
-            e.machines < l.min_machines && now - self.last_heard_or(began) > l.retain_for;
-        nothing_else && e.overdue_boots >= l.min_machines
+        // No rented machine there finishes booting, and there are too few others.
+        let nothing_else = evidence.machines < limits.min_machines
+            && now - self.last_heard_or(began) > limits.retain_for;
+        nothing_else && evidence.overdue_boots >= limits.min_machines
     }
 
-    /// Nearly all of it, and at about the same time: not machines that hang
-    /// here and there. Those that have just come back get time to report.
-    fn mostly_silent(&self, now: Time, l: &Limits) -> bool {
-        let window = l.overdue_after() + l.quiet_after;
-        let together = |(a, b): (Time, Time)| b - a <= window;
-        let e = &self.evidence;
+    /// Whether nearly all machines fell silent at about the same time, unlike single
+    /// machines that hang. Machines of a zone that has just returned get time to
+    /// report.
+    fn mostly_silent(&self, now: Time, limits: &Limits) -> bool {
+        let window = limits.overdue_after() + limits.quiet_after;
+        let together = |(first, last): (Time, Time)| last - first <= window;
+        let evidence = &self.evidence;
         let settled = now - self.returned_at > window + self.recovery_ramp;
-        let several = e.machines >= l.min_machines && e.overdue >= l.min_machines;
+        let enough_overdue =
+            evidence.machines >= limits.min_machines && evidence.overdue >= limits.min_machines;
         settled
-            && several
-            && self.overdue_at_least(l.partial_outage_share)
-            && e.overdue_last_heard.is_some_and(together)
+            && enough_overdue
+            && self.overdue_at_least(limits.partial_outage_share)
+            && evidence.overdue_last_heard.is_some_and(together)
     }
 
-    fn next_state(&self, now: Time, began: Time, others: bool, l: &Limits) -> Option<State> {
-        let e = &self.evidence;
-        // More than what goes on being heard of a zone that is doubted for the
-        // silence of most of it.
-        let rest = (1.0 - l.partial_outage_share + HEARD_MARGIN_SHARE) * e.machines as f64;
-        let heard_again = e.machines > 0 && e.returned as f64 >= rest;
-        let falls = || self.all_silent(now, began, l) || self.mostly_silent(now, l);
+    fn next_state(
+        &self,
+        now: Time,
+        began: Time,
+        others_heard: bool,
+        limits: &Limits,
+    ) -> Option<State> {
+        let evidence = &self.evidence;
+        // More machines than stay heard in a zone that is in doubt because most of it
+        // is silent.
+        let min_heard =
+            (1.0 - limits.partial_outage_share + HEARD_MARGIN_SHARE) * evidence.machines as f64;
+        let heard_again = evidence.machines > 0 && evidence.returned as f64 >= min_heard;
+        let falls_silent =
+            || self.all_silent(now, began, limits) || self.mostly_silent(now, limits);
         match self.state {
-            State::Well => (others && falls()).then_some(State::Doubt),
-            // The first doubt that proves wrong costs nothing.
+            State::Well => (others_heard && falls_silent()).then_some(State::Doubt),
+            // A first doubt that proves wrong is not followed by a gradual reopening.
             State::Doubt if heard_again && self.recent_outages.is_empty() => Some(State::Well),
             State::Doubt | State::Lost if heard_again => Some(State::Returning),
-            State::Doubt => (others && now - self.since >= l.lost_after).then_some(State::Lost),
+            State::Doubt => {
+                (others_heard && now - self.since >= limits.lost_after).then_some(State::Lost)
+            }
             State::Lost => {
-                // Its machines were given back: only its controllers, or a new
-                // machine, can tell that it is there again.
-                let reached = e.controllers > 0
-                    && e.unreachable_controllers == 0
-                    && now - self.since >= l.recovery_ramp;
-                let try_it = now - self.since >= EMPTY_ZONE_RETRY;
-                (e.machines == 0 && (reached || try_it)).then_some(State::Returning)
+                // All its machines were released: only its controllers or a new machine
+                // can show that it is back.
+                let reached = evidence.controllers > 0
+                    && evidence.unreachable_controllers == 0
+                    && now - self.since >= limits.recovery_ramp;
+                let retry_due = now - self.since >= EMPTY_ZONE_RETRY;
+                (evidence.machines == 0 && (reached || retry_due)).then_some(State::Returning)
             }
-            // Those that have not come back yet are no new trouble; silence of
-            // those that had is.
-            State::Returning if others && e.machines > 0 && self.all_silent(now, began, l) => {
+            // Machines that have not returned yet are no new outage; silence of those
+            // that had returned is.
+            State::Returning
+                if others_heard && evidence.machines > 0 && self.all_silent(now, began, limits) =>
+            {
                 Some(State::Doubt)
             }
             State::Returning => (now - self.since >= self.recovery_ramp).then_some(State::Well),
         }
     }
 
-    fn change_state(&mut self, to: State, now: Time, began: Time, l: &Limits) {
-        // A doubt that ends counts once, and a loss when it begins.
+    fn change_state(&mut self, to: State, now: Time, began: Time, limits: &Limits) {
+        // An outage is counted when a doubt ends or a loss begins.
         let counts = to == State::Lost || self.state == State::Doubt;
-        let before = self.recent_outages.len() as u32;
+        let outages_before = self.recent_outages.len() as u32;
         match to {
             State::Doubt => {
                 self.last_heard_before_outage = self.last_heard_or(began);
@@ -355,8 +391,9 @@
             State::Well | State::Returning if self.state == State::Returning => {}
             State::Well | State::Returning => {
                 self.returned_at = now;
-                let doublings = before.saturating_sub(1).min(16);
-                self.recovery_ramp = Span(l.recovery_ramp.0 << doublings).min(l.max_recovery_ramp);
+                let doublings = outages_before.saturating_sub(1).min(16);
+                self.recovery_ramp =
+                    Span(limits.recovery_ramp.0 << doublings).min(limits.max_recovery_ramp);
                 if to == State::Well {
                     self.recovery_ramp = Span::ZERO;
                 }
