--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -1,5 +1,5 @@
-//! Zones on record as not answered: what a later leader may conclude from that,
-//! and what keeps it true.
+//! Zone fences: what a later leader may conclude from the stored record, and what keeps
+//! the record true.
 
 mod world;
 
@@ -13,10 +13,10 @@
 use world::job;
 
 const JOB: &str = "job-000001";
-/// What desks take for the time of day as a term begins, in milliseconds.
+/// The wall-clock time at the start of a leadership in these tests, in milliseconds.
 const DAY: u64 = 1_000_000;
 
-/// Zone `b` on record under that term, since so many seconds before the day.
+/// A record of that epoch with zone `b` fenced `ago_s` seconds before `DAY`.
 fn record(epoch: u64, ago_s: u64) -> FenceRecord {
     FenceRecord {
         epoch: Epoch(epoch),
@@ -25,7 +25,7 @@
 }
 
 /// A job with a task on a machine in zone `b`, as an earlier leader stored it.
-fn on_b() -> Job {
+fn job_in_zone_b() -> Job {
     let mut d = Desk::new(4);
     d.beat(&report(2, 1, Token(0)));
     d.submit(&job(1, 1));
@@ -35,56 +35,55 @@
     j
 }
 
-/// For how long a new leader waits for the task's end, in seconds.
-fn waits_for(mut d: Desk) -> f64 {
+/// How long a new leader waits until the task is proven gone, in seconds.
+fn seconds_until_gone(mut d: Desk) -> f64 {
     let from = d.now;
     while !d.s.jobs[&JobId::from(JOB)].live.is_empty() {
         d.wait(0.5);
-        assert!(d.now - from < 90_000_000, "waited for for ever");
+        assert!(d.now - from < 90_000_000, "never proven gone");
     }
     (d.now - from) as f64 / 1e6
 }
 
-/// The lease is 20 s, and an earlier leader may answer for 20 s more: without a
-/// word of it 41 s, with one of the term before what is left of 21. A term in
-/// between may have answered without knowing of any record.
+/// The lease is 20 s, and an earlier leader may answer for 20 s more: without a fence
+/// the leader waits 41 s, with one of the previous epoch only the rest of 21 s. A
+/// leader in between may have answered without knowing of the record.
 #[test]
-fn only_the_record_of_the_very_term_before_counts() {
-    let unknown = waits_for(Desk::with(6, vec![on_b()]));
+fn only_the_record_of_the_previous_epoch_counts() {
+    let unknown = seconds_until_gone(Desk::with(6, vec![job_in_zone_b()]));
     assert!((40.0..43.0).contains(&unknown), "{unknown}");
-    let told = waits_for(Desk::fenced(6, vec![on_b()], record(5, 12)));
+    let told = seconds_until_gone(Desk::fenced(6, vec![job_in_zone_b()], record(5, 12)));
     // 21 s from then, with the clocks' error against us.
     assert!((8.9..11.0).contains(&told), "{told}");
     for epoch in [4, 3, 6, 7] {
-        let waited = waits_for(Desk::fenced(6, vec![on_b()], record(epoch, 12)));
+        let waited = seconds_until_gone(Desk::fenced(6, vec![job_in_zone_b()], record(epoch, 12)));
         assert!(waited > 40.0, "of term {epoch}: {waited}");
     }
 }
 
-/// A leader in the lost zone may go on answering there for a while: the record
-/// then names a moment ahead. Taken for "now" by the next leader, which came
-/// within that while, it made fourteen tasks run twice (journal
-/// scriptwell-qld-fleet, zone).
+/// A leader in the lost zone may go on answering there for a while, so the record names
+/// a time in the future. A next leader elected before that time took it for "now", and
+/// fourteen tasks ran twice (journal scriptwell-qld-fleet, zone).
 #[test]
-fn a_moment_ahead_is_waited_for() {
+fn a_fence_time_in_the_future_is_respected() {
     let mut r = record(5, 0);
     r.since = [(Zone::from("b"), DAY + 6_000)].into();
-    let waited = waits_for(Desk::fenced(6, vec![on_b()], r));
+    let waited = seconds_until_gone(Desk::fenced(6, vec![job_in_zone_b()], r));
     assert!((27.0..29.5).contains(&waited), "{waited}");
 }
 
-/// Of another zone nothing is concluded.
+/// A fence of one zone has no effect on another.
 #[test]
-fn a_fence_speaks_of_its_own_zone_alone() {
+fn a_fence_applies_only_to_its_zone() {
     let mut r = record(5, 12);
     r.since = [(Zone::from("a"), DAY - 12_000)].into();
-    assert!(waits_for(Desk::fenced(6, vec![on_b()], r)) > 40.0);
+    assert!(seconds_until_gone(Desk::fenced(6, vec![job_in_zone_b()], r)) > 40.0);
 }
 
-/// A worker that was answered while the record said that nobody is would have
-/// its lease counted from long before.
+/// If a worker were answered while the record names its zone, a later leader would
+/// count its lease from too early.
 #[test]
-fn nobody_is_answered_before_that_is_on_record() {
+fn no_worker_is_answered_before_the_removal_of_the_fence_is_stored() {
     let mut d = Desk::fenced(6, vec![], record(5, 12));
     let (first, ver) = d.s.fences_to_write().unwrap();
     assert_eq!((first.epoch, first.since.len()), (Epoch(6), 1));
@@ -100,7 +99,8 @@
     assert_eq!(d.status(waits), None);
     let (second, ver) = d.s.fences_to_write().unwrap();
     assert!(second.since.is_empty());
-    // Not stored, as far as is known: it may be, or not, so neither is said.
+    // The outcome of the write is unknown, so the fence counts as neither present nor
+    // removed.
     d.s.fence_write_failed();
     assert_eq!(d.s.fences_to_write().map(|w| w.1), Some(ver));
     d.wait(1.5);
@@ -116,21 +116,21 @@
     assert!(d.beat(&b(3)).is_some());
 }
 
-/// A write may wait for its turn. A worker that was answered meanwhile would have
-/// been on record, a moment later, as not answered since long before.
+/// A write may be queued. A worker answered meanwhile would then have been recorded as
+/// not answered since long before.
 #[test]
-fn a_worker_answered_before_the_record_left_is_not_on_it() {
+fn a_zone_answered_before_the_record_was_sent_is_not_in_it() {
     let mut d = Desk::fenced(6, vec![], record(5, 12));
     assert!(d.beat(&report(2, 1, Token(0))).is_some());
     let (r, _) = d.s.fences_to_write().unwrap();
     assert!(r.since.is_empty(), "{r:?}");
 }
 
-/// An answer that waited may be to a report older than one seen since: what it told to
-/// start or to forget would be carried out after it was taken for lost. What is to end
-/// is to end whenever that is heard, and the answer renews the lease.
+/// A delayed answer may be to a heartbeat older than one seen since: a start or clear
+/// in it would be executed after the attempt was declared lost. Stops are safe at any
+/// time and must be sent, as the answer renews the lease.
 #[test]
-fn an_older_report_that_waited_is_told_only_what_is_to_end() {
+fn an_older_waiting_heartbeat_is_answered_only_with_stops() {
     let mut d = Desk::fenced(6, vec![], record(5, 12));
     let (_, ver) = d.s.fences_to_write().unwrap();
     d.event(Event::Stored(Key::Fences, ver));
@@ -166,10 +166,10 @@
     assert_eq!(orders(&d, newest), [kill, clear]);
 }
 
-/// What goes on record is never before the last answer, nor before an earlier
-/// leader must have stopped.
+/// The recorded time is never before the last answer, nor before an earlier leader must
+/// have stopped answering.
 #[test]
-fn what_is_put_on_record_is_the_last_answer() {
+fn the_recorded_time_is_the_last_answer() {
     for (quiet_from, earliest_s) in [(5.0, 20.0), (30.0, 30.0)] {
         let mut d = Desk::new(6);
         let began = d.now;
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -1,5 +1,5 @@
-//! Machines that hear nothing, copies of reports that come late, a controller alone
-//! with its workers, and one that stood still.
+//! Unreachable workers, late duplicates of reports, a leader that reaches only its
+//! workers, and a leader process that was suspended.
 
 mod world;
 
@@ -20,52 +20,52 @@
     Host::from(format!("n-{n:06}").as_str())
 }
 
-/// A desk whose machine 1 runs a task; calls to workers are refused.
-fn at_work() -> (Desk, Attempt) {
+/// A scheduler whose machine 1 runs a task; direct calls are refused.
+fn with_running_task() -> (Desk, Attempt) {
     let mut d = Desk::new(5);
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
     let a = d.attempt(JOB, 0).unwrap();
     d.beat(&report(1, 2, Token(0)));
-    let told = d.beat(&runs(3, a));
+    let told = d.beat(&report_with_running_task(3, a));
     assert!(told.is_some());
     (d, a)
 }
 
-fn runs(seq: u64, a: Attempt) -> Report {
+fn report_with_running_task(seq: u64, a: Attempt) -> Report {
     let mut r = report(1, seq, Token(0));
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
     r
 }
 
 /// From now on no answer reaches machine 1, which has a second task to start; its
-/// reports go on until the leader sees that.
-fn goes_deaf(d: &mut Desk, a: Attempt) -> u64 {
+/// heartbeats continue until the leader marks it unreachable.
+fn become_unreachable(d: &mut Desk, a: Attempt) -> u64 {
     d.hear = false;
     d.submit(&job(2, 1));
     assert!(d.attempt("job-000002", 0).is_some());
     for seq in 4..8 {
         d.wait(3.0);
-        d.beat(&runs(seq, a));
+        d.beat(&report_with_running_task(seq, a));
     }
     assert!(d.s.machines[&host(1)].unreachable_since.is_some());
     8
 }
 
-/// Best fit chose it again and again, and what was placed there never began.
+/// Best fit kept choosing an unreachable machine, and tasks placed there never started.
 #[test]
-fn a_machine_that_shows_no_effect_of_what_it_is_told_gets_nothing_more() {
-    let (mut d, a) = at_work();
-    let seq = goes_deaf(&mut d, a);
+fn an_unreachable_machine_gets_no_new_tasks() {
+    let (mut d, a) = with_running_task();
+    let seq = become_unreachable(&mut d, a);
     d.submit(&job(3, 1));
     assert_eq!(
         d.attempt("job-000003", 0),
         None,
-        "placed where nobody listens"
+        "placed on an unreachable machine"
     );
-    // What it was told may yet begin there: it is not placed elsewhere before the
-    // lease must be over, or a later session is there.
+    // The second task may still start there: it is not placed elsewhere before the
+    // lease has expired or a later session is reported.
     d.beat(&report(2, 1, Token(0)));
     assert_eq!(
         d.s.jobs[&"job-000003".into()].live[&TaskIx(0)].host,
@@ -73,7 +73,7 @@
     );
     let there = |d: &Desk| d.s.jobs[&"job-000002".into()].live[&TaskIx(0)].host == host(1);
     assert!(there(&d));
-    let mut r = runs(seq, a);
+    let mut r = report_with_running_task(seq, a);
     r.session = Session(2);
     r.tasks.clear();
     d.beat(&r);
@@ -84,83 +84,85 @@
     assert!(d.s.machines[&host(1)].unreachable_since.is_some());
 }
 
-/// A cancellation holds by the lease, even though no command gets through: nothing
-/// that it might hear renews it.
+/// A cancellation takes effect through lease expiry although no command gets through:
+/// no answer may renew the lease.
 #[test]
-fn what_is_to_end_there_ends_with_the_lease() {
-    let (mut d, a) = at_work();
-    let mut seq = goes_deaf(&mut d, a);
+fn a_cancelled_task_on_an_unreachable_machine_ends_with_the_lease() {
+    let (mut d, a) = with_running_task();
+    let mut seq = become_unreachable(&mut d, a);
     let answered = d.s.machines[&host(1)].last_renewal;
     d.ask(Ask::Cancel(JOB.into()));
     let cancelled = d.now;
     while d.attempt(JOB, 0).is_some() {
-        assert!(d.beat(&runs(seq, a)).is_none(), "its lease was renewed");
+        assert!(
+            d.beat(&report_with_running_task(seq, a)).is_none(),
+            "its lease was renewed"
+        );
         seq += 1;
         d.wait(3.0);
-        assert!(d.now < cancelled + 30_000_000, "never taken for gone");
+        assert!(d.now < cancelled + 30_000_000, "the attempt never ended");
     }
-    // Not a moment before it must have run out: 20 s, by any clock.
+    // Not before the lease must have expired: 20 s by any clock.
     assert!(Time(d.now) > answered + Span::secs(20.0));
 }
 
 #[test]
-fn it_is_used_again_once_it_has_shown_that_it_hears() {
-    let (mut d, a) = at_work();
-    let seq = goes_deaf(&mut d, a);
+fn an_unreachable_machine_is_used_again_once_it_confirms_the_token() {
+    let (mut d, a) = with_running_task();
+    let seq = become_unreachable(&mut d, a);
     d.submit(&job(3, 1));
     let token = d.s.machines[&host(1)].token;
-    let mut r = runs(seq, a);
+    let mut r = report_with_running_task(seq, a);
     r.token = token;
     d.beat(&r);
     assert!(d.attempt("job-000003", 0).is_some());
 }
 
-/// Under a flood of jobs answers came too late, and most of a fleet counted as deaf,
-/// was answered 503, and lost what it ran with its leases.
+/// Under a flood of jobs answers came too late; most of a fleet counted as unreachable,
+/// was answered 503 and lost its tasks as the leases expired.
 #[test]
-fn answers_that_come_too_late_say_nothing_of_a_machine() {
-    let (mut d, a) = at_work();
+fn late_answers_under_overload_do_not_mark_machines_unreachable() {
+    let (mut d, a) = with_running_task();
     d.hear = false;
     d.submit(&job(2, 1));
     for seq in 4..9 {
         d.event(Event::Behind);
         d.wait(3.0);
-        assert!(d.beat(&runs(seq, a)).is_some());
+        assert!(d.beat(&report_with_running_task(seq, a)).is_some());
     }
     assert!(d.s.machines[&host(1)].unreachable_since.is_none());
-    // One that was found so before is answered on meanwhile.
-    let (mut d, a) = at_work();
-    let seq = goes_deaf(&mut d, a);
-    assert!(d.beat(&runs(seq, a)).is_none());
+    // A machine marked unreachable before is answered during the overload.
+    let (mut d, a) = with_running_task();
+    let seq = become_unreachable(&mut d, a);
+    assert!(d.beat(&report_with_running_task(seq, a)).is_none());
     d.event(Event::Behind);
-    assert!(d.beat(&runs(seq + 1, a)).is_some());
+    assert!(d.beat(&report_with_running_task(seq + 1, a)).is_some());
 }
 
-/// Each report took a token, of which a term has sixteen million.
+/// Each heartbeat consumed a token, of which an epoch has sixteen million.
 #[test]
-fn a_report_takes_no_token() {
-    let (mut d, a) = at_work();
+fn heartbeats_consume_no_tokens() {
+    let (mut d, a) = with_running_task();
     for seq in 4..60 {
-        d.beat(&runs(seq, a));
+        d.beat(&report_with_running_task(seq, a));
     }
     d.submit(&job(2, 1));
     let second = d.attempt("job-000002", 0).unwrap();
     assert!(second.0 - a.0 < 20, "{} numbers used", second.0 - a.0);
 }
 
-/// One lost answer is nothing.
 #[test]
-fn an_answer_that_is_lost_now_and_then_puts_nobody_aside() {
-    let (mut d, a) = at_work();
+fn single_lost_answers_do_not_mark_a_machine_unreachable() {
+    let (mut d, a) = with_running_task();
     d.submit(&job(2, 1));
     for seq in 4..12 {
-        // Every other one is lost, and the next report shows no effect of it.
-        d.beat(&runs(seq, a));
+        // Every other answer is lost, and the next heartbeat shows no effect of it.
+        d.beat(&report_with_running_task(seq, a));
         let second = d.attempt("job-000002", 0).unwrap();
         if seq % 2 == 0 {
             continue;
         }
-        let mut r = runs(seq, a);
+        let mut r = report_with_running_task(seq, a);
         r.seq = Seq(seq * 100);
         r.tasks
             .push(task("job-000002", 0, second, TaskState::Fetching));
@@ -170,9 +172,10 @@
     assert!(d.s.machines[&host(1)].unreachable_since.is_none());
 }
 
-/// A whole zone that hears nothing is a matter of the network, as a rule.
+/// If all machines are unreachable, the network is the likely cause, so they are
+/// released gradually.
 #[test]
-fn many_that_hear_nothing_are_given_back_one_by_one() {
+fn many_unreachable_machines_are_released_gradually() {
     let mut d = Desk::new(5);
     (d.refuses, d.hear) = (true, false);
     let mut seq = 1;
@@ -183,15 +186,15 @@
         seq += 1;
         d.wait(3.0);
     }
-    let deaf = |m: &&hookworks::sched::machine::Machine| m.unreachable_since.is_some();
-    assert!(d.s.machines.values().filter(deaf).count() > 30);
+    let unreachable = |m: &&hookworks::sched::machine::Machine| m.unreachable_since.is_some();
+    assert!(d.s.machines.values().filter(unreachable).count() > 30);
     let gone: BTreeSet<Host> = d.released().into_iter().collect();
     let gone = gone.len();
     assert!((1..=30).contains(&gone), "{gone} of 60 given back");
 }
 
-/// A desk that inherits a task, told to machine 1 in session 2.
-fn inherits() -> (Desk, Attempt) {
+/// A new leader that inherits a task sent to machine 1 in session 2.
+fn with_inherited_task() -> (Desk, Attempt) {
     let mut d = Desk::new(5);
     d.refuses = true;
     let mut r = report(1, 1, Token(0));
@@ -207,12 +210,12 @@
     (d, a)
 }
 
-/// The copy made the worker's present session look new, so that what it had been
-/// told was taken for gone, and ran twice.
+/// A duplicate made the worker's current session look new, so its attempts were
+/// declared gone and ran twice.
 #[test]
-fn a_copy_from_an_earlier_session_ends_nothing() {
-    let (mut d, a) = inherits();
-    // The worker never gets the answer to the copy.
+fn a_duplicate_from_an_earlier_session_ends_no_attempt() {
+    let (mut d, a) = with_inherited_task();
+    // The worker never gets the answer to the duplicate.
     d.hear = false;
     d.beat(&report(2, 1, Token(0)));
     let old = Token(Epoch(5).base() + 7);
@@ -221,10 +224,10 @@
     r.session = Session(2);
     d.beat(&r);
     assert_eq!(d.attempt(JOB, 0), Some(a), "it may have begun meanwhile");
-    // Nor is what an earlier leader told it out of force yet.
+    // Commands of an earlier leader are not invalidated yet either.
     assert!(d.s.machines[&host(1)].unconfirmed_token.is_some());
-    // Sent in this term, a report of that session says what there is; and a later
-    // one proves that all that was there before has ended.
+    // Sent under this leader, a report of that session shows what is there; a later
+    // session proves that everything before has ended.
     r.token = Token(Epoch(6).base());
     r.seq = Seq(4);
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
@@ -235,18 +238,22 @@
     assert_ne!(d.attempt(JOB, 0), Some(a));
 }
 
-/// After a take-over nobody remembers which machines were given back.
+/// After a failover the leader does not know which machines were released.
 #[test]
-fn a_machine_of_which_there_is_only_a_copy_gets_nothing() {
+fn a_machine_known_only_from_a_duplicate_report_gets_no_tasks() {
     let mut d = Desk::new(6);
     (d.lists, d.refuses) = (false, true);
     let mut copy = report(1, 70, Token(Epoch(5).base() + 9));
     copy.notice_s = Some(9.0);
     d.beat(&copy);
     d.submit(&job(1, 1));
-    assert_eq!(d.attempt(JOB, 0), None, "placed on a ghost");
+    assert_eq!(
+        d.attempt(JOB, 0),
+        None,
+        "placed on a machine that may not exist"
+    );
     assert!(d.s.machines[&host(1)].spot_notice_until.is_none());
-    // Listed, it is there after all.
+    // The cloud lists it, so it exists.
     let listed = Listed {
         host: host(1),
         addr: None,
@@ -261,28 +268,25 @@
     assert!(d.attempt(JOB, 0).is_some());
 }
 
-/// A copy of what is known has no effect: not as news, not as a sign of life.
+/// A duplicate of a known report neither changes attempts nor counts as contact.
 #[test]
-fn a_copy_of_a_known_report_is_no_sign_of_life() {
-    let (mut d, a) = at_work();
+fn a_duplicate_of_a_known_report_is_ignored() {
+    let (mut d, a) = with_running_task();
     let heard = d.s.machines[&host(1)].last_heartbeat;
     for _ in 0..4 {
         d.wait(2.5);
-        d.beat(&runs(3, a));
+        d.beat(&report_with_running_task(3, a));
         d.beat(&report(1, 2, Token(0)));
     }
     assert_eq!(d.s.machines[&host(1)].last_heartbeat, heard);
-    assert_eq!(
-        d.attempt(JOB, 0),
-        Some(a),
-        "an old report said that it is gone"
-    );
+    assert_eq!(d.attempt(JOB, 0), Some(a), "ended by an old report");
 }
 
-/// A leader that has lost the state service and the others, but not its workers,
-/// sends them away at once; with others in reach it is an outage for all.
+/// A leader that has lost the state service and all other controllers refuses its
+/// workers at once. While it reaches another controller, the outage affects all and it
+/// goes on answering.
 #[test]
-fn a_leader_alone_with_its_workers_sends_them_away() {
+fn a_partitioned_leader_refuses_its_workers() {
     for (alone, busy) in [(true, false), (false, false), (true, true)] {
         let others = [("b", "a"), ("c", "b")];
         let others = others.map(|(l, z)| (Label::from(l), Zone::from(z)));
@@ -301,23 +305,23 @@
             d.wait(0.5);
             let proven = d.s.may_start(Time(d.now));
             let answered = d.beat(&report(1, n, Token(0))).is_some();
-            // One that is too busy to hear the others is not alone for that.
+            // A leader too busy to process messages is not considered partitioned.
             assert_eq!(answered, proven || !alone || busy, "{:?} after {n}", d.now);
         }
         assert!(!d.s.may_start(Time(d.now)));
     }
 }
 
-/// It woke, took what it had not heard for silence, and released those machines
-/// that did not report first.
+/// After a suspension the leader took the missed heartbeats for silence and released
+/// the machines that were not the first to report.
 #[test]
-fn what_was_not_heard_while_standing_still_is_no_silence() {
+fn heartbeats_missed_while_the_leader_was_suspended_do_not_count() {
     let mut d = Desk::new(5);
     for n in 1..=5 {
         d.beat(&report(n, 1, Token(0)));
     }
     d.wait(1.0);
-    // Less than a lease, and more than the patience with a silent machine.
+    // Less than a lease, but longer than a silent machine is kept.
     d.now += 14_000_000;
     d.event(Event::Tick(Wall(d.now / 1000)));
     // More than half of them report before the others.
@@ -326,7 +330,7 @@
     }
     d.wait(2.0);
     assert_eq!(d.released(), vec![], "released after its own pause");
-    // Silent from then on is silent.
+    // Silence after the suspension counts.
     for k in 0..5 {
         for n in 1..=3 {
             d.beat(&report(n, 3 + k, Token(0)));
@@ -337,10 +341,10 @@
     assert_eq!(gone.len(), 2);
 }
 
-/// The freeze falls between any two steps of a submission: it is never told what
-/// is not stored, and a write of a later term stands.
+/// The leader is suspended between any two steps of a submission: it never reports
+/// state that is not stored, and a write of a later epoch stands.
 #[test]
-fn a_pause_at_any_step_of_a_submission_tells_nothing_unproven() {
+fn a_pause_at_any_step_of_a_submission_reveals_nothing_unproven() {
     for pause_at in 0..3 {
         let mut d = Desk::new(5);
         d.beat(&report(1, 1, Token(0)));
@@ -362,21 +366,22 @@
         if pause_at == 0 {
             assert_eq!(d.status(req), Some(503));
         }
-        // The lease of the workers goes on for the grace, and no command leaves.
+        // Workers' leases are renewed during the grace period, but no command is sent.
         assert!(beat.is_none_or(|a| a.orders.is_empty()));
     }
 }
 
-/// An answered call proves presence, whatever token the worker has heard.
+/// An answered direct call proves that the machine exists, whatever token the worker
+/// carries.
 #[test]
-fn a_machine_that_answers_a_call_is_there() {
-    let (mut d, a) = inherits();
+fn an_answered_call_confirms_that_a_machine_exists() {
+    let (mut d, a) = with_inherited_task();
     d.refuses = false;
     d.lists = false;
     d.beat(&report(1, 900, Token(3)));
     d.wait(0.25);
     let (call, h, orders) = d.direct().remove(0);
-    assert!(orders.orders.is_empty(), "asked for nothing but its word");
+    assert!(orders.orders.is_empty(), "a probe carries no commands");
     let mut r = report(1, 3, orders.token);
     r.session = Session(2);
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -1,5 +1,5 @@
-//! Machines that hang and go on, machines that only direct calls reach, and copies of
-//! reports that reach a new leader, each where it meets another trouble.
+//! Machines that hang and resume, machines reached only by direct calls, and duplicate
+//! reports that reach a new leader, each combined with another fault.
 
 mod world;
 
@@ -19,8 +19,9 @@
     Host::from(format!("n-{n:06}").as_str())
 }
 
-/// Each call under way is answered by machine 1, which shows the running attempts.
-fn answers_calls(d: &mut Desk, seq: &mut u64, running: &[(&str, Attempt)]) {
+/// Machine 1 answers each direct call in flight, reporting `running` and what the call
+/// starts.
+fn answer_calls(d: &mut Desk, seq: &mut u64, running: &[(&str, Attempt)]) {
     for (call, h, orders) in d.direct() {
         *seq += 1;
         let mut r = report(1, *seq, orders.token);
@@ -38,46 +39,51 @@
     }
 }
 
-/// Its answers to calls made it look alive: it got task after task, each of which ended
-/// with the lease that no call renews.
+/// Answers to direct calls made a machine look alive: it got more and more tasks, which
+/// all ended when the lease expired, as no call renews it.
 #[test]
-fn a_machine_that_answers_calls_but_does_not_report_gets_nothing_more() {
+fn a_machine_that_answers_calls_but_sends_no_heartbeats_gets_no_new_tasks() {
     let mut d = Desk::new(5);
     let mut seq = 1;
     d.beat(&report(1, seq, Token(0)));
     d.submit(&job(1, 1));
-    answers_calls(&mut d, &mut seq, &[]);
+    answer_calls(&mut d, &mut seq, &[]);
     let first = d.attempt(JOB, 0).expect("placed");
-    // From here on its reports arrive no more.
+    // From here on its heartbeats stop arriving.
     d.wait(3.0);
     d.submit(&job(2, 1));
-    answers_calls(&mut d, &mut seq, &[(JOB, first)]);
+    answer_calls(&mut d, &mut seq, &[(JOB, first)]);
     d.wait(4.0);
     d.submit(&job(3, 1));
-    assert_eq!(d.attempt("job-000003", 0), None, "placed to die");
+    assert_eq!(
+        d.attempt("job-000003", 0),
+        None,
+        "placed where the lease will expire"
+    );
     let calls = d.direct();
     let starts = |o: &Order| matches!(o, Order::Run { .. });
     assert!(!calls.iter().any(|c| c.2.orders.iter().any(starts)));
-    // It is given back as any silent one, and its tasks wait for that.
+    // It is released like any silent machine, and its tasks wait for that.
     d.wait(6.0);
     assert_eq!(d.released(), vec![host(1)]);
     assert_eq!(d.attempt(JOB, 0), Some(first));
 }
 
-/// What waits to be stored when its reports stop is not started there by a call.
+/// An attempt still waiting to be stored when the heartbeats stop is not started by a
+/// direct call.
 #[test]
-fn a_call_starts_nothing_on_a_machine_whose_reports_have_stopped() {
+fn a_direct_call_starts_nothing_after_heartbeats_have_stopped() {
     let mut d = Desk::new(5);
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
     let mut seq = 1;
-    answers_calls(&mut d, &mut seq, &[]);
+    answer_calls(&mut d, &mut seq, &[]);
     d.wait(4.0);
     d.stores = false;
     d.submit(&job(2, 1));
     assert!(d.attempt("job-000002", 0).is_some(), "placed");
     d.ask(Ask::Cancel(JOB.into()));
-    answers_calls(&mut d, &mut seq, &[]);
+    answer_calls(&mut d, &mut seq, &[]);
     assert_eq!(d.attempt(JOB, 0), None, "a call ended it");
     d.wait(2.0);
     d.store();
@@ -87,10 +93,10 @@
     assert!(!calls.iter().any(|c| c.2.orders.iter().any(starts)));
 }
 
-/// Direct calls renew no lease: an attempt is gone with the lease that the last answer
-/// to a report began, however often its machine answers calls.
+/// Direct calls renew no lease: an attempt is gone once the lease renewed by the last
+/// heartbeat answer has expired, however often its machine answers calls.
 #[test]
-fn answers_to_calls_put_off_no_lease() {
+fn answers_to_direct_calls_renew_no_lease() {
     let mut d = Desk::new(5);
     let mut seq = 1;
     d.beat(&report(1, seq, Token(0)));
@@ -98,13 +104,13 @@
     d.beat(&report(1, seq, Token(0)));
     let answered = d.s.machines[&host(1)].last_renewal;
     d.submit(&job(1, 1));
-    answers_calls(&mut d, &mut seq, &[]);
+    answer_calls(&mut d, &mut seq, &[]);
     let first = d.attempt(JOB, 0).unwrap();
     d.wait(3.0);
     d.submit(&job(2, 1));
     assert!(d.attempt("job-000002", 0).is_some());
     let before = seq;
-    answers_calls(&mut d, &mut seq, &[(JOB, first)]);
+    answer_calls(&mut d, &mut seq, &[(JOB, first)]);
     assert!(seq > before, "it answered a call");
     while d.attempt(JOB, 0) == Some(first) {
         assert_eq!(d.s.machines[&host(1)].last_renewal, answered);
@@ -114,11 +120,11 @@
     assert!(Time(d.now) > answered + Span::secs(20.0), "too early");
 }
 
-/// A call to start a task was on its way when the job was cancelled. The answer to a
-/// report overtook it: the worker was told to end what it did not have, its lease was
-/// renewed, and the call then started the task for another lease.
+/// A direct call to start a task was in flight when the job was cancelled. The answer
+/// to a heartbeat overtook it: the worker was told to stop a task it did not have, its
+/// lease was renewed, and the call then started the task.
 #[test]
-fn an_answer_that_overtakes_a_call_puts_it_out_of_force() {
+fn an_answer_that_overtakes_a_direct_call_invalidates_it() {
     let mut d = Desk::new(5);
     d.hear = false;
     d.beat(&report(1, 1, Token(0)));
@@ -129,15 +135,15 @@
     assert_eq!(d.status(cancel), Some(200));
     let a = d.beat(&report(1, 2, held.token)).expect("answered");
     assert!(a.token > held.token, "the call would be carried out");
-    // Out of force, it is answered so, and the attempt is gone.
+    // The worker rejects the invalidated call, and the attempt is gone.
     let conflict = Box::new(report(1, 3, a.token));
     d.event(Event::Direct(call, h, DirectResult::Conflict(conflict)));
     d.beat(&report(1, 4, a.token));
     assert_eq!(d.attempt(JOB, 0), None);
 }
 
-/// A leader that finds a task of an earlier one on record; calls are refused.
-fn next_leader() -> (Desk, Attempt) {
+/// A leader that loads a task placed by an earlier one; direct calls are refused.
+fn new_leader_with_inherited_task() -> (Desk, Attempt) {
     let mut d = Desk::new(5);
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
@@ -151,12 +157,12 @@
     (d, a)
 }
 
-/// A new leader took copies, one after the other, for reports that its answers had no
-/// effect on: the machine got nothing more, its reports were refused, and what it ran
-/// ended with its lease.
+/// A new leader took consecutive duplicates for heartbeats without effect of its
+/// answers: the machine was marked unreachable, its heartbeats were refused, and its
+/// tasks ended when the lease expired.
 #[test]
-fn copies_that_arrive_in_a_row_make_no_machine_deaf() {
-    let (mut d, a) = next_leader();
+fn consecutive_duplicates_do_not_mark_a_machine_unreachable() {
+    let (mut d, a) = new_leader_with_inherited_task();
     let old = Token(Epoch(5).base() + 3);
     let mut r = report(1, 0, old);
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
@@ -166,7 +172,7 @@
         d.now += 40_000;
     }
     assert!(d.s.machines[&host(1)].unreachable_since.is_none());
-    // One lost answer on top of that, and it has heard.
+    // One lost answer in addition, then the worker confirms the token.
     d.wait(2.0);
     r.seq = Seq(30);
     assert!(d.beat(&r).is_some());
@@ -177,18 +183,18 @@
     assert_eq!(d.attempt(JOB, 0), Some(a));
 }
 
-/// A copy of an earlier session, then the worker's own report: that its session is a
-/// later one than the copy's says nothing of whether it hears.
+/// A duplicate from an earlier session, then the worker's current heartbeat: its later
+/// session does not prove that answers were lost.
 #[test]
-fn a_session_later_than_that_of_a_copy_makes_no_machine_deaf() {
-    let (mut d, a) = next_leader();
+fn a_session_later_than_that_of_a_duplicate_does_not_mark_a_machine_unreachable() {
+    let (mut d, a) = new_leader_with_inherited_task();
     let old = Token(Epoch(5).base() + 3);
     d.beat(&report(1, 900, old));
     d.wait(2.0);
     let mut r = report(1, 7, old);
     r.session = Session(2);
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
-    // The answer to the first of its own is lost on top of that.
+    // The answer to its first current heartbeat is lost in addition.
     for seq in [7, 8] {
         r.seq = Seq(seq);
         assert!(d.beat(&r).is_some());
@@ -198,9 +204,10 @@
     assert_eq!(d.attempt(JOB, 0), Some(a));
 }
 
-/// A copy of an old report had the answer that its worker waited for refused.
+/// A duplicate of an old report caused the answer that the worker was waiting for to be
+/// refused.
 #[test]
-fn a_copy_of_an_old_report_displaces_no_answer() {
+fn a_duplicate_of_an_old_report_displaces_no_held_answer() {
     let mut d = Desk::set_up(5, vec![], |c| c.hold = Span::millis(300));
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
@@ -217,14 +224,14 @@
         let copy = ask(&mut d, seq);
         assert_eq!(d.status(copy), Some(503));
     }
-    assert_eq!(d.status(waits), None, "refused for a copy");
+    assert_eq!(d.status(waits), None, "refused because of a duplicate");
     d.stores = true;
     d.wait(0.5);
     assert_eq!(d.status(waits), Some(200));
 }
 
-/// A fleet at work: arrays, a service and a gang of both teams, all of them long.
-fn at_work(seed: u64, change: impl Fn(&mut World)) -> World {
+/// A busy fleet: long arrays, a service and a gang of both teams.
+fn busy_fleet(seed: u64, change: impl Fn(&mut World)) -> World {
     let mut w = World::new(seed, 3);
     w.run_s = 400.0;
     change(&mut w);
@@ -239,43 +246,47 @@
     w
 }
 
-fn leader_changes(w: &mut World, in_s: f64) {
+fn change_leader(w: &mut World, in_s: f64) {
     let leader = w.leader().expect("a leader");
     w.at(in_s, Ev::Kill(leader));
     w.at(in_s + 0.4, Ev::Restart(leader));
 }
 
-/// Copies of what was reported under earlier leaders, in this session and in those
-/// before, reach all controllers with each new leader: no task is lost to them, none
-/// runs twice, and no machine is thought deaf.
+/// Duplicates of reports to earlier leaders, from current and earlier sessions, reach
+/// all controllers with each new leader: no task is lost or runs twice, and no machine
+/// is marked unreachable.
 #[test]
-fn copies_for_each_next_leader_change_nothing() {
+fn duplicates_that_reach_each_new_leader_change_nothing() {
     for seed in 0..8 {
-        let mut w = at_work(seed, |w| w.at(0.0, Ev::KeepReports(0.3)));
+        let mut w = busy_fleet(seed, |w| w.at(0.0, Ev::KeepReports(0.3)));
         let begun = w.started;
         for n in 0..3 {
-            leader_changes(&mut w, 0.0);
+            change_leader(&mut w, 0.0);
             w.run(7.0 + 3.0 * n as f64);
             let i = w.leader().expect("a leader");
-            let deaf = |m: &hookworks::sched::machine::Machine| m.unreachable_since.is_some();
-            assert!(!w.sched(i).machines.values().any(deaf), "seed {seed}");
+            let unreachable =
+                |m: &hookworks::sched::machine::Machine| m.unreachable_since.is_some();
+            assert!(
+                !w.sched(i).machines.values().any(unreachable),
+                "seed {seed}"
+            );
         }
         w.assert_rules();
         assert_eq!(w.started, begun, "seed {seed}: something began anew");
-        // From an earlier session, too.
+        // Duplicates from an earlier session, too.
         for h in w.workers.keys().cloned().collect::<Vec<Host>>() {
             w.at(0.0, Ev::Reborn(h));
         }
-        leader_changes(&mut w, 1.5);
+        change_leader(&mut w, 1.5);
         w.run(40.0);
-        leader_changes(&mut w, 0.0);
+        change_leader(&mut w, 0.0);
         w.run(60.0);
         w.assert_rules();
     }
 }
 
-/// Small jobs come until then, and are called off soon after they began.
-fn small_jobs(w: &mut World, from_s: f64, until_s: f64) -> Vec<JobId> {
+/// Submits small jobs between the two times; each is cancelled soon after its start.
+fn submit_and_cancel_small_jobs(w: &mut World, from_s: f64, until_s: f64) -> Vec<JobId> {
     let mut ids = vec![];
     let mut at = from_s;
     while at < until_s {
@@ -294,17 +305,17 @@
 }
 
 /// Machines reach no controller, for less and for more than a lease, around a change of
-/// leader. What runs there goes on elsewhere once it is proven gone, and nothing is
-/// started there that would end with the lease.
+/// leader. Their tasks restart elsewhere once proven gone, and nothing is started there
+/// that would end when the lease expires.
 #[test]
-fn what_is_on_machines_that_only_calls_reach_moves_and_runs_once() {
+fn tasks_on_machines_reached_only_by_calls_restart_elsewhere_and_run_once() {
     for seed in 0..24 {
         let mute_s = [8.0, 19.0, 23.0, 70.0][seed as usize % 4];
         let changes = seed % 3 != 0;
-        let mut w = at_work(seed, |w| {
+        let mut w = busy_fleet(seed, |w| {
             (w.wealth, w.refuses_releases) = (2.0, seed % 3 != 1);
         });
-        // The last one has room.
+        // The last machine has free resources.
         let all: Vec<Host> = w.workers.keys().rev().cloned().collect();
         let many = if seed % 2 == 0 { 1 } else { all.len() };
         for h in all.iter().take(many) {
@@ -312,11 +323,12 @@
             w.at(mute_s, Ev::Mute(h.clone(), false));
         }
         if changes {
-            leader_changes(&mut w, seed as f64 / 3.0);
+            change_leader(&mut w, seed as f64 / 3.0);
         }
-        let ids = small_jobs(&mut w, 1.0, mute_s);
+        let ids = submit_and_cancel_small_jobs(&mut w, 1.0, mute_s);
         w.run(mute_s);
-        // Those that came once its last report was too old; a new leader meets it anew.
+        // Jobs submitted after its last heartbeat was too old; a new leader treats it
+        // as just met.
         let late = &ids[3..];
         let started = |h: &Host| late.iter().map(|id| w.runs_on(id, h)).sum::<usize>();
         let died: usize = all.iter().take(many).map(started).sum();
@@ -332,11 +344,12 @@
     }
 }
 
-/// Every team is at its limit and more waits; what runs is called off within 0.2 s, its
-/// machines hang, and the leader changes. What is not proven gone keeps its room and
-/// quota; once the last is gone, what waited has it all within seconds.
+/// Every team is at its quota and more jobs wait; the running ones are cancelled within
+/// 0.2 s, their machines hang, and the leader changes. Attempts not proven gone keep
+/// their resources and quota; once the last is gone, the waiting jobs get all of it
+/// within seconds.
 #[test]
-fn room_of_what_hangs_is_given_away_once_it_is_gone_and_not_before() {
+fn resources_of_hanging_attempts_are_reused_only_once_they_are_gone() {
     for seed in 0..40 {
         let hang_s = [0.7, 3.9, 11.0, 19.6, 20.6, 24.0, 41.0, 43.0][seed as usize % 8];
         let mut w = World::new(seed, 3);
@@ -353,14 +366,14 @@
         w.at(0.0, Ev::CancelNow(2, Some(hang_s)));
         match seed % 5 {
             0 => {}
-            n => leader_changes(&mut w, [0.0, 0.1, 1.0, 6.0][n as usize - 1]),
+            n => change_leader(&mut w, [0.0, 0.1, 1.0, 6.0][n as usize - 1]),
         }
         let mut waited = 0;
         while w.cpus_of("red") < 12.0 || !w.hosts_of(&old).is_empty() {
             w.run(1.0);
             waited += 1;
-            // The grace of the leader before, a lease, and a machine that boots.
-            assert!(waited < 75, "seed {seed}: room is kept for nothing");
+            // The previous leader's grace period, a lease, and the boot of a machine.
+            assert!(waited < 75, "seed {seed}: resources are kept for too long");
         }
         assert!(!w.hosts_of(&new).is_empty());
         w.run(80.0);
