--- a/crates/fairness/src/lib.rs
+++ b/crates/fairness/src/lib.rs
@@ -1,16 +1,17 @@
-//! Fairness between classes of jobs and between teams: which share of each starts in
+//! Fairness between classes of jobs and between teams: the share of each that starts in
 //! time, a guaranteed minimum, and a bound on starvation.
 //!
-//! A fleet can do well as a whole while one class or team gets next to nothing. [`ShareTracker`]
-//! counts by group what came and what became of it, over the last minutes, and
-//! with what waits now tells the share that is served. [`FairnessPolicy`] says who has
-//! fallen so low that a part of the fleet is reserved, and how much for each.
+//! A fleet can do well as a whole while one class or team gets next to nothing.
+//! [`ShareTracker`] counts job events by group over the last minutes and, together with
+//! the jobs that wait now, computes the share of each group that starts in time.
+//! [`FairnessPolicy`] decides which groups are below the guaranteed minimum, so that a
+//! part of the fleet is reserved for them, and how much each of them gets.
 //!
-//! Events go in with their time, metrics come out. The package promises bounded
-//! memory: a few counters for each group and ten seconds, for [`WINDOW`].
+//! Events go in with their time, metrics come out. Memory is bounded: a few counters
+//! for each group and each ten seconds of [`WINDOW`].
 //!
-//! It must never do I/O, read a clock or start a thread, and it never starts or stops
-//! a task: it only says which jobs go first.
+//! The crate does no I/O, reads no clock and starts no threads. It never starts or
+//! stops a task; it only says which jobs go first.
 
 mod largest_jobs;
 
@@ -20,32 +21,32 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Shares are of what happened within so long.
+/// The period over which shares are computed.
 pub const WINDOW: Span = Span(300_000_000);
-/// Events within so long are counted together.
+/// Events are counted in buckets of this length.
 const BUCKET: Span = Span(10_000_000);
 
 /// What happened to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobEvent {
-    /// It was accepted, or loaded by a new leader.
+    /// The job was accepted, or loaded by a new leader.
     Accepted,
-    /// The first of its tasks has started.
+    /// The first task of the job has started.
     Started,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
-    /// A submission was told to come back later.
+    /// A submission was refused, to be retried later.
     Refused,
 }
 
-/// Jobs by what happened to them.
+/// Numbers of jobs by event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// See [`JobEvent::Came`].
+    /// See [`JobEvent::Accepted`].
     pub came: u64,
-    /// See [`JobEvent::Begun`].
+    /// See [`JobEvent::Started`].
     pub begun: u64,
     /// See [`JobEvent::Done`].
     pub done: u64,
@@ -56,57 +57,58 @@
 }
 
 impl Counts {
-    fn record(&mut self, what: JobEvent) {
-        let n = match what {
+    fn record(&mut self, event: JobEvent) {
+        let counter = match event {
             JobEvent::Accepted => &mut self.came,
             JobEvent::Started => &mut self.begun,
             JobEvent::Done => &mut self.done,
             JobEvent::Cancelled => &mut self.cancelled,
             JobEvent::Refused => &mut self.refused,
         };
-        *n += 1;
+        *counter += 1;
     }
 
-    fn add(&mut self, o: &Counts) {
-        self.came += o.came;
-        self.begun += o.begun;
-        self.done += o.done;
-        self.cancelled += o.cancelled;
-        self.refused += o.refused;
+    fn add(&mut self, other: &Counts) {
+        self.came += other.came;
+        self.begun += other.begun;
+        self.done += other.done;
+        self.cancelled += other.cancelled;
+        self.refused += other.refused;
     }
 }
 
-/// What waits now, of one group.
+/// The jobs of one group that wait now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WaitingJobs {
     /// Jobs with waiting tasks.
     pub jobs: u64,
     /// Waiting tasks.
     pub tasks: u64,
-    /// The longest that any of them has waited.
+    /// The longest wait for a start among them.
     pub oldest: Span,
-    /// Jobs that have waited for longer than their class is to wait at all.
+    /// Jobs that have waited for a start longer than the limit of their class.
     pub overdue: u64,
-    /// The same, of those that came so long ago, whatever began of them since.
+    /// Jobs that were accepted longer ago than that limit, even if some of their tasks
+    /// started since.
     pub late: u64,
 }
 
 impl WaitingJobs {
-    /// A job with so many waiting tasks, that came so long ago and has waited for
-    /// a start since then; `patience` is what its class may wait.
-    pub fn add(&mut self, tasks: u64, came: Span, waited: Span, patience: Span) {
+    /// Adds a job with `tasks` waiting tasks that was accepted `age` ago and has waited
+    /// for a start for `waited`; `max_wait` is the limit of its class.
+    pub fn add(&mut self, tasks: u64, age: Span, waited: Span, max_wait: Span) {
         self.jobs += 1;
-        self.late += (came > patience) as u64;
+        self.late += (age > max_wait) as u64;
         self.tasks += tasks;
         self.oldest = self.oldest.max(waited);
-        self.overdue += (waited > patience) as u64;
+        self.overdue += (waited > max_wait) as u64;
     }
 }
 
-/// The metrics of one group; field names are those of the overview.
+/// The metrics of one group, under the field names of the overview.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct GroupMetrics {
-    /// Since this leader began.
+    /// Since this controller became leader.
     pub total: Counts,
     /// Within [`WINDOW`].
     pub recent: Counts,
@@ -114,14 +116,15 @@
     pub waiting_jobs: u64,
     /// Waiting tasks.
     pub waiting_tasks: u64,
-    /// The longest that any of them has waited, in seconds.
+    /// The longest wait for a start among them, in seconds.
     pub oldest_wait_s: f64,
-    /// Jobs that have waited for longer than their class is to wait.
+    /// Jobs that have waited for a start longer than the limit of their class.
     pub overdue_jobs: u64,
-    /// Jobs that came so long ago, whatever of them has started since.
+    /// Jobs that were accepted longer ago than that limit, even if some of their tasks
+    /// started since.
     pub late_jobs: u64,
-    /// Of those that began lately or should have: the share that did. 1 where
-    /// nothing was due.
+    /// The share of jobs that started within [`WINDOW`], among these and the overdue
+    /// ones; 1 if there are neither.
     pub share: f64,
 }
 
@@ -131,7 +134,7 @@
     recent: VecDeque<(u64, Counts)>,
 }
 
-/// Counts by group.
+/// Counts job events by group.
 #[derive(Clone, Debug)]
 pub struct ShareTracker<K>(BTreeMap<K, Group>);
 
@@ -143,70 +146,74 @@
 
 impl<K: Ord + Clone> ShareTracker<K> {
     /// Counts an event.
-    pub fn record(&mut self, now: Time, group: &K, what: JobEvent) {
+    pub fn record(&mut self, now: Time, group: &K, event: JobEvent) {
         if !self.0.contains_key(group) {
             self.0.insert(group.clone(), Group::default());
         }
-        let Some(g) = self.0.get_mut(group) else {
+        let Some(entry) = self.0.get_mut(group) else {
             return;
         };
-        g.total.record(what);
-        let step = now.0 / BUCKET.0;
-        g.drop_expired(step);
-        match g.recent.back_mut().filter(|(s, _)| *s == step) {
-            Some((_, c)) => c.record(what),
+        entry.total.record(event);
+        let bucket = now.0 / BUCKET.0;
+        entry.drop_expired(bucket);
+        match entry.recent.back_mut().filter(|(at, _)| *at == bucket) {
+            Some((_, counts)) => counts.record(event),
             None => {
-                let mut c = Counts::default();
-                c.record(what);
-                g.recent.push_back((step, c));
+                let mut counts = Counts::default();
+                counts.record(event);
+                entry.recent.push_back((bucket, counts));
             }
         }
     }
 
-    /// The metrics of every group that ever had any, or waits now.
+    /// The metrics of every group that has recorded an event or waits now.
     pub fn metrics(
         &mut self,
         now: Time,
-        waits: &BTreeMap<K, WaitingJobs>,
+        waiting: &BTreeMap<K, WaitingJobs>,
     ) -> BTreeMap<K, GroupMetrics> {
         let mut all: BTreeMap<K, GroupMetrics> = BTreeMap::new();
-        for (k, g) in &mut self.0 {
-            g.drop_expired(now.0 / BUCKET.0);
-            all.insert(k.clone(), GroupMetrics::of(g, waits.get(k)));
+        for (key, group) in &mut self.0 {
+            group.drop_expired(now.0 / BUCKET.0);
+            all.insert(key.clone(), GroupMetrics::of(group, waiting.get(key)));
         }
-        for (k, w) in waits {
-            all.entry(k.clone())
-                .or_insert_with(|| GroupMetrics::of(&Group::default(), Some(w)));
+        for (key, jobs) in waiting {
+            all.entry(key.clone())
+                .or_insert_with(|| GroupMetrics::of(&Group::default(), Some(jobs)));
         }
         all
     }
 }
 
 impl Group {
-    fn drop_expired(&mut self, step: u64) {
-        let steps = WINDOW.0 / BUCKET.0;
-        while self.recent.front().is_some_and(|(s, _)| s + steps < step) {
+    fn drop_expired(&mut self, bucket: u64) {
+        let buckets = WINDOW.0 / BUCKET.0;
+        while self
+            .recent
+            .front()
+            .is_some_and(|(at, _)| at + buckets < bucket)
+        {
             self.recent.pop_front();
         }
     }
 }
 
 impl GroupMetrics {
-    fn of(g: &Group, waits: Option<&WaitingJobs>) -> GroupMetrics {
+    fn of(group: &Group, waiting: Option<&WaitingJobs>) -> GroupMetrics {
         let mut recent = Counts::default();
-        for (_, c) in &g.recent {
-            recent.add(c);
+        for (_, counts) in &group.recent {
+            recent.add(counts);
         }
-        let w = waits.copied().unwrap_or_default();
-        let due = recent.begun + w.overdue;
+        let waiting = waiting.copied().unwrap_or_default();
+        let due = recent.begun + waiting.overdue;
         GroupMetrics {
-            total: g.total,
+            total: group.total,
             recent,
-            waiting_jobs: w.jobs,
-            waiting_tasks: w.tasks,
-            oldest_wait_s: w.oldest.as_secs(),
-            overdue_jobs: w.overdue,
-            late_jobs: w.late,
+            waiting_jobs: waiting.jobs,
+            waiting_tasks: waiting.tasks,
+            oldest_wait_s: waiting.oldest.as_secs(),
+            overdue_jobs: waiting.overdue,
+            late_jobs: waiting.late,
             share: match due {
                 0 => 1.0,
                 _ => recent.begun as f64 / due as f64,
@@ -215,60 +222,66 @@
     }
 }
 
-/// Which groups go ahead of all others, and with how much of the fleet.
+/// Which groups are served before all others, and with how much of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FairnessPolicy {
-    /// Share of the fleet that is reserved for all such groups together; 0 switches
-    /// the guaranteed minimum off.
+    /// Share of the fleet that is reserved for all groups below the minimum together; 0
+    /// disables the guaranteed minimum.
     pub reserved_share: f64,
-    /// The guaranteed minimum: a group with a smaller share of jobs that start in
-    /// time is below it.
+    /// The guaranteed minimum: a group is below it if a smaller share of its jobs
+    /// starts in time.
     pub min_share: f64,
-    /// A job without any started task is overtaken by others for no longer than this;
-    /// none: without a bound.
+    /// How long a job without any started task may be overtaken by others; no bound if
+    /// none.
     pub max_overtaken: Option<Span>,
 }
 
-/// Of a job that was overtaken for so long, one in so many tasks starts.
+/// One in so many tasks of a job that was overtaken too long starts ahead of others.
 const TASKS_PER_BOOSTED_TASK: u64 = 10;
 
 impl FairnessPolicy {
-    /// Whether a group is below the minimum share: jobs of it are overdue, and too few
-    /// began meanwhile. One that was stays so until none of its jobs is late: the
-    /// first start alone would leave the rest to wait as long again.
-    pub fn is_below_minimum(&self, was: bool, f: &GroupMetrics) -> bool {
-        let falls = f.overdue_jobs > 0 && f.share < self.min_share;
-        self.reserved_share > 0.0 && (falls || was && f.late_jobs > 0)
+    /// Whether a group is below the minimum share: it has overdue jobs, and too few
+    /// started within [`WINDOW`]. A group that was below (`was_below`) stays so until
+    /// none of its jobs is late: otherwise the first start alone would leave the rest
+    /// to wait as long again.
+    pub fn is_below_minimum(&self, was_below: bool, metrics: &GroupMetrics) -> bool {
+        let falls_below = metrics.overdue_jobs > 0 && metrics.share < self.min_share;
+        self.reserved_share > 0.0 && (falls_below || was_below && metrics.late_jobs > 0)
     }
 
-    /// How many tasks of a job go ahead of others, of which so many wait and none
-    /// has begun for so long. A part only: jobs of thousands of tasks would stop
-    /// everyone else's.
+    /// How many tasks of a job start ahead of others, if `waiting` of its `tasks` wait
+    /// and none has started for `waited`. Only a part of them: jobs of thousands of
+    /// tasks would preempt everyone else's.
     pub fn boosted_tasks(&self, tasks: u64, waiting: u64, waited: Span) -> u64 {
         match self.max_overtaken {
-            Some(most) if waited >= most => tasks.div_ceil(TASKS_PER_BOOSTED_TASK).min(waiting),
+            Some(max) if waited >= max => tasks.div_ceil(TASKS_PER_BOOSTED_TASK).min(waiting),
             _ => 0,
         }
     }
 
-    /// What each of the groups below the minimum share may still take ahead of others,
-    /// given what they use of a fleet of this size. Below zero: it has more than
-    /// its part already, as one has that floods the fleet and is not served by half
-    /// for that; its part is the others'.
+    /// The budget of each group below the minimum share: how much more it may take
+    /// ahead of others, given what the groups use of a fleet of size `fleet`. It is
+    /// negative for a group that already has more than an equal part, for instance one
+    /// that floods the fleet and is below the minimum only for that reason; its part
+    /// goes to the other groups.
     pub fn budgets<K: Ord + Clone>(&self, fleet: i64, used: &BTreeMap<K, i64>) -> BTreeMap<K, i64> {
-        let all = (fleet as f64 * self.reserved_share) as i64;
-        let mut uses: Vec<i64> = used.values().copied().collect();
-        uses.sort_unstable();
-        // The largest leave, one by one, as long as they have more than an equal part.
-        while uses.len() > 1 && uses.last().is_some_and(|u| *u > all / uses.len() as i64) {
-            uses.pop();
+        let reserved = (fleet as f64 * self.reserved_share) as i64;
+        let mut usages: Vec<i64> = used.values().copied().collect();
+        usages.sort_unstable();
+        // Drops the largest users one by one while they have more than an equal part.
+        while usages.len() > 1
+            && usages
+                .last()
+                .is_some_and(|u| *u > reserved / usages.len() as i64)
+        {
+            usages.pop();
         }
-        let part = all / uses.len().max(1) as i64;
-        let most = uses.last().copied().unwrap_or(0);
-        let left = |(k, used): (&K, &i64)| match *used > most {
-            true => (k.clone(), -used),
-            false => (k.clone(), part - used),
+        let part = reserved / usages.len().max(1) as i64;
+        let max = usages.last().copied().unwrap_or(0);
+        let budget = |(key, used): (&K, &i64)| match *used > max {
+            true => (key.clone(), -used),
+            false => (key.clone(), part - used),
         };
-        used.iter().map(left).collect()
+        used.iter().map(budget).collect()
     }
 }
--- a/crates/fairness/tests/largest_jobs.rs
+++ b/crates/fairness/tests/largest_jobs.rs
@@ -3,21 +3,21 @@
 use hookworks_base::time::Span;
 use hookworks_fairness::LargestJobs;
 
-/// The average over a class said that all was well.
+/// Guards against delays of the largest jobs that an average over the class hides.
 #[test]
 fn only_the_largest_tenth_counts() {
-    let mut l = LargestJobs::default();
+    let mut largest = LargestJobs::default();
     for n in 1..=19 {
-        l.record_size(n);
-        l.record_start(1, Span::secs(500.0));
+        largest.record_size(n);
+        largest.record_start(1, Span::secs(500.0));
     }
-    l.record_size(3000);
-    assert!(l.is_among_largest(3000) && !l.is_among_largest(9));
-    l.record_start(3000, Span::secs(70.0));
+    largest.record_size(3000);
+    assert!(largest.is_among_largest(3000) && !largest.is_among_largest(9));
+    largest.record_start(3000, Span::secs(70.0));
     let waiting = [(3000, Span::secs(9.0)), (2, Span::secs(99.0))];
-    let f = l.metrics(waiting.into_iter());
-    assert_eq!((f.waiting, f.oldest_s), (1, 9.0));
-    assert!(f.tasks_from > 10 && f.tasks_from <= 19);
-    // The first of a class is its largest until others come.
-    assert_eq!(f.longest_s, 500.0);
+    let metrics = largest.metrics(waiting.into_iter());
+    assert_eq!((metrics.waiting, metrics.oldest_s), (1, 9.0));
+    assert!(metrics.tasks_from > 10 && metrics.tasks_from <= 19);
+    // The first job of a class counts as its largest until others are recorded.
+    assert_eq!(metrics.longest_s, 500.0);
 }
--- a/src/sched/allowed_zones.rs
+++ b/src/sched/allowed_zones.rs
@@ -1,41 +1,43 @@
-//! In which zones another task of a job may start, if the job's tasks bear on each
-//! other's zones. Judged against all of its tasks that may still be somewhere, once
-//! for a job: asked for each machine, it made the work of a pass grow with machines
-//! times tasks times tasks.
+//! The zones in which another task of a job may start, if the job requires one zone or
+//! a spread over zones. Computed once for a job against all of its attempts that may
+//! still run: computed for each machine, the work of a pass grows with the number of
+//! machines times the square of the number of tasks.
 
 use super::Sched;
 use super::job::Job;
 use crate::ids::Zone;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The zones that are open for another task of a job.
+/// The zones in which another task of a job may start.
 pub(super) enum AllowedZones {
     /// Any zone.
     All,
-    /// The zone in which all of its tasks are.
+    /// Only the zone in which all of its active tasks are.
     Only(Zone),
-    /// All but those that hold as many of its tasks as they may.
+    /// All zones but those that hold as many of its tasks as they may.
     AllBut(BTreeSet<Zone>),
-    /// None: a task of it may be in any zone.
+    /// None: the zone of one of its active tasks is not known, or no zone is left.
     Unknown,
 }
 
 impl AllowedZones {
-    /// Judged against the tasks of the job as they are now.
-    pub fn of(s: &Sched, job: &Job) -> AllowedZones {
+    /// Computed from the tasks of the job that are active now.
+    pub fn of(sched: &Sched, job: &Job) -> AllowedZones {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
             return AllowedZones::All;
         }
         let mut counts: BTreeMap<&Zone, u32> = BTreeMap::new();
         for live in job.live.values() {
-            match s.machines.get(&live.host) {
-                Some(m) if !m.zone.as_str().is_empty() => *counts.entry(&m.zone).or_default() += 1,
+            match sched.machines.get(&live.host) {
+                Some(machine) if !machine.zone.as_str().is_empty() => {
+                    *counts.entry(&machine.zone).or_default() += 1
+                }
                 _ => return AllowedZones::Unknown,
             }
         }
-        let most = spec.tasks.div_ceil(2);
-        let full = |count: u32| spec.spread && count >= most;
+        let max_in_zone = spec.tasks.div_ceil(2);
+        let full = |count: u32| spec.spread && count >= max_in_zone;
         if !spec.one_zone {
             let closed = counts.iter().filter(|(_, count)| full(**count));
             return AllowedZones::AllBut(closed.map(|(zone, _)| (*zone).clone()).collect());
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Another task may start in this zone.
+    /// Whether another task may start in this zone.
     pub fn contains(&self, zone: &Zone) -> bool {
         match self {
             AllowedZones::All => true,
--- a/src/sched/attempt_places.rs
+++ b/src/sched/attempt_places.rs
@@ -1,16 +1,16 @@
-//! Where live attempts are, as it rides along in a job's records: without it a
-//! leader elected while a zone is lost does not know what was lost with it until
-//! the cloud has told.
+//! The zone and machine type of each active attempt, stored along with a job's records.
+//! Without them a leader elected while a zone is lost does not know which attempts were
+//! lost with it until the cloud has listed its machines.
 //!
-//! An earlier release leaves this field alone as it rewrites the attempts beside
-//! it, so it carries a checksum of those that it speaks of; where that doesn't
-//! fit any more, nothing is known.
+//! An earlier release keeps this field as it is while it rewrites the attempts beside
+//! it. It therefore carries a checksum of the attempts that it describes; if that
+//! doesn't match, the places are ignored.
 
 use super::job::Live;
 use crate::ids::{Build, Host, Zone};
 use serde::{Deserialize, Serialize};
 
-/// A machine's place and kind.
+/// The zone and the kind of a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptPlace {
     /// The zone.
@@ -21,44 +21,45 @@
     pub spot: bool,
 }
 
-/// The places of a record's attempts, in their order.
+/// The places of a record's attempts, in the order of the attempts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptPlaces {
-    /// The different ones.
+    /// The distinct places.
     #[serde(rename = "k")]
     kinds: Vec<(Zone, Build, bool)>,
-    /// Which of them each attempt has: a digit each.
+    /// The index in `kinds` for each attempt, as one base-36 digit.
     #[serde(rename = "i")]
     kind_indexes: String,
     #[serde(rename = "c")]
     checksum: u32,
 }
 
-/// As many as digits.
+/// As many as there are base-36 digits.
 const MAX_KINDS: usize = 36;
 
-/// An attempt as its record has it: task, attempt, machine, time.
+/// An attempt as stored: task, attempt, machine, time.
 type Entry = (u32, u64, Host, u64);
 
 fn checksum<'a>(entries: impl Iterator<Item = (u64, &'a Host)>) -> u32 {
-    let mut h = crc32fast::Hasher::new();
+    let mut hasher = crc32fast::Hasher::new();
     for (attempt, host) in entries {
-        h.update(&attempt.to_le_bytes());
-        h.update(host.as_str().as_bytes());
+        hasher.update(&attempt.to_le_bytes());
+        hasher.update(host.as_str().as_bytes());
     }
-    h.finalize()
+    hasher.finalize()
 }
 
 impl AttemptPlaces {
-    /// None if not all are known, or if they don't fit into so many bytes.
+    /// The places of these attempts; none if some place is unknown, or if the encoded
+    /// form may take more than `max_bytes`.
     pub fn of<'a>(
         live: impl Iterator<Item = &'a Live> + Clone,
-        room: usize,
+        max_bytes: usize,
     ) -> Option<AttemptPlaces> {
         let mut kinds: Vec<&AttemptPlace> = vec![];
         let mut each = String::new();
-        for l in live.clone() {
-            let place = l.place.as_ref()?;
+        for attempt in live.clone() {
+            let place = attempt.place.as_ref()?;
             let known = kinds.iter().position(|k| *k == place);
             let ix = known.unwrap_or_else(|| {
                 kinds.push(place);
@@ -70,15 +71,16 @@
             each.push(char::from_digit(ix as u32, 36)?);
         }
         let kind = |p: &AttemptPlace| (p.zone.clone(), p.build.clone(), p.spot);
-        let p = AttemptPlaces {
+        let places = AttemptPlaces {
             kinds: kinds.into_iter().map(kind).collect(),
             kind_indexes: each,
             checksum: checksum(live.map(|l| (l.attempt.0, &l.host))),
         };
-        (!p.kind_indexes.is_empty() && p.max_encoded_bytes() <= room).then_some(p)
+        (!places.kind_indexes.is_empty() && places.max_encoded_bytes() <= max_bytes)
+            .then_some(places)
     }
 
-    /// Bytes that it takes in a record, at the most.
+    /// An upper bound on the bytes that it takes in a record.
     pub fn max_encoded_bytes(&self) -> usize {
         let names = self.kinds.iter();
         let names: usize = names
@@ -87,15 +89,15 @@
         names + self.kind_indexes.len() + 50
     }
 
-    /// The place of each entry; nothing if these are others.
+    /// The place of each entry; empty if the checksum doesn't match these entries.
     pub fn for_entries(&self, entries: &[Entry]) -> Vec<AttemptPlace> {
-        let fits = self.kind_indexes.len() == entries.len()
+        let matches = self.kind_indexes.len() == entries.len()
             && self.checksum == checksum(entries.iter().map(|e| (e.1, &e.2)));
         let place = |c: char| {
             let (zone, build, spot) = self.kinds.get(c.to_digit(36)? as usize)?.clone();
             Some(AttemptPlace { zone, build, spot })
         };
         let all: Option<Vec<AttemptPlace>> = self.kind_indexes.chars().map(place).collect();
-        all.filter(|_| fits).unwrap_or_default()
+        all.filter(|_| matches).unwrap_or_default()
     }
 }
--- a/src/sched/dependency_ids.rs
+++ b/src/sched/dependency_ids.rs
@@ -1,29 +1,33 @@
-//! The jobs that a job needs (DAG dependency), in memory and on record.
+//! The jobs that a job depends on, in memory and as stored.
 //!
-//! On record they are one string. Ids are `job-` and digits; those of one number of
-//! digits stand together, sorted, each as the difference from the one before, in
-//! groups of five bits:
+//! They are stored as one string. Ids are `job-` and digits. Those with the same number
+//! of digits form a segment: sorted, each as the difference from the one before,
+//! written as variable-length integers in groups of five bits:
 //!
 //! ```text
+//!
 //! 6:yMgBk,7:gC    ids of six digits, then one of seven
-//! =000…001        one whose number is too large for the arithmetic, as it is
+//!
+//! =000…001        an id whose number exceeds 38 digits, stored literally
+//!
 //! ```
 //!
-//! Two hundred names of six digits take some six hundred bytes.
+//! Two hundred ids of six digits take about six hundred bytes.
 
 use crate::ids::JobId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Five bits a character; the second half says that more follow.
+/// The alphabet: five bits for each character; characters of the second half have the
+/// continuation bit.
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 const BITS_PER_DIGIT: u32 = 5;
 const CONTINUATION_BIT: usize = 1 << BITS_PER_DIGIT;
-/// The most digits that any number of so many fits into `u128`.
+/// The number of digits up to which every number fits into `u128`.
 const MAX_DIGITS: usize = 38;
 const PREFIX: &str = "job-";
 
-/// Names of the jobs that are not known to be done yet.
+/// Ids of the jobs that a job depends on and that are not known to be done yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DependencyIds(BTreeSet<JobId>);
 
@@ -37,7 +41,7 @@
     pub fn contains(&self, id: &JobId) -> bool {
         self.0.contains(id)
     }
-    /// The job is done; true if it was needed.
+    /// Removes a job that is done; true if it was among the dependencies.
     pub fn remove(&mut self, id: &JobId) -> bool {
         self.0.remove(id)
     }
@@ -45,15 +49,15 @@
         self.0.iter()
     }
 
-    /// As it is stored.
+    /// The stored form.
     pub fn encode(&self) -> String {
         let mut numbers: BTreeMap<usize, Vec<u128>> = BTreeMap::new();
         let mut segments = vec![];
         for id in &self.0 {
             let digits = id.as_str().strip_prefix(PREFIX).unwrap_or_default();
             match digits.parse::<u128>() {
-                Ok(n) if digits.len() <= MAX_DIGITS => {
-                    numbers.entry(digits.len()).or_default().push(n);
+                Ok(number) if digits.len() <= MAX_DIGITS => {
+                    numbers.entry(digits.len()).or_default().push(number);
                 }
                 _ => segments.push(format!("={digits}")),
             }
@@ -61,16 +65,17 @@
         for (width, sorted) in numbers {
             let mut text = format!("{width}:");
             let mut previous = 0;
-            for n in sorted {
-                push_number(&mut text, n - previous);
-                previous = n;
+            for number in sorted {
+                push_number(&mut text, number - previous);
+                previous = number;
             }
             segments.push(text);
         }
         segments.join(",")
     }
 
-    /// Reads what [`Needs::encode`] wrote.
+    /// Reads the stored form that [`DependencyIds::encode`] writes; none if it is
+    /// malformed.
     pub fn decode(text: &str) -> Option<DependencyIds> {
         let mut ids = BTreeSet::new();
         for segment in text.split(',').filter(|s| !s.is_empty()) {
@@ -109,7 +114,7 @@
 impl<'de> Deserialize<'de> for DependencyIds {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<DependencyIds, D::Error> {
         let text = String::deserialize(d)?;
-        DependencyIds::decode(&text).ok_or_else(|| de::Error::custom("not a list of jobs"))
+        DependencyIds::decode(&text).ok_or_else(|| de::Error::custom("malformed list of job ids"))
     }
 }
 
@@ -117,14 +122,14 @@
     JobId::well_formed(&id).then(|| JobId::from(id.as_str()))
 }
 
-/// The lowest bits first.
-fn push_number(text: &mut String, mut n: u128) {
+/// Appends a variable-length integer, the lowest bits first.
+fn push_number(text: &mut String, mut number: u128) {
     loop {
-        let group = n as usize % CONTINUATION_BIT;
-        n >>= BITS_PER_DIGIT;
-        let more = if n > 0 { CONTINUATION_BIT } else { 0 };
+        let group = number as usize % CONTINUATION_BIT;
+        number >>= BITS_PER_DIGIT;
+        let more = if number > 0 { CONTINUATION_BIT } else { 0 };
         text.push(DIGITS[group + more] as char);
-        if n == 0 {
+        if number == 0 {
             return;
         }
     }
@@ -132,19 +137,19 @@
 
 fn read_numbers(text: &str) -> Option<Vec<u128>> {
     let mut numbers = vec![];
-    let (mut n, mut shift) = (0u128, 0u32);
-    for c in text.bytes() {
-        let group = DIGITS.iter().position(|d| *d == c)?;
+    let (mut number, mut shift) = (0u128, 0u32);
+    for character in text.bytes() {
+        let group = DIGITS.iter().position(|d| *d == character)?;
         let bits = (group % CONTINUATION_BIT) as u128;
         if shift >= u128::BITS || bits << shift >> shift != bits {
             return None;
         }
-        n |= bits << shift;
+        number |= bits << shift;
         if group >= CONTINUATION_BIT {
             shift += BITS_PER_DIGIT;
         } else {
-            numbers.push(n);
-            (n, shift) = (0, 0);
+            numbers.push(number);
+            (number, shift) = (0, 0);
         }
     }
     (shift == 0).then_some(numbers)
--- a/src/sched/estimate.rs
+++ b/src/sched/estimate.rs
@@ -1,12 +1,12 @@
-//! How long a task will run: the owner's estimate until three tasks of the job
-//! have finished, then their median.
+//! How long a task is expected to run: the estimate in the submission until three tasks
+//! of the job have finished, then their median.
 
 use super::job::Job;
 use super::machine::ENDLESS;
 use crate::time::Span;
 use crate::wire::user::Kind;
 
-/// This many finished tasks replace the owner's estimate.
+/// Finished tasks after which their median replaces the estimate of the submission.
 pub const MIN_FINISHED_TASKS: usize = 3;
 
 pub fn of(job: &Job) -> Span {
@@ -16,14 +16,15 @@
     Span::secs(job.median.unwrap_or(job.spec.estimate_s))
 }
 
-/// The median that replaces the owner's estimate, once there are enough.
+/// The median of these runtimes; none if there are too few to replace the estimate of
+/// the submission.
 pub fn median(runtimes: &[f64]) -> Option<f64> {
-    let mut v = runtimes.to_vec();
-    v.sort_by(f64::total_cmp);
-    (v.len() >= MIN_FINISHED_TASKS).then(|| v[v.len() / 2])
+    let mut sorted = runtimes.to_vec();
+    sorted.sort_by(f64::total_cmp);
+    (sorted.len() >= MIN_FINISHED_TASKS).then(|| sorted[sorted.len() / 2])
 }
 
-/// δ: how far apart the remaining runtimes on a machine may be.
+/// δ: how far apart the remaining runtimes of the tasks on a machine may be.
 pub fn max_runtime_spread(estimate: Span, factor: f64, floor_s: f64) -> Span {
     Span::secs((estimate.as_secs() * factor).max(floor_s))
 }
--- a/src/sched/fair_share.rs
+++ b/src/sched/fair_share.rs
@@ -1,11 +1,13 @@
-//! Who is served, by class and by team, and room for who hardly is.
+//! Fair shares of classes and teams: metrics by class and by team, and boosts for those
+//! that get too little.
 //!
-//! The figures are [`hookworks_fairness`]'s; here is what happens to jobs, what
-//! waits, and what follows for placing. A class or team below the floor gets the
-//! room set aside for it ahead of all but production work, and keeps it from being
-//! stopped, until it has that much; the rest of its jobs keep their place in the
-//! order. Gangs, services and jobs of a single zone are counted, but not lifted:
-//! room for them is found by other rules.
+//! The metrics are computed by [`hookworks_fairness`]; this module feeds it with job
+//! events and waiting jobs, and derives what follows for placement. A class or team
+//! below the guaranteed minimum is served from the reserved part of the fleet, before
+//! all jobs but production work, and the tasks started that way are protected from
+//! preemption, until the group has that much; the rest of its jobs keep their position
+//! in the order. Gangs, services and jobs of a single zone are counted, but not
+//! boosted: other rules place them.
 
 use super::job::Job;
 use super::place::is_placed_individually;
@@ -19,19 +21,19 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// GroupMetrics are made up so often.
+/// How often the metrics are updated.
 const UPDATE_INTERVAL: Span = Span(1_000_000);
-/// Share of the fleet that goes ahead at a look to jobs that were overtaken for long.
+/// Share of the fleet that each update boosts for jobs that were overtaken too long.
 const MAX_OVERTAKEN_SHARE: f64 = 0.01;
-/// A class without aims may wait so long.
+/// How long a job of a class without objectives may wait.
 const DEFAULT_MAX_WAIT_S: f64 = 120.0;
 
-/// GroupMetrics by class and by team.
+/// Fair-share metrics by class and by team.
 #[derive(Default, Serialize)]
 pub struct FairnessOverview {
     pub classes: BTreeMap<String, GroupMetrics>,
     pub teams: BTreeMap<String, GroupMetrics>,
-    /// The largest jobs of each class, until they begin.
+    /// Waits for the first start of the largest jobs of each class.
     pub largest: BTreeMap<String, LargestJobsMetrics>,
 }
 
@@ -43,20 +45,20 @@
     largest: BTreeMap<Class, LargestJobs>,
     largest_metrics: BTreeMap<Class, LargestJobsMetrics>,
     update_at: Time,
-    /// Tasks that may start ahead of others until the next look.
+    /// How many tasks of each job may start ahead of others until the next update.
     boosted: BTreeMap<JobId, i64>,
-    /// Jobs that go first as a whole, as no part of them can start by itself.
+    /// Overtaken jobs that go first as a whole, as no part of them can start by itself.
     starved: BTreeSet<JobId>,
-    /// Who is below the floor.
+    /// The classes and teams below the guaranteed minimum.
     below_minimum: (BTreeSet<Class>, BTreeSet<Team>),
-    /// Tasks that were started so, until they are gone.
+    /// Boosted tasks that were started and have not ended; they are not preempted.
     protected: BTreeSet<TaskId>,
 }
 
 impl FairnessState {
-    pub fn new(floor: FairnessPolicy) -> FairnessState {
+    pub fn new(policy: FairnessPolicy) -> FairnessState {
         FairnessState {
-            policy: floor,
+            policy,
             classes: ShareTracker::default(),
             teams: ShareTracker::default(),
             metrics: Default::default(),
@@ -70,26 +72,27 @@
         }
     }
 
-    pub fn record(&mut self, now: Time, class: &Class, team: &Team, what: JobEvent) {
-        self.classes.record(now, class, what);
-        self.teams.record(now, team, what);
+    pub fn record(&mut self, now: Time, class: &Class, team: &Team, event: JobEvent) {
+        self.classes.record(now, class, event);
+        self.teams.record(now, team, event);
     }
 
     fn record_size(&mut self, class: &Class, tasks: u32) {
         if !self.largest.contains_key(class) {
             self.largest.insert(class.clone(), LargestJobs::default());
         }
-        if let Some(l) = self.largest.get_mut(class) {
-            l.record_size(tasks as u64);
+        if let Some(sizes) = self.largest.get_mut(class) {
+            sizes.record_size(tasks as u64);
         }
     }
 
-    /// So many of its tasks may start ahead of others.
+    /// How many of its tasks may start ahead of others, if any.
     pub fn boosted_tasks(&self, id: &JobId) -> Option<i64> {
         self.boosted.get(id).copied().filter(|n| *n > 0)
     }
 
-    /// It has been overtaken for as long as it may be, and goes first.
+    /// Whether the job has been overtaken for as long as it may be, and goes first as a
+    /// whole.
     pub fn is_starved(&self, id: &JobId) -> bool {
         self.starved.contains(id)
     }
@@ -101,7 +104,8 @@
             .map(|(id, _)| id)
     }
 
-    /// One of its tasks starts.
+    /// A task of the job starts; counts it against the boost of the job, if there is
+    /// one.
     pub fn task_started(&mut self, id: &JobId, ix: TaskIx) {
         if let Some(n) = self.boosted.get_mut(id).filter(|n| **n > 0) {
             *n -= 1;
@@ -114,67 +118,74 @@
         self.protected.remove(t);
     }
 
-    /// It is not stopped for others: its room was set aside for it.
+    /// Whether the task is protected from preemption, as it was started from reserved
+    /// capacity.
     pub fn is_protected(&self, t: &TaskId) -> bool {
         self.protected.contains(t)
     }
 
     pub fn overview(&self) -> FairnessOverview {
         let (classes, teams) = &self.metrics;
-        let names = |(k, f): (&Class, &GroupMetrics)| (k.to_string(), *f);
-        let teams = teams.iter().map(|(k, f)| (k.to_string(), *f));
+        let named = |(name, metrics): (&Class, &GroupMetrics)| (name.to_string(), *metrics);
+        let teams = teams
+            .iter()
+            .map(|(name, metrics)| (name.to_string(), *metrics));
         FairnessOverview {
-            classes: classes.iter().map(names).collect(),
+            classes: classes.iter().map(named).collect(),
             teams: teams.collect(),
             largest: self
                 .largest_metrics
                 .iter()
-                .map(|(k, f)| (k.to_string(), *f))
+                .map(|(name, metrics)| (name.to_string(), *metrics))
                 .collect(),
         }
     }
 }
 
-/// Since when a job has waited for a start of the tasks that it still has.
-fn waiting_for_start_since(j: &Job) -> Time {
-    let latest = j.live.values().map(|l| l.placed).max();
-    latest.map_or(j.ready, |t| t.max(j.ready))
+/// The time since which the job has waited for a start of its remaining tasks.
+fn waiting_for_start_since(job: &Job) -> Time {
+    let last_start = job.live.values().map(|live| live.placed).max();
+    last_start.map_or(job.ready, |start| start.max(job.ready))
 }
 
 impl Sched {
-    /// JobEvent a class may wait: the longest of its aims.
+    /// The longest wait that the objectives of each class allow.
     fn max_wait_by_class(&self) -> BTreeMap<Class, Span> {
-        let mut all: BTreeMap<Class, f64> = BTreeMap::new();
-        for o in &self.cfg.objectives {
-            if let (Some(c), Some(s)) = (&o.class, o.within_s) {
-                let longest = all.entry(c.clone()).or_default();
-                *longest = longest.max(s);
+        let mut max_waits: BTreeMap<Class, f64> = BTreeMap::new();
+        for objective in &self.cfg.objectives {
+            if let (Some(class), Some(limit_s)) = (&objective.class, objective.within_s) {
+                let longest = max_waits.entry(class.clone()).or_default();
+                *longest = longest.max(limit_s);
             }
         }
-        all.into_iter().map(|(c, s)| (c, Span::secs(s))).collect()
+        max_waits
+            .into_iter()
+            .map(|(class, limit_s)| (class, Span::secs(limit_s)))
+            .collect()
     }
 
-    /// Jobs that a new leader finds on record.
+    /// Records the jobs that a new leader has loaded.
     pub(super) fn record_loaded_jobs(&mut self, now: Time) {
-        for j in self.jobs.values().filter(|j| j.needs.is_empty()) {
-            let (class, team) = (&j.spec.class, &j.spec.team);
+        for job in self.jobs.values().filter(|job| job.needs.is_empty()) {
+            let (class, team) = (&job.spec.class, &job.spec.team);
             self.books.record(now, class, team, JobEvent::Accepted);
-            self.books.record_size(class, j.spec.tasks);
-            if j.history.first_start().is_some() {
+            self.books.record_size(class, job.spec.tasks);
+            if job.history.first_start().is_some() {
                 self.books.record(now, class, team, JobEvent::Started);
             }
         }
     }
 
-    pub(super) fn record_job_event(&mut self, now: Time, id: &JobId, what: JobEvent) {
-        if let Some(j) = self.jobs.get(id) {
-            self.books.record(now, &j.spec.class, &j.spec.team, what);
-            let class = &j.spec.class;
-            match what {
-                JobEvent::Accepted => self.books.record_size(class, j.spec.tasks),
+    pub(super) fn record_job_event(&mut self, now: Time, id: &JobId, event: JobEvent) {
+        if let Some(job) = self.jobs.get(id) {
+            self.books
+                .record(now, &job.spec.class, &job.spec.team, event);
+            let class = &job.spec.class;
+            match event {
+                JobEvent::Accepted => self.books.record_size(class, job.spec.tasks),
                 JobEvent::Started => {
-                    if let Some(l) = self.books.largest.get_mut(class) {
-                        l.record_start(j.spec.tasks as u64, now - j.ready);
+                    if let Some(largest) = self.books.largest.get_mut(class) {
+                        largest.record_start(job.spec.tasks as u64, now - job.ready);
                     }
                 }
                 _ => {}
@@ -182,96 +193,100 @@
         }
     }
 
-    /// Makes the figures up, and decides who is below the floor.
+    /// Updates the metrics, and decides which groups are below the guaranteed minimum.
     pub(super) fn update_fairness(&mut self, now: Time) {
         if now < self.books.update_at {
             return;
         }
         self.books.update_at = now + UPDATE_INTERVAL;
-        let patience = self.max_wait_by_class();
-        let usual = Span::secs(DEFAULT_MAX_WAIT_S);
+        let max_waits = self.max_wait_by_class();
+        let default_max_wait = Span::secs(DEFAULT_MAX_WAIT_S);
         let mut by_class: BTreeMap<Class, WaitingJobs> = BTreeMap::new();
         let mut by_team: BTreeMap<Team, WaitingJobs> = BTreeMap::new();
-        let mut unbegun: BTreeMap<Class, Vec<(u64, Span)>> = BTreeMap::new();
-        // One that fails everywhere waits for its user, not for room.
-        let waits = |j: &&Job| j.pending() > 0 && !j.fails_everywhere();
-        for j in self.jobs.values().filter(waits) {
-            let (tasks, waited) = (j.pending() as u64, now - waiting_for_start_since(j));
-            let came = now - j.ready;
-            let p = patience.get(&j.spec.class).copied().unwrap_or(usual);
-            let class = by_class.entry(j.spec.class.clone()).or_default();
-            class.add(tasks, came, waited, p);
-            let team = by_team.entry(j.spec.team.clone()).or_default();
-            team.add(tasks, came, waited, p);
-            if j.history.first_start().is_none() {
-                let class = unbegun.entry(j.spec.class.clone()).or_default();
-                class.push((j.spec.tasks as u64, came));
+        let mut not_started: BTreeMap<Class, Vec<(u64, Span)>> = BTreeMap::new();
+        // A job that fails everywhere waits for its user, not for resources.
+        let is_waiting = |job: &&Job| job.pending() > 0 && !job.fails_everywhere();
+        for job in self.jobs.values().filter(is_waiting) {
+            let (tasks, waited) = (job.pending() as u64, now - waiting_for_start_since(job));
+            let age = now - job.ready;
+            let max_wait = max_waits
+                .get(&job.spec.class)
+                .copied()
+                .unwrap_or(default_max_wait);
+            let class = by_class.entry(job.spec.class.clone()).or_default();
+            class.add(tasks, age, waited, max_wait);
+            let team = by_team.entry(job.spec.team.clone()).or_default();
+            team.add(tasks, age, waited, max_wait);
+            if job.history.first_start().is_none() {
+                let class = not_started.entry(job.spec.class.clone()).or_default();
+                class.push((job.spec.tasks as u64, age));
             }
         }
-        let b = &mut self.books;
-        b.metrics = (
-            b.classes.metrics(now, &by_class),
-            b.teams.metrics(now, &by_team),
+        let state = &mut self.books;
+        state.metrics = (
+            state.classes.metrics(now, &by_class),
+            state.teams.metrics(now, &by_team),
         );
-        let figures = |(class, l): (&Class, &LargestJobs)| {
-            let waiting = unbegun.get(class).into_iter().flatten().copied();
-            (class.clone(), l.metrics(waiting))
+        let metrics = |(class, largest): (&Class, &LargestJobs)| {
+            let waiting = not_started.get(class).into_iter().flatten().copied();
+            (class.clone(), largest.metrics(waiting))
         };
-        b.largest_metrics = b.largest.iter().map(figures).collect();
+        state.largest_metrics = state.largest.iter().map(metrics).collect();
         self.boost_below_minimum();
         self.boost_overtaken(now);
     }
 
-    /// Jobs that have been overtaken for as long as they may be without any start.
-    /// Where many large ones were late for all their aims, they came last of all and
-    /// never began. A little at a time, the longest waiting first: under a flood with
-    /// hundreds of them, a part of each at once took all writes there were, and the
-    /// leader could not keep up.
+    /// Boosts jobs that have been overtaken for as long as they may be without any
+    /// start. Otherwise many large jobs that are late for all their objectives come
+    /// last and never start. Boosts are limited per update, the longest waiting first:
+    /// under a flood with hundreds of such jobs, a part of each at once takes all
+    /// writes of the state service, and the leader falls behind.
     fn boost_overtaken(&mut self, now: Time) {
-        let floor = self.books.policy;
-        let waits = |j: &&Job| {
-            let begun = j.history.first_start().is_some() || !j.live.is_empty();
-            j.pending() > 0 && !begun && now >= j.backoff_until && !j.fails_everywhere()
+        let policy = self.books.policy;
+        let is_waiting = |job: &&Job| {
+            let has_started = job.history.first_start().is_some() || !job.live.is_empty();
+            job.pending() > 0 && !has_started && now >= job.backoff_until && !job.fails_everywhere()
         };
-        let ahead = |j: &Job| {
-            let waiting = j.pending() as u64;
-            floor.boosted_tasks(j.spec.tasks as u64, waiting, now - j.ready) as i64
+        let boost = |job: &Job| {
+            let waiting = job.pending() as u64;
+            policy.boosted_tasks(job.spec.tasks as u64, waiting, now - job.ready) as i64
         };
-        let mut late: Vec<(&Job, i64)> = self
+        let mut overtaken: Vec<(&Job, i64)> = self
             .jobs
             .values()
-            .filter(waits)
-            .map(|j| (j, ahead(j)))
-            .filter(|(_, n)| *n > 0)
+            .filter(is_waiting)
+            .map(|job| (job, boost(job)))
+            .filter(|(_, tasks)| *tasks > 0)
             .collect();
-        late.sort_by_key(|(j, _)| (j.ready, j.seq));
-        let fleet: i64 = self.machines.values().map(|m| m.capacity.cpu).sum();
-        let mut left = (fleet as f64 * MAX_OVERTAKEN_SHARE) as i64;
-        let mut first = BTreeSet::new();
-        for (j, n) in late {
-            if is_placed_individually(j) {
-                first.insert(j.id().clone());
-                left -= j.need.cpu * j.pending() as i64;
+        overtaken.sort_by_key(|(job, _)| (job.ready, job.seq));
+        let fleet_cpu: i64 = self.machines.values().map(|m| m.capacity.cpu).sum();
+        let mut budget = (fleet_cpu as f64 * MAX_OVERTAKEN_SHARE) as i64;
+        let mut starved = BTreeSet::new();
+        for (job, tasks) in overtaken {
+            if is_placed_individually(job) {
+                starved.insert(job.id().clone());
+                budget -= job.need.cpu * job.pending() as i64;
             } else {
-                let lifted = self.books.boosted.entry(j.id().clone()).or_default();
-                *lifted = n.max(*lifted);
-                left -= j.need.cpu * n;
+                let boosted = self.books.boosted.entry(job.id().clone()).or_default();
+                *boosted = tasks.max(*boosted);
+                budget -= job.need.cpu * tasks;
             }
-            if left <= 0 {
+            if budget <= 0 {
                 break;
             }
         }
-        self.books.starved = first;
+        self.books.starved = starved;
     }
 
-    /// Room for the classes and teams below the floor, job by job.
+    /// Boosts jobs of the classes and teams below the guaranteed minimum, within the
+    /// budget of each group.
     fn boost_below_minimum(&mut self) {
-        let floor = self.books.policy;
+        let policy = self.books.policy;
         let (classes, teams) = &self.books.metrics;
         let mut classes: BTreeMap<Class, i64> =
-            groups_below_minimum(classes, &self.books.below_minimum.0, &floor);
+            groups_below_minimum(classes, &self.books.below_minimum.0, &policy);
         let mut teams: BTreeMap<Team, i64> =
-            groups_below_minimum(teams, &self.books.below_minimum.1, &floor);
+            groups_below_minimum(teams, &self.books.below_minimum.1, &policy);
         self.books.below_minimum.0 = classes.keys().cloned().collect();
         self.books.below_minimum.1 = teams.keys().cloned().collect();
         self.books.boosted.clear();
@@ -279,89 +294,93 @@
             return;
         }
         let mut fleet = Resources::default();
-        for m in self.machines.values() {
-            fleet += m.capacity;
+        for machine in self.machines.values() {
+            fleet += machine.capacity;
         }
-        for j in self.jobs.values() {
-            let uses = j.need.cpu * j.live.len() as i64;
-            if let Some(n) = classes.get_mut(&j.spec.class) {
-                *n += uses;
+        for job in self.jobs.values() {
+            let cpu_used = job.need.cpu * job.live.len() as i64;
+            if let Some(amount) = classes.get_mut(&job.spec.class) {
+                *amount += cpu_used;
             }
-            if let Some(n) = teams.get_mut(&j.spec.team) {
-                *n += uses;
+            if let Some(amount) = teams.get_mut(&job.spec.team) {
+                *amount += cpu_used;
             }
         }
-        // Both tables together are set aside no more than the floor.
-        let part = |groups: usize, others: usize| match others {
+        // Classes and teams together get no more than the reserved share.
+        let fleet_part = |groups: usize, others: usize| match others {
             0 => fleet.cpu,
             _ => fleet.cpu * groups as i64 / (groups + others) as i64,
         };
-        let (c, t) = (classes.len(), teams.len());
-        let mut classes = floor.budgets(part(c, t), &classes);
-        let mut teams = floor.budgets(part(t, c), &teams);
-        // Those that have waited for longest first.
-        let waits =
-            |j: &&Job| j.pending() > 0 && !is_placed_individually(j) && !j.fails_everywhere();
-        let mut waiting: Vec<&Job> = self.jobs.values().filter(waits).collect();
-        waiting.sort_by_key(|j| (waiting_for_start_since(j), j.seq));
-        let mut lifted = BTreeMap::new();
-        for j in waiting {
-            let class = classes.get_mut(&j.spec.class).filter(|n| **n > 0);
-            let left = match class {
-                Some(n) => Some(n),
-                None => teams.get_mut(&j.spec.team).filter(|n| **n > 0),
+        let (class_count, team_count) = (classes.len(), teams.len());
+        let mut classes = policy.budgets(fleet_part(class_count, team_count), &classes);
+        let mut teams = policy.budgets(fleet_part(team_count, class_count), &teams);
+        // Those that have waited longest come first.
+        let is_waiting = |job: &&Job| {
+            job.pending() > 0 && !is_placed_individually(job) && !job.fails_everywhere()
+        };
+        let mut waiting: Vec<&Job> = self.jobs.values().filter(is_waiting).collect();
+        waiting.sort_by_key(|job| (waiting_for_start_since(job), job.seq));
+        let mut boosted = BTreeMap::new();
+        for job in waiting {
+            let class = classes
+                .get_mut(&job.spec.class)
+                .filter(|amount| **amount > 0);
+            let budget = match class {
+                Some(amount) => Some(amount),
+                None => teams.get_mut(&job.spec.team).filter(|amount| **amount > 0),
             };
-            let Some(left) = left else { continue };
-            let need = j.need.cpu.max(1);
-            let tasks = (*left).div_euclid(need).max(1).min(j.pending() as i64);
-            *left -= tasks * need;
-            lifted.insert(j.id().clone(), tasks);
+            let Some(budget) = budget else { continue };
+            let need = job.need.cpu.max(1);
+            let tasks = (*budget).div_euclid(need).max(1).min(job.pending() as i64);
+            *budget -= tasks * need;
+            boosted.insert(job.id().clone(), tasks);
         }
-        self.books.boosted = lifted;
+        self.books.boosted = boosted;
     }
 
-    /// CPUs that a team's attempts take, all that are not proven gone.
-    pub fn team_cpus_used(&self, t: &Team) -> f64 {
-        let used = self.teams.used(t).unwrap_or_default();
+    /// CPUs used by the team's attempts, counting all that are not proven to have
+    /// ended.
+    pub fn team_cpus_used(&self, team: &Team) -> f64 {
+        let used = self.teams.used(team).unwrap_or_default();
         used.cpu as f64 / 1000.0
     }
 
-    /// One line for whoever reads the log.
+    /// Logs the fair-share metrics in one line.
     pub(super) fn log_fairness(&self) {
         let line = |all: BTreeMap<String, GroupMetrics>| {
-            let one = |(k, f): (String, GroupMetrics)| {
-                let (r, w) = (f.recent, f.waiting_jobs);
-                let (oldest, share) = (f.oldest_wait_s, f.share);
+            let entry = |(name, metrics): (String, GroupMetrics)| {
+                let (recent, waiting_jobs) = (metrics.recent, metrics.waiting_jobs);
+                let (oldest, share) = (metrics.oldest_wait_s, metrics.share);
                 format!(
-                    "{k}: came {} begun {} done {} refused {} waits {w}/{} oldest {oldest:.0} share {share:.2}",
-                    r.came, r.begun, r.done, r.refused, f.waiting_tasks
+                    "{name}: came {} begun {} done {} refused {} waits {waiting_jobs}/{} oldest {oldest:.0} share {share:.2}",
+                    recent.came, recent.begun, recent.done, recent.refused, metrics.waiting_tasks
                 )
             };
-            let all: Vec<String> = all.into_iter().map(one).collect();
+            let all: Vec<String> = all.into_iter().map(entry).collect();
             all.join("; ")
         };
-        let v = self.books.overview();
-        let below = self.books.boosted_jobs().count();
-        let one = |(k, f): (&String, &LargestJobsMetrics)| {
-            let (from, begun, waiting) = (f.tasks_from, f.begun, f.waiting);
-            let (longest, oldest) = (f.longest_s, f.oldest_s);
+        let overview = self.books.overview();
+        let boosted_jobs = self.books.boosted_jobs().count();
+        let entry = |(name, metrics): (&String, &LargestJobsMetrics)| {
+            let (from, begun, waiting) = (metrics.tasks_from, metrics.begun, metrics.waiting);
+            let (longest, oldest) = (metrics.longest_s, metrics.oldest_s);
             format!(
-                "{k}: from {from} tasks begun {begun} after {longest:.0} at most, waits {waiting} for {oldest:.0}"
+                "{name}: from {from} tasks begun {begun} after {longest:.0} at most, waits {waiting} for {oldest:.0}"
             )
         };
-        let largest: Vec<String> = v.largest.iter().map(one).collect();
-        tracing::info!(largest = %largest.join("; "), classes = %line(v.classes), teams = %line(v.teams), lifted_jobs = below, "served");
+        let largest: Vec<String> = overview.largest.iter().map(entry).collect();
+        tracing::info!(largest = %largest.join("; "), classes = %line(overview.classes), teams = %line(overview.teams), lifted_jobs = boosted_jobs, "fair-share metrics");
     }
 }
 
-/// Groups below the floor; what they use is yet to be added up.
+/// The groups below the guaranteed minimum, with a usage of 0 that the caller adds up.
 fn groups_below_minimum<K: Ord + Clone>(
     all: &BTreeMap<K, GroupMetrics>,
-    were: &BTreeSet<K>,
-    floor: &FairnessPolicy,
+    were_below: &BTreeSet<K>,
+    policy: &FairnessPolicy,
 ) -> BTreeMap<K, i64> {
-    let low = all
+    let below = all
         .iter()
-        .filter(|(k, f)| floor.is_below_minimum(were.contains(k), f));
-    low.map(|(k, _)| (k.clone(), 0)).collect()
+        .filter(|(group, metrics)| policy.is_below_minimum(were_below.contains(group), metrics));
+    below.map(|(group, _)| (group.clone(), 0)).collect()
 }
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -1,5 +1,5 @@
-//! Gang scheduling: room for all tasks is held before the first starts, one attempt
-//! number serves all, and they end together.
+//! Gang scheduling: resources for all tasks are reserved before the first task starts,
+//! all tasks share one attempt number, and they end together.
 
 use super::Sched;
 use super::fleet::Shortage;
@@ -13,45 +13,45 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members of a stopped gang have so many seconds more than saving takes.
+/// Members of a stopped gang get this many seconds in addition to the time for saving.
 const SAVE_MARGIN_S: f64 = 1.0;
 
-/// Where a gang is to find room, and how much is still to be rented there.
+/// Where a gang will get machines, and how many are yet to be rented there.
 struct Target {
-    /// The only zone in which room is of use, if there is one.
+    /// The only zone whose machines are of use, if there is one.
     zone: Option<Zone>,
-    /// Tasks for which there is no machine yet.
+    /// Tasks for which no machine is up yet.
     lacks: i64,
-    /// The same, not counting those for which machines boot.
+    /// Tasks for which no machine is up or boots.
     to_rent: i64,
-    /// Machines that are kept free for it.
+    /// Machines that are reserved for the gang.
     held: Vec<Host>,
 }
 
-/// A machine that may serve a gang soon.
+/// A machine that may soon run tasks of a gang.
 struct SoonFree<'a> {
     machine: &'a Machine,
-    /// How long until it can; [`ENDLESS`] for one that boots.
+    /// The time until it can; [`ENDLESS`] for a machine that boots.
     after: Span,
-    /// For how many tasks.
+    /// The number of tasks that it can run.
     tasks: i64,
 }
 
-/// Machines for the whole gang.
+/// The machines for a whole gang, one entry for each task.
 struct GangMachines {
-    /// Tasks whose image is fetched for longer than an aim allows.
+    /// Tasks whose image fetch takes longer than an objective allows.
     late_images: i64,
     hosts: Vec<Host>,
 }
 
 impl Sched {
-    /// Starts the whole gang, or a lost member of one that still waits.
-    /// Answers what found no room.
+    /// Starts the whole gang, or replaces lost members of a gang that has not run yet.
+    /// Returns the tasks that lack resources.
     pub(super) fn place_gang(
         &mut self,
         now: Time,
         id: &JobId,
-        held: &mut BTreeSet<Host>,
+        reserved: &mut BTreeSet<Host>,
         order: &Order,
     ) -> Option<Shortage> {
         let job = self.jobs.get(id)?;
@@ -69,18 +69,19 @@
             if !takes_replacement(job, attempt) {
                 return None;
             }
-            return self.replace_members(now, id, pending, attempt, held, order);
+            return self.replace_members(now, id, pending, attempt, reserved, order);
         }
-        if let Some(hosts) = self.machines_for_all(now, id, held, order) {
+        if let Some(hosts) = self.machines_for_all(now, id, reserved, order) {
             self.start_gang(now, id, hosts);
             return None;
         }
-        let target = self.target(now, job, held)?;
+        let target = self.target(now, job, reserved)?;
         let zone = target.zone.as_ref();
-        let hopeless = target.to_rent > 0 && !self.rentable(now, job, zone);
-        if !hopeless || held.is_empty() {
-            // Of gangs that could wait for ever only one keeps machines idle.
-            held.extend(target.held);
+        let not_rentable = target.to_rent > 0 && !self.rentable(now, job, zone);
+        if !not_rentable || reserved.is_empty() {
+            // Of the gangs for which no machine can be rented, only one at a time
+            // reserves machines.
+            reserved.extend(target.held);
         }
         Some(Shortage {
             job: id.clone(),
@@ -89,19 +90,20 @@
         })
     }
 
-    /// Starts the lost members of a gang that still waits, under its number.
+    /// Starts replacements for the lost members of a gang that has not run yet, under
+    /// its attempt number.
     fn replace_members(
         &mut self,
         now: Time,
         id: &JobId,
         pending: i64,
         attempt: Attempt,
-        held: &BTreeSet<Host>,
+        reserved: &BTreeSet<Host>,
         order: &Order,
     ) -> Option<Shortage> {
-        for left in (1..=pending).rev() {
-            let Some(host) = self.choose(now, id, held, order) else {
-                return Some(Shortage::anywhere(id, left));
+        for missing in (1..=pending).rev() {
+            let Some(host) = self.choose(now, id, reserved, order) else {
+                return Some(Shortage::anywhere(id, missing));
             };
             self.start(now, id, &host, Some(attempt));
         }
@@ -119,45 +121,46 @@
         }
     }
 
-    /// Machines for every task, the best first; or none at all.
+    /// Machines for every task of the gang, the best first; none if there are too few.
     fn machines_for_all(
         &self,
         now: Time,
         id: &JobId,
-        held: &BTreeSet<Host>,
+        reserved: &BTreeSet<Host>,
         order: &Order,
     ) -> Option<Vec<Host>> {
         let job = self.jobs.get(id)?;
-        let suitable = self.suitable_machines(now, job, held, order);
+        let candidates = self.suitable_machines(now, job, reserved, order);
         if !job.spec.one_zone {
-            return fill(job, &suitable, None).map(|places| places.hosts);
+            return fill(job, &candidates, None).map(|places| places.hosts);
         }
-        // The gang begins with its last task: the zone with most images.
-        let zones: BTreeSet<&Zone> = suitable.iter().map(|(_, m)| &m.zone).collect();
+        // A gang starts together with its slowest member, so the zone with the fewest
+        // late images is best.
+        let zones: BTreeSet<&Zone> = candidates.iter().map(|(_, m)| &m.zone).collect();
         let fills = zones
             .into_iter()
-            .filter_map(|zone| fill(job, &suitable, Some(zone)));
+            .filter_map(|zone| fill(job, &candidates, Some(zone)));
         let best = fills.min_by_key(|places| places.late_images);
         best.map(|places| places.hosts)
     }
 
-    /// Machines that a task of the gang may start on, the best first.
+    /// The machines on which a task of the gang may start, the best first.
     fn suitable_machines(
         &self,
         now: Time,
         job: &Job,
-        held: &BTreeSet<Host>,
+        reserved: &BTreeSet<Host>,
         order: &Order,
     ) -> Vec<(Score, &Machine)> {
-        let fresh = self.max_heartbeat_age();
+        let max_age = self.max_heartbeat_age();
         let view = JobView::of(self, now, job, order, false);
         let mut suitable = vec![];
-        for machine in self.machines.values().filter(|m| m.open(now, fresh)) {
+        for machine in self.machines.values().filter(|m| m.open(now, max_age)) {
             let candidate = Candidate {
                 machine,
                 free: machine.free(),
                 remaining: machine.remaining(now),
-                reserved: held.contains(&machine.host),
+                reserved: reserved.contains(&machine.host),
             };
             if let Some(score) = view.score(&candidate) {
                 suitable.push((score, machine));
@@ -167,10 +170,10 @@
         suitable
     }
 
-    /// Where a gang without room gets some soonest, and what is kept free for
-    /// it there: machines that are empty or will be before one could be rented.
-    fn target(&self, now: Time, job: &Job, held: &BTreeSet<Host>) -> Option<Target> {
-        let zones = self.soon_free_by_zone(now, job, held);
+    /// Where a gang that lacks machines gets them soonest, and what is reserved for it
+    /// there: machines that are empty, or will be before one could be rented.
+    fn target(&self, now: Time, job: &Job, reserved: &BTreeSet<Host>) -> Option<Target> {
+        let zones = self.soon_free_by_zone(now, job, reserved);
         let tasks = job.spec.tasks as i64;
         if !job.spec.one_zone {
             let machines = zones.into_values().flatten().collect();
@@ -179,24 +182,25 @@
         let targets = zones
             .into_iter()
             .map(|(zone, machines)| Target::among(Some(zone), machines, tasks));
-        let hopeless =
+        let not_rentable =
             |target: &Target| target.to_rent > 0 && !self.rentable(now, job, target.zone.as_ref());
-        targets.min_by_key(|target| (hopeless(target), target.to_rent, target.lacks))
+        targets.min_by_key(|target| (not_rentable(target), target.to_rent, target.lacks))
     }
 
-    /// By zone, all in which machines for the job can be rented included.
+    /// The machines that are free soon, by zone; includes every zone in which machines
+    /// for the job can be rented.
     fn soon_free_by_zone<'a>(
         &'a self,
         now: Time,
         job: &Job,
-        held: &BTreeSet<Host>,
+        reserved: &BTreeSet<Host>,
     ) -> BTreeMap<&'a Zone, Vec<SoonFree<'a>>> {
         let mut zones: BTreeMap<&Zone, Vec<SoonFree>> = BTreeMap::new();
-        let overdue = job.waited_too_long(now);
+        let waited_too_long = job.waited_too_long(now);
         for machine in self.machines.values() {
-            let kept =
-                held.contains(&machine.host) && !(overdue && machine.reservation_expired(now));
-            if !may_run_on(&job.spec, machine) || kept || self.watch.silent(&machine.zone) {
+            let is_reserved = reserved.contains(&machine.host)
+                && !(waited_too_long && machine.reservation_expired(now));
+            if !may_run_on(&job.spec, machine) || is_reserved || self.watch.silent(&machine.zone) {
                 continue;
             }
             if let Some(soon_free) = self.soon_free(now, job, machine) {
@@ -204,43 +208,44 @@
             }
         }
         let rentable = self.flavors.values().flat_map(|flavor| &flavor.zones);
-        let wanted = |zone: &&Zone| job.spec.zone.as_ref().is_none_or(|only| only == *zone);
-        for zone in rentable.filter(wanted) {
+        let is_allowed = |zone: &&Zone| job.spec.zone.as_ref().is_none_or(|only| only == *zone);
+        for zone in rentable.filter(is_allowed) {
             zones.entry(zone).or_default();
         }
         zones
     }
 
-    /// Whether the machine has room, or will have some before one could be rented.
+    /// Whether the machine has free resources, or will have some before one could be
+    /// rented.
     fn soon_free<'a>(&self, now: Time, job: &Job, machine: &'a Machine) -> Option<SoonFree<'a>> {
-        let whole = machine.capacity.tasks_that_fit(&job.need);
+        let tasks_if_empty = machine.capacity.tasks_that_fit(&job.need);
         let soon_free = |after, tasks| SoonFree {
             machine,
             after,
             tasks,
         };
         if machine.life == Life::Booting {
-            return Some(soon_free(ENDLESS, whole));
+            return Some(soon_free(ENDLESS, tasks_if_empty));
         }
         if !machine.open(now, self.max_heartbeat_age()) {
             return None;
         }
-        let free = machine.free().tasks_that_fit(&job.need);
-        if free > 0 {
-            return Some(soon_free(Span::ZERO, free));
+        let free_tasks = machine.free().tasks_that_fit(&job.need);
+        if free_tasks > 0 {
+            return Some(soon_free(Span::ZERO, free_tasks));
         }
-        let boot = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+        let boot_wait = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
         let empty_after = machine.remaining(now).map_or(Span::ZERO, |(_, high)| high);
-        let overruns = || {
+        let any_overran = || {
             machine
                 .slots
                 .values()
                 .any(|slot| slot.overran_estimate(now))
         };
-        (empty_after < boot && !overruns()).then(|| soon_free(empty_after, whole))
+        (empty_after < boot_wait && !any_overran()).then(|| soon_free(empty_after, tasks_if_empty))
     }
 
-    /// A member ended without being done: the rest can't go on for long.
+    /// A member ended without being done: the other members can't continue for long.
     pub(super) fn gang_member_lost(&mut self, now: Time, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -255,38 +260,39 @@
         }
     }
 
-    /// All members are told to save and end, at the same time.
+    /// Stops all members at the same time, with time to save.
     pub(super) fn stop_gang(&mut self, now: Time, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let leeway_s = job.spec.save_s + SAVE_MARGIN_S;
-        self.stop_members(now, id, leeway_s);
+        let grace_s = job.spec.save_s + SAVE_MARGIN_S;
+        self.stop_members(now, id, grace_s);
     }
 
-    fn stop_members(&mut self, now: Time, id: &JobId, leeway_s: f64) {
+    fn stop_members(&mut self, now: Time, id: &JobId, grace_s: f64) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let going_on = job.live.iter().filter(|(_, live)| live.stop.is_none());
-        let tasks: Vec<_> = going_on.map(|(task, _)| *task).collect();
+        let running = job.live.iter().filter(|(_, live)| live.stop.is_none());
+        let tasks: Vec<_> = running.map(|(task, _)| *task).collect();
         for task in tasks {
-            self.stop(now, id, task, leeway_s);
+            self.stop(now, id, task, grace_s);
         }
     }
 }
 
-/// A gang that waits takes a replacement with its number; of any other, what is still
-/// on machines must be gone first.
+/// Whether a lost member may be replaced under the attempt number of the gang: only
+/// while the gang has not run. In any other case all its attempts must end first.
 fn takes_replacement(job: &Job, attempt: Attempt) -> bool {
-    // After a failover it isn't known yet whether it waits or has run.
-    let known = |live: &Live| !(live.sent && live.phase == Phase::Placed);
-    let waits = |live: &Live| live.stop.is_none() && live.attempt == attempt && known(live);
-    !job.gang_ran && job.live.values().all(waits)
+    // After a failover it isn't known yet whether an attempt waits or has run.
+    let state_known = |live: &Live| !(live.sent && live.phase == Phase::Placed);
+    let is_waiting =
+        |live: &Live| live.stop.is_none() && live.attempt == attempt && state_known(live);
+    !job.gang_ran && job.live.values().all(is_waiting)
 }
 
-/// Fills the machines in their order, those of one zone if it is given; none if they do
-/// not hold all tasks.
+/// Assigns the tasks to the machines in their order, only in one zone if it is given;
+/// none if not all tasks fit.
 fn fill(job: &Job, suitable: &[(Score, &Machine)], only: Option<&Zone>) -> Option<GangMachines> {
     let tasks = job.spec.tasks as i64;
     let max_in_zone = if job.spec.spread {
@@ -295,7 +301,7 @@
         tasks
     };
     let mut in_zone: BTreeMap<&Zone, i64> = BTreeMap::new();
-    let mut places = GangMachines {
+    let mut machines = GangMachines {
         late_images: 0,
         hosts: vec![],
     };
@@ -303,45 +309,48 @@
         if only.is_some_and(|zone| *zone != machine.zone) {
             continue;
         }
-        let used = in_zone.entry(&machine.zone).or_default();
-        let left = tasks - places.hosts.len() as i64;
-        let fits = machine.free().tasks_that_fit(&job.need);
-        let count = fits.min(max_in_zone - *used).min(left).max(0);
-        *used += count;
-        places.late_images += if score.image_late { count } else { 0 };
-        places
+        let used_in_zone = in_zone.entry(&machine.zone).or_default();
+        let unassigned = tasks - machines.hosts.len() as i64;
+        let free_tasks = machine.free().tasks_that_fit(&job.need);
+        let count = free_tasks
+            .min(max_in_zone - *used_in_zone)
+            .min(unassigned)
+            .max(0);
+        *used_in_zone += count;
+        machines.late_images += if score.image_late { count } else { 0 };
+        machines
             .hosts
             .extend((0..count).map(|_| machine.host.clone()));
     }
-    (places.hosts.len() as i64 == tasks).then_some(places)
+    (machines.hosts.len() as i64 == tasks).then_some(machines)
 }
 
 impl Target {
-    /// The machines that serve so many tasks soonest.
+    /// The target that uses the machines that are free soonest.
     fn among(zone: Option<&Zone>, mut machines: Vec<SoonFree>, tasks: i64) -> Target {
         machines.sort_by_key(|soon_free| (soon_free.after, Reverse(soon_free.tasks)));
-        let mut target = Target {
+        let mut result = Target {
             zone: zone.cloned(),
             lacks: tasks,
             to_rent: tasks,
             held: vec![],
         };
         for soon_free in machines {
-            if target.to_rent <= 0 {
+            if result.to_rent <= 0 {
                 break;
             }
-            target.to_rent = (target.to_rent - soon_free.tasks).max(0);
+            result.to_rent = (result.to_rent - soon_free.tasks).max(0);
             if soon_free.after != ENDLESS {
-                target.lacks = target.to_rent;
+                result.lacks = result.to_rent;
             }
-            target.held.push(soon_free.machine.host.clone());
+            result.held.push(soon_free.machine.host.clone());
         }
-        target
+        result
     }
 }
 
 impl Job {
-    /// Members of a gang that has run can't be replaced.
+    /// Notes that the gang has run: its members can't be replaced any more.
     pub(super) fn update_gang_ran(&mut self, phase: Phase) {
         if self.spec.kind == Kind::Gang && matches!(phase, Phase::Running | Phase::Saving) {
             self.gang_ran = true;
--- a/src/sched/headroom.rs
+++ b/src/sched/headroom.rs
@@ -1,5 +1,5 @@
-//! Room that is kept free for classes that want quick starts, sized from what
-//! arrived lately, and what there is above it.
+//! Headroom: capacity kept free for classes that require quick starts, sized from their
+//! recent arrivals, and the free capacity above it.
 
 use super::job::Job;
 use super::machine::Machine;
@@ -8,26 +8,27 @@
 use crate::time::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
-/// The quickest that a machine usually is up, as a share of its boot time.
-/// Whoever wants to start sooner can't wait for one that is yet to be rented.
+/// The shortest time in which a machine usually boots, as a share of the boot time of
+/// its type. A job that has to start sooner can't wait for a machine that is yet to be
+/// rented.
 const FASTEST_BOOT_SHARE: f64 = 0.6;
-/// Arrivals of a class that make its headroom.
+/// Recent arrivals of a class that determine its headroom.
 const MAX_ARRIVALS_PER_CLASS: usize = 12;
-/// What came long ago is no reason to hold machines for ever.
+/// Older arrivals are dropped, so that they don't hold machines indefinitely.
 const ARRIVAL_RETENTION: Span = Span(180_000_000);
 
 struct Arrival {
     at: Time,
-    room: Resources,
-    /// It may not use machines that the cloud can take back.
-    plain: bool,
+    resources: Resources,
+    /// The job may not use machines that the cloud can reclaim.
+    ordinary: bool,
 }
 
-/// What arrived lately of the classes that want quick starts.
+/// The recent arrivals of the classes that require quick starts.
 #[derive(Default)]
 pub struct RecentArrivals(HashMap<Class, VecDeque<Arrival>>);
 
-/// An amount of room, on plain machines and on all of them.
+/// An amount of free resources, on ordinary machines only and on all of them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FreeCapacity {
     pub plain: Resources,
@@ -36,66 +37,79 @@
 
 impl RecentArrivals {
     pub fn record(&mut self, now: Time, job: &Job) {
-        let seen = self.0.entry(job.spec.class.clone()).or_default();
-        seen.push_back(Arrival {
+        let arrivals = self.0.entry(job.spec.class.clone()).or_default();
+        arrivals.push_back(Arrival {
             at: now,
-            room: job.need.scaled(job.spec.tasks as i64),
-            plain: !job.spec.spot,
+            resources: job.need.scaled(job.spec.tasks as i64),
+            ordinary: !job.spec.spot,
         });
-        while seen.len() > MAX_ARRIVALS_PER_CLASS
-            || seen.front().is_some_and(|f| now - f.at > ARRIVAL_RETENTION)
+        while arrivals.len() > MAX_ARRIVALS_PER_CLASS
+            || arrivals
+                .front()
+                .is_some_and(|arrival| now - arrival.at > ARRIVAL_RETENTION)
         {
-            seen.pop_front();
+            arrivals.pop_front();
         }
     }
 
-    /// Kept free: a usual large arrival of each class, so many times over.
-    pub fn headroom(&self, now: Time, times: f64) -> FreeCapacity {
-        let mut keep = FreeCapacity::default();
-        for seen in self.0.values() {
-            let lately = seen.iter().filter(|a| now - a.at <= ARRIVAL_RETENTION);
-            let mut v: Vec<&Arrival> = lately.collect();
-            v.sort_by_key(|a| (a.room.gpu, a.room.cpu, a.room.mem));
-            if let Some(a) = v.get(v.len() * 8 / 10) {
-                keep.all += a.room;
-                if a.plain {
-                    keep.plain += a.room;
+    /// The headroom: for each class a large arrival, the 80th percentile of the recent
+    /// ones, times `factor`.
+    pub fn headroom(&self, now: Time, factor: f64) -> FreeCapacity {
+        let mut headroom = FreeCapacity::default();
+        for arrivals in self.0.values() {
+            let recent = arrivals
+                .iter()
+                .filter(|arrival| now - arrival.at <= ARRIVAL_RETENTION);
+            let mut sorted: Vec<&Arrival> = recent.collect();
+            sorted.sort_by_key(|arrival| {
+                (
+                    arrival.resources.gpu,
+                    arrival.resources.cpu,
+                    arrival.resources.mem,
+                )
+            });
+            if let Some(arrival) = sorted.get(sorted.len() * 8 / 10) {
+                headroom.all += arrival.resources;
+                if arrival.ordinary {
+                    headroom.plain += arrival.resources;
                 }
             }
         }
-        keep.plain = keep.plain.scaled_f64(times);
-        keep.all = keep.all.scaled_f64(times);
-        keep
+        headroom.plain = headroom.plain.scaled_f64(factor);
+        headroom.all = headroom.all.scaled_f64(factor);
+        headroom
     }
 }
 
 impl FreeCapacity {
-    fn add(&mut self, m: &Machine) {
-        let free = m.free().at_least_zero();
+    fn add(&mut self, machine: &Machine) {
+        let free = machine.free().at_least_zero();
         self.all += free;
-        if !m.spot {
+        if !machine.spot {
             self.plain += free;
         }
     }
 
-    fn minus(mut self, o: &FreeCapacity) -> FreeCapacity {
-        self.plain -= o.plain;
-        self.all -= o.all;
+    fn minus(mut self, other: &FreeCapacity) -> FreeCapacity {
+        self.plain -= other.plain;
+        self.all -= other.all;
         self
     }
 
-    /// A task may take this much of a machine of that kind.
+    /// Whether a task with this need may use a machine, `spot` or ordinary.
     pub fn covers_task(&self, need: &Resources, spot: bool) -> bool {
         self.all.covers(need) && (spot || self.plain.covers(need))
     }
 
-    /// Nothing that a task asks for is short already.
+    /// Whether no resource that a task needs is overdrawn already.
     pub fn has_no_shortage(&self, need: &Resources, spot: bool) -> bool {
-        let one = |have: &Resources| {
-            let fine = |have: i64, n: i64| n == 0 || have >= 0;
-            fine(have.cpu, need.cpu) && fine(have.gpu, need.gpu) && fine(have.mem, need.mem)
+        let is_available = |have: &Resources| {
+            let not_overdrawn = |have: i64, need: i64| need == 0 || have >= 0;
+            not_overdrawn(have.cpu, need.cpu)
+                && not_overdrawn(have.gpu, need.gpu)
+                && not_overdrawn(have.mem, need.mem)
         };
-        one(&self.all) && (spot || one(&self.plain))
+        is_available(&self.all) && (spot || is_available(&self.plain))
     }
 
     pub fn take(&mut self, need: &Resources, spot: bool) {
@@ -107,15 +121,27 @@
 }
 
 impl Sched {
-    /// Classes with an aim for waiting that renting is too slow for. Known
-    /// once the machine types are.
+    /// Updates the quick classes: those with an objective for waiting that is shorter
+    /// than any machine boots. Known once the machine types are.
     pub(super) fn update_quick_classes(&mut self) {
-        let boots = self.flavors.values().map(|f| f.boot_s * FASTEST_BOOT_SHARE);
-        let boot = boots.fold(f64::INFINITY, f64::min);
-        let waits = self.cfg.objectives.iter().filter(|o| o.kind == "wait");
-        self.quick = waits
-            .filter(|o| boot.is_finite() && o.within_s.is_some_and(|s| s < boot))
-            .filter_map(|o| o.class.clone())
+        let boot_times = self
+            .flavors
+            .values()
+            .map(|machine_type| machine_type.boot_s * FASTEST_BOOT_SHARE);
+        let fastest_boot_s = boot_times.fold(f64::INFINITY, f64::min);
+        let objectives = self
+            .cfg
+            .objectives
+            .iter()
+            .filter(|objective| objective.kind == "wait");
+        self.quick = objectives
+            .filter(|objective| {
+                fastest_boot_s.is_finite()
+                    && objective
+                        .within_s
+                        .is_some_and(|limit_s| limit_s < fastest_boot_s)
+            })
+            .filter_map(|objective| objective.class.clone())
             .collect();
     }
 
@@ -123,22 +149,22 @@
         self.quick.contains(class)
     }
 
-    /// Room kept free for quick classes.
+    /// Capacity kept free for quick classes.
     pub(super) fn headroom(&self, now: Time) -> FreeCapacity {
         self.arrivals.headroom(now, self.cfg.tuning.headroom)
     }
 
-    /// All room that is free now.
+    /// All capacity that is free now.
     pub(super) fn free_capacity(&self, now: Time) -> FreeCapacity {
-        let fresh = self.max_heartbeat_age();
+        let max_age = self.max_heartbeat_age();
         let mut free = FreeCapacity::default();
-        for m in self.machines.values().filter(|m| m.open(now, fresh)) {
-            free.add(m);
+        for machine in self.machines.values().filter(|m| m.open(now, max_age)) {
+            free.add(machine);
         }
         free
     }
 
-    /// Free room above what is kept.
+    /// Free capacity above the headroom.
     pub(super) fn free_above_headroom(&self, now: Time) -> FreeCapacity {
         self.free_capacity(now).minus(&self.headroom(now))
     }
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -1,4 +1,4 @@
-//! The order in which jobs are served, worked out once for each pass.
+//! The order in which jobs are served, computed once for each pass.
 
 use super::fleet::Shortage;
 use super::inheritance::LATE_FACTOR;
@@ -10,13 +10,13 @@
 use crate::wire::user::{Kind, Priority};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// How much the time for which a job would fill the fleet counts against it.
+/// Weight of the time for which a job would fill the fleet; it counts against the job.
 const WORK_WEIGHT: f64 = 12.0;
 
-/// Production and high priority: the first tiers.
+/// The tiers up to this one are urgent: production and high priority.
 const MAX_URGENT_TIER: u8 = 1;
 
-/// A job's place in the order; the smaller is served first.
+/// The position of a job in the order; the smallest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct Rank {
     tier: u8,
@@ -24,28 +24,29 @@
     seq: u64,
 }
 
-/// A job's turn in a pass.
+/// One turn of a job in a pass.
 #[derive(Clone, Debug)]
 pub(super) struct Turn {
     pub job: JobId,
-    /// No more of its tasks than this, none: all that it may.
+    /// At most this many of its tasks start in this turn; none: no bound.
     pub max_tasks: Option<i64>,
-    /// Ahead of its place in the order, where it has another turn.
+    /// The turn is ahead of the job's position in the order, where it has another turn.
     pub boosted: bool,
 }
 
 /// The ranks of all jobs at one moment.
 pub(super) struct Order {
     within_guarantee: HashSet<JobId>,
-    /// Some work may not use machines that the cloud can take back.
+    /// Some job that is ready may not use machines that the cloud can reclaim.
     pub ordinary_machines_wanted: bool,
-    /// A gang found no room at the last pass.
+    /// A gang found too few machines in the last pass.
     pub gang_is_waiting: bool,
     ranks: HashMap<JobId, Rank>,
 }
 
 impl Order {
-    /// Fits within its team's guarantee, with the team's earlier jobs.
+    /// Whether the job fits within its team's guarantee, along with the team's earlier
+    /// jobs.
     pub fn is_within_guarantee(&self, id: &JobId) -> bool {
         self.within_guarantee.contains(id)
     }
@@ -54,193 +55,211 @@
         self.ranks.get(id)
     }
 
-    /// Jobs with tasks to start, those first that are served first; ahead of them
-    /// some tasks of those that are below the floor, which stand here twice. Also how
-    /// many turns come before that of the job at which the last pass stopped.
-    pub fn turns(&self, s: &Sched, now: Time) -> (Vec<Turn>, usize) {
-        let waits = |j: &&Job| j.pending() > 0 && now >= j.backoff_until;
-        let lifted = s.books.boosted_jobs().filter_map(|id| s.jobs.get(id));
-        let lifted = lifted.filter(waits).map(|j| Turn {
+    /// The turns of the jobs with tasks to start, in the order of service. Boosted
+    /// tasks of jobs below the guaranteed minimum come first; such jobs have a second
+    /// turn at their own position. The second value is the number of turns before that
+    /// of the job at which the last pass stopped.
+    pub fn turns(&self, sched: &Sched, now: Time) -> (Vec<Turn>, usize) {
+        let may_start = |j: &&Job| j.pending() > 0 && now >= j.backoff_until;
+        let boosted = sched
+            .books
+            .boosted_jobs()
+            .filter_map(|id| sched.jobs.get(id));
+        let boosted = boosted.filter(may_start).map(|j| Turn {
             job: j.id().clone(),
-            max_tasks: s.books.boosted_tasks(j.id()),
+            max_tasks: sched.books.boosted_tasks(j.id()),
             boosted: true,
         });
-        let waiting = s.jobs.values().filter(waits);
-        let mut v: Vec<(&Rank, &JobId)> = waiting
+        let waiting = sched.jobs.values().filter(may_start);
+        let mut ranked: Vec<(&Rank, &JobId)> = waiting
             .filter_map(|j| Some((self.ranks.get(j.id())?, j.id())))
             .collect();
-        v.sort_by(|a, b| a.0.partial_cmp(b.0).unwrap_or(std::cmp::Ordering::Equal));
-        // What fails everywhere is tried a task at a time: with all of its tasks it
-        // took the machines of others, and fetched its image on each, for nothing.
-        let one = |j: &&Job| j.fails_everywhere() && !j.has_healthy_task(now);
-        let rest = |j: &Job| 1 - j.live.len().min(1) as i64;
-        let most = |id: &JobId| s.jobs.get(id).filter(one).map(rest);
-        // Where the last pass stopped, after those that can't wait a turn.
-        let from = s.goes_on_at.as_ref();
-        let from = from.and_then(|id| v.iter().position(|x| x.1 == id));
-        let (before, on) = v.split_at(from.unwrap_or(0));
-        let (urgent, others): (Vec<_>, Vec<_>) =
-            before.iter().partition(|x| x.0.tier <= MAX_URGENT_TIER);
-        let those_ahead = urgent.len();
-        let v = urgent.into_iter().chain(on).chain(others);
-        let turns = v.map(|(_, id)| Turn {
+        ranked.sort_by(|a, b| a.0.partial_cmp(b.0).unwrap_or(std::cmp::Ordering::Equal));
+        // A job that fails everywhere is tried with one task at a time: with all of its
+        // tasks it takes machines from others, and fetches its image on each, in vain.
+        let tried_singly = |j: &&Job| j.fails_everywhere() && !j.has_healthy_task(now);
+        let remaining = |j: &Job| 1 - j.live.len().min(1) as i64;
+        let max_tasks = |id: &JobId| sched.jobs.get(id).filter(tried_singly).map(remaining);
+        // Continues where the last pass stopped, after the urgent jobs.
+        let start = sched.goes_on_at.as_ref();
+        let start = start.and_then(|id| ranked.iter().position(|(_, ranked_id)| *ranked_id == id));
+        let (before, following) = ranked.split_at(start.unwrap_or(0));
+        let (urgent, others): (Vec<_>, Vec<_>) = before
+            .iter()
+            .partition(|(rank, _)| rank.tier <= MAX_URGENT_TIER);
+        let urgent_count = urgent.len();
+        let ranked = urgent.into_iter().chain(following).chain(others);
+        let turns = ranked.map(|(_, id)| Turn {
             job: (*id).clone(),
-            max_tasks: most(id),
+            max_tasks: max_tasks(id),
             boosted: false,
         });
-        let mut all: Vec<Turn> = lifted.collect();
-        let ahead = all.len() + those_ahead;
-        all.extend(turns);
-        if s.stuck {
-            all.rotate_left(ahead);
-            return (all, 0);
+        let mut all_turns: Vec<Turn> = boosted.collect();
+        let turns_ahead = all_turns.len() + urgent_count;
+        all_turns.extend(turns);
+        if sched.stuck {
+            all_turns.rotate_left(turns_ahead);
+            return (all_turns, 0);
         }
-        (all, ahead)
+        (all_turns, turns_ahead)
     }
 }
 
 impl Sched {
     pub(super) fn job_order(&self, now: Time) -> Order {
-        let within = self.jobs_within_guarantee();
-        let mut whole = Resources::default();
-        for m in self.machines.values().filter(|m| !m.shut) {
-            whole += m.capacity;
+        let within_guarantee = self.jobs_within_guarantee();
+        let mut capacity = Resources::default();
+        for machine in self.machines.values().filter(|machine| !machine.shut) {
+            capacity += machine.capacity;
         }
-        let rank = |j: &Job| {
-            let within = within.contains(j.id());
-            let first = self.books.is_starved(j.id());
-            let tier = match j.priority() {
-                _ if first => 0,
+        let rank = |job: &Job| {
+            let within_guarantee = within_guarantee.contains(job.id());
+            let starved = self.books.is_starved(job.id());
+            let tier = match job.priority() {
+                _ if starved => 0,
                 Priority::Production => 0,
                 Priority::High => 1,
-                _ if within => 2,
+                _ if within_guarantee => 2,
                 Priority::Normal => 3,
                 Priority::Low => 4,
             };
-            let due = match first {
+            let latest_start_s = match starved {
                 true => 0.0,
-                false => self.latest_start(now, j, within, &whole),
+                false => self.latest_start(now, job, within_guarantee, &capacity),
             };
-            let seq = j.seq;
+            let seq = job.seq;
             (
-                j.id().clone(),
+                job.id().clone(),
                 Rank {
                     tier,
-                    latest_start_s: due,
+                    latest_start_s: latest_start_s,
                     seq,
                 },
             )
         };
-        let served = |j: &&Job| j.needs.is_empty() || !j.live.is_empty();
-        let ranks = self.jobs.values().filter(served).map(rank).collect();
-        let plain_wanted = self
+        let in_order = |job: &&Job| job.needs.is_empty() || !job.live.is_empty();
+        let ranks = self.jobs.values().filter(in_order).map(rank).collect();
+        let ordinary_machines_wanted = self
             .jobs
             .values()
-            .any(|j| !j.spec.spot && j.needs.is_empty());
-        let gang = |s: &Shortage| {
-            let j = self.jobs.get(&s.job);
-            j.is_some_and(|j| j.spec.kind == Kind::Gang && !j.spec.spot)
+            .any(|job| !job.spec.spot && job.needs.is_empty());
+        let is_ordinary_gang = |shortage: &Shortage| {
+            let job = self.jobs.get(&shortage.job);
+            job.is_some_and(|job| job.spec.kind == Kind::Gang && !job.spec.spot)
         };
-        let gang_waits = self.fleet.shortages.iter().any(gang);
+        let gang_is_waiting = self.fleet.shortages.iter().any(is_ordinary_gang);
         Order {
-            within_guarantee: within,
-            ordinary_machines_wanted: plain_wanted,
-            gang_is_waiting: gang_waits,
+            within_guarantee: within_guarantee,
+            ordinary_machines_wanted: ordinary_machines_wanted,
+            gang_is_waiting: gang_is_waiting,
             ranks,
         }
     }
 
-    /// Jobs that fit within their team's guarantee along with the team's
-    /// earlier unfinished ones. What needs others is not among these before they are
-    /// done, and comes in the order in which that happened.
+    /// The jobs that fit within their team's guarantee along with the team's earlier
+    /// unfinished ones. A job with unfinished dependencies is not counted; its position
+    /// is set when they are done.
     fn jobs_within_guarantee(&self) -> HashSet<JobId> {
-        let counts = |j: &&Job| !j.cancelled && j.needs.is_empty();
-        let mut by_seq: Vec<_> = self.jobs.values().filter(counts).collect();
-        by_seq.sort_by_key(|j| j.seq);
+        let is_counted = |job: &&Job| !job.cancelled && job.needs.is_empty();
+        let mut by_seq: Vec<_> = self.jobs.values().filter(is_counted).collect();
+        by_seq.sort_by_key(|job| job.seq);
         let mut used: BTreeMap<&Team, (Resources, Resources)> = BTreeMap::new();
         let mut within = HashSet::new();
-        for j in by_seq {
-            let team = &j.spec.team;
-            let Some(g) = self.teams.guarantee(team) else {
+        for job in by_seq {
+            let team = &job.spec.team;
+            let Some(guarantee) = self.teams.guarantee(team) else {
                 continue;
             };
-            let (sum, g) = used.entry(team).or_insert((Resources::default(), g));
-            *sum += j.need.scaled(j.unfinished() as i64);
-            if sum.cpu <= g.cpu && sum.gpu <= g.gpu {
-                within.insert(j.id().clone());
+            let (total, guarantee) = used
+                .entry(team)
+                .or_insert((Resources::default(), guarantee));
+            *total += job.need.scaled(job.unfinished() as i64);
+            if total.cpu <= guarantee.cpu && total.gpu <= guarantee.gpu {
+                within.insert(job.id().clone());
             }
         }
         within
     }
 
-    /// When the job must start for the next of its aims that it can still
-    /// meet; those that can meet none come last.
-    fn latest_start(&self, now: Time, j: &Job, within: bool, whole: &Resources) -> f64 {
-        let run = estimate::of(j).as_secs();
-        let run = if run > 1e9 { 0.0 } else { run };
-        let arrived = j.arrived.0 as f64 / 1e6;
-        let ready = j.ready.0 as f64 / 1e6;
-        let now = now.0 as f64 / 1e6;
-        let mut best = f64::INFINITY;
-        let mut take = |start: f64| {
-            if start >= now && start < best {
-                best = start;
+    /// The latest start, in seconds, for the next of its objectives that the job can
+    /// still meet; jobs that can meet none come last.
+    fn latest_start(
+        &self,
+        now: Time,
+        job: &Job,
+        within_guarantee: bool,
+        capacity: &Resources,
+    ) -> f64 {
+        let run_s = estimate::of(job).as_secs();
+        let run_s = if run_s > 1e9 { 0.0 } else { run_s };
+        let arrived_s = job.arrived.0 as f64 / 1e6;
+        let ready_s = job.ready.0 as f64 / 1e6;
+        let now_s = now.0 as f64 / 1e6;
+        let mut earliest_s = f64::INFINITY;
+        let mut consider = |start_s: f64| {
+            if start_s >= now_s && start_s < earliest_s {
+                earliest_s = start_s;
             }
         };
-        if let Some(d) = j.spec.deadline_s {
-            take(arrived + d - run);
-            take(arrived + LATE_FACTOR * d - run);
+        if let Some(deadline_s) = job.spec.deadline_s {
+            consider(arrived_s + deadline_s - run_s);
+            consider(arrived_s + LATE_FACTOR * deadline_s - run_s);
         }
-        // For the last of those that need it, on the longest way.
-        let inherited = j.inherited.due;
+        // Deadlines inherited from dependent jobs, over the longest path.
+        let inherited = job.inherited.due;
         for due in [inherited.in_time, inherited.late].into_iter().flatten() {
-            take(due.0 as f64 / 1e6 - run);
+            consider(due.0 as f64 / 1e6 - run_s);
         }
-        for o in &self.cfg.objectives {
-            let mine = o.class.as_ref() == Some(&j.spec.class);
-            let Some(s) = o.within_s else { continue };
-            match o.kind.as_str() {
-                "finished" if mine => take(ready + s - run),
-                "wait" if mine => take(ready + s),
-                "guarantee" if within => take(ready + s),
+        for objective in &self.cfg.objectives {
+            let is_own_class = objective.class.as_ref() == Some(&job.spec.class);
+            let Some(limit_s) = objective.within_s else {
+                continue;
+            };
+            match objective.kind.as_str() {
+                "finished" if is_own_class => consider(ready_s + limit_s - run_s),
+                "wait" if is_own_class => consider(ready_s + limit_s),
+                "guarantee" if within_guarantee => consider(ready_s + limit_s),
                 _ => {}
             }
         }
-        // Of two that are pressed alike, the one that needs less of the fleet:
-        // more jobs meet their aims that way.
-        let work = j.need.dominant_share_of(whole) * j.unfinished() as f64 * run;
-        best + WORK_WEIGHT * work
+        // Of two jobs with similar latest starts, the one that needs less of the fleet
+        // goes first: more jobs meet their objectives that way.
+        let fleet_seconds = job.need.dominant_share_of(capacity) * job.unfinished() as f64 * run_s;
+        earliest_s + WORK_WEIGHT * fleet_seconds
     }
 
-    /// The next moment by which the job is to be done, that it can still meet.
-    pub(super) fn next_deadline(&self, now: Time, j: &Job) -> Option<Time> {
-        let class =
-            |o: &&Objective| o.kind == "finished" && o.class.as_ref() == Some(&j.spec.class);
-        let aims = self
+    /// The next deadline of the job that is not past yet.
+    pub(super) fn next_deadline(&self, now: Time, job: &Job) -> Option<Time> {
+        let is_own_class = |objective: &&Objective| {
+            objective.kind == "finished" && objective.class.as_ref() == Some(&job.spec.class)
+        };
+        let objectives = self
             .cfg
             .objectives
             .iter()
-            .filter(class)
-            .filter_map(|o| o.within_s);
-        let aims = aims.map(|s| j.ready + Span::secs(s));
-        let deadline = j.spec.deadline_s.into_iter();
+            .filter(is_own_class)
+            .filter_map(|objective| objective.within_s);
+        let objectives = objectives.map(|s| job.ready + Span::secs(s));
+        let deadline = job.spec.deadline_s.into_iter();
         let deadline = deadline.flat_map(|d| [d, LATE_FACTOR * d]);
-        let deadline = deadline.map(|s| j.arrived + Span::secs(s));
-        let inherited = [j.inherited.due.in_time, j.inherited.due.late];
-        let all = aims.chain(deadline).chain(inherited.into_iter().flatten());
-        all.filter(|t| *t > now).min()
+        let deadline = deadline.map(|s| job.arrived + Span::secs(s));
+        let inherited = [job.inherited.due.in_time, job.inherited.due.late];
+        let deadlines = objectives
+            .chain(deadline)
+            .chain(inherited.into_iter().flatten());
+        deadlines.filter(|t| *t > now).min()
     }
 
-    /// Until when a task of the job should have begun to run, for the next of
-    /// the aims for waiting that it can still meet.
-    pub(super) fn start_by(&self, now: Time, j: &Job, within: bool) -> Option<Time> {
-        let counts = |o: &&Objective| match o.kind.as_str() {
-            "wait" => o.class.as_ref() == Some(&j.spec.class),
-            "guarantee" => within,
+    /// The time by which a task of the job should start, for the next of its waiting
+    /// objectives that it can still meet.
+    pub(super) fn start_by(&self, now: Time, job: &Job, within_guarantee: bool) -> Option<Time> {
+        let applies = |objective: &&Objective| match objective.kind.as_str() {
+            "wait" => objective.class.as_ref() == Some(&job.spec.class),
+            "guarantee" => within_guarantee,
             _ => false,
         };
-        let aims = self.cfg.objectives.iter().filter(counts);
-        let by = aims.filter_map(|o| Some(j.ready + Span::secs(o.within_s?)));
-        by.filter(|t| *t > now).min()
+        let objectives = self.cfg.objectives.iter().filter(applies);
+        let start_times = objectives.filter_map(|o| Some(job.ready + Span::secs(o.within_s?)));
+        start_times.filter(|t| *t > now).min()
     }
 }
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -1,11 +1,12 @@
-//! Placement: where a task starts. Machines that pass the time-balance check come
-//! first, by best fit; then a join that costs nothing; then renting; then, when nothing
-//! is ready or rentable, any machine with room.
+//! Placement: selects the machine on which a task starts. Machines that pass the
+//! time-balance check come first, by best fit; then machines that stay in use long
+//! enough anyway, so that the task costs nothing more; then renting; then, when nothing
+//! is ready or rentable, any machine with enough free resources.
 //!
-//! All pending jobs are served in one pass, which gathers the machines with
-//! room once and judges each of them once for each job. `choose` is the same
-//! decision for a single task, made from scratch: it serves jobs whose tasks
-//! bear on each other's zones, and the tests hold the pass against it.
+//! A pass serves all pending jobs: it gathers the machines with free resources once and
+//! scores each of them once for each job. `choose` makes the same decision for a single
+//! task from scratch. It serves jobs whose tasks affect each other's zones, and debug
+//! builds check the pass against it.
 
 use super::allowed_zones::AllowedZones;
 use super::attempt_places::AttemptPlace;
@@ -23,166 +24,185 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Machines judged for jobs in one pass, some tens of milliseconds of work.
+/// Machines scored for jobs in one pass, some tens of milliseconds of work.
 const MAX_SCORED_PER_PASS: u64 = 40_000;
-/// How often preemption is looked into.
+/// How often the scheduler looks for tasks to preempt.
 const PREEMPTION_INTERVAL: Span = Span(200_000);
-/// A machine that has not been heard for so many heartbeat intervals,
+/// A machine whose last heartbeat is older than this many heartbeat intervals, plus a
+/// margin, takes no new tasks.
 const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 1.25;
-/// and so many seconds more, takes nothing new.
+/// The margin, in seconds.
 const HEARTBEAT_AGE_MARGIN_S: f64 = 2.0;
 
-/// What a pass found.
+/// The result of a pass over some turns.
 #[derive(Default)]
 struct Plan {
-    /// Where tasks start, in this order.
+    /// The tasks to start, each a job and a machine, in this order.
     starts: Vec<(JobId, Host)>,
-    /// Which jobs lack room, for how many tasks.
+    /// The jobs that lack resources, and for how many tasks.
     short: Vec<Shortage>,
-    /// How many turns were served.
+    /// The number of turns that were served.
     served: usize,
 }
 
-/// A machine with room, as it will be once what is planned has started.
+/// A machine with free resources, as it will be once the planned tasks have started.
 pub(super) struct Candidate<'a> {
     pub machine: &'a Machine,
     pub free: Resources,
-    /// Remaining runtimes on it, the smallest and the largest.
+    /// The smallest and the largest remaining runtime of its tasks.
     pub remaining: Option<(Span, Span)>,
-    /// Kept free for a gang.
+    /// The machine is reserved for a gang.
     pub reserved: bool,
 }
 
 impl Sched {
-    /// One pass over all that waits, or as much of it as one pass may judge: with
-    /// 600 jobs waiting it once took a second, in which nobody was answered. The
-    /// next one goes on where this one stopped, after the urgent.
+    /// One pass over all waiting jobs, or as many of them as one pass may score: an
+    /// unbounded pass takes a second with 600 jobs waiting, in which no request is
+    /// answered. The next pass continues where this one stopped, after the urgent jobs.
     pub(super) fn place(&mut self, now: Time) {
-        let order = self.job_order(now);
-        let (served, ahead) = order.turns(self, now);
-        let mut short = vec![];
-        let mut held = BTreeSet::new();
-        let mut rest = &served[..];
-        let until = self.judged.get() + MAX_SCORED_PER_PASS;
-        while !rest.is_empty() && self.judged.get() < until {
-            // What must be settled before the next is looked at goes by itself.
-            let alone = |t: &Turn| self.jobs.get(&t.job).is_some_and(is_placed_individually);
-            let n = rest.iter().position(alone).unwrap_or(rest.len());
-            let plan = self.plan(now, &rest[..n], &held, &order, until);
+        let job_order = self.job_order(now);
+        let (turns, turns_ahead) = job_order.turns(self, now);
+        let mut shortages = vec![];
+        let mut reserved = BTreeSet::new();
+        let mut remaining_turns = &turns[..];
+        let score_limit = self.judged.get() + MAX_SCORED_PER_PASS;
+        while !remaining_turns.is_empty() && self.judged.get() < score_limit {
+            // Jobs that are placed individually split the turns, as each has to start
+            // before the next job is looked at.
+            let is_individual =
+                |turn: &Turn| self.jobs.get(&turn.job).is_some_and(is_placed_individually);
+            let batch = remaining_turns
+                .iter()
+                .position(is_individual)
+                .unwrap_or(remaining_turns.len());
+            let plan = self.plan(
+                now,
+                &remaining_turns[..batch],
+                &reserved,
+                &job_order,
+                score_limit,
+            );
             for (id, host) in plan.starts {
                 self.start(now, &id, &host, None);
             }
-            short.extend(plan.short);
-            if plan.served < n {
-                rest = &rest[plan.served..];
+            shortages.extend(plan.short);
+            if plan.served < batch {
+                remaining_turns = &remaining_turns[plan.served..];
                 break;
             }
-            if let Some(t) = rest.get(n) {
-                let (lack, done) = self.place_individually(now, &t.job, &mut held, &order, until);
-                short.extend(lack);
-                if !done {
-                    rest = &rest[n..];
+            if let Some(turn) = remaining_turns.get(batch) {
+                let (shortage, finished) =
+                    self.place_individually(now, &turn.job, &mut reserved, &job_order, score_limit);
+                shortages.extend(shortage);
+                if !finished {
+                    remaining_turns = &remaining_turns[batch..];
                     break;
                 }
             }
-            rest = rest.get(n + 1..).unwrap_or(&[]);
+            remaining_turns = remaining_turns.get(batch + 1..).unwrap_or(&[]);
         }
-        // Those that were not looked at lack what they lacked before.
-        let left: BTreeSet<&JobId> = rest.iter().map(|t| &t.job).collect();
-        short.extend(
+        // Jobs that this pass did not reach keep the shortages of the last one.
+        let unreached: BTreeSet<&JobId> = remaining_turns.iter().map(|turn| &turn.job).collect();
+        shortages.extend(
             self.fleet
                 .shortages
                 .drain(..)
-                .filter(|s| left.contains(&s.job)),
+                .filter(|s| unreached.contains(&s.job)),
         );
-        self.fleet.shortages = short;
-        // Where those ahead take the whole pass, the next one does without them.
-        self.stuck = !rest.is_empty() && ahead > 0 && rest.len() + ahead >= served.len();
+        self.fleet.shortages = shortages;
+        // If the jobs ahead take the whole pass, the next pass skips them.
+        self.stuck = !remaining_turns.is_empty()
+            && turns_ahead > 0
+            && remaining_turns.len() + turns_ahead >= turns.len();
         if !self.stuck {
-            self.goes_on_at = rest.first().map(|t| t.job.clone());
+            self.goes_on_at = remaining_turns.first().map(|turn| turn.job.clone());
         }
-        for m in self.machines.values_mut() {
-            let kept = held.contains(&m.host);
-            m.kept_since = kept.then(|| m.kept_since.unwrap_or(now));
+        for machine in self.machines.values_mut() {
+            let is_reserved = reserved.contains(&machine.host);
+            machine.kept_since = is_reserved.then(|| machine.kept_since.unwrap_or(now));
         }
         if now >= self.preempt_at {
             self.preempt_at = now + PREEMPTION_INTERVAL;
-            self.preempt(now, &order);
+            self.preempt(now, &job_order);
         }
     }
 
-    /// Gangs, and jobs whose tasks bear on each other's zones. The second value is
-    /// false where the pass had to stop within the job.
+    /// Places a gang, or a job whose tasks affect each other's zones. The second value
+    /// is false if the pass had to stop within the job.
     fn place_individually(
         &mut self,
         now: Time,
         id: &JobId,
-        held: &mut BTreeSet<Host>,
+        reserved: &mut BTreeSet<Host>,
         order: &Order,
-        until: u64,
+        score_limit: u64,
     ) -> (Option<Shortage>, bool) {
-        let gang = |j: &Job| j.spec.kind == Kind::Gang;
-        if self.jobs.get(id).is_some_and(gang) {
-            return (self.place_gang(now, id, held, order), true);
+        let is_gang = |job: &Job| job.spec.kind == Kind::Gang;
+        if self.jobs.get(id).is_some_and(is_gang) {
+            return (self.place_gang(now, id, reserved, order), true);
         }
-        while let Some(j) = self.jobs.get(id) {
-            let left = (j.pending() as i64)
-                .min(self.teams.remaining(&j.spec.team).tasks_that_fit(&j.need));
-            if left == 0 {
+        while let Some(job) = self.jobs.get(id) {
+            let wanted = (job.pending() as i64).min(
+                self.teams
+                    .remaining(&job.spec.team)
+                    .tasks_that_fit(&job.need),
+            );
+            if wanted == 0 {
                 break;
             }
-            if self.judged.get() >= until {
+            if self.judged.get() >= score_limit {
                 return (None, false);
             }
-            // Where the first of its tasks is, all others have to be, and what one
-            // of them takes closes no zone for the next.
-            if j.spec.one_zone && !j.spec.spread && !j.live.is_empty() {
-                return self.place_beside_others(now, id, held, order, until);
+            // All its tasks have to be in the zone of the first one, and without a
+            // spread no task excludes that zone for the next one.
+            if job.spec.one_zone && !job.spec.spread && !job.live.is_empty() {
+                return self.place_beside_others(now, id, reserved, order, score_limit);
             }
-            let Some(host) = self.choose(now, id, held, order) else {
-                return (Some(Shortage::anywhere(id, left)), true);
+            let Some(host) = self.choose(now, id, reserved, order) else {
+                return (Some(Shortage::anywhere(id, wanted)), true);
             };
             self.start(now, id, &host, None);
         }
         (None, true)
     }
 
-    /// A job whose zone is settled by the tasks that it has there.
+    /// Places a job whose zone is determined by its active tasks.
     fn place_beside_others(
         &mut self,
         now: Time,
         id: &JobId,
-        held: &BTreeSet<Host>,
+        reserved: &BTreeSet<Host>,
         order: &Order,
-        until: u64,
+        score_limit: u64,
     ) -> (Option<Shortage>, bool) {
         let turn = Turn {
             job: id.clone(),
             max_tasks: None,
             boosted: false,
         };
-        let mut plan = self.plan(now, &[turn], held, order, until);
+        let mut plan = self.plan(now, &[turn], reserved, order, score_limit);
         for (id, host) in plan.starts {
             self.start(now, &id, &host, None);
         }
         (plan.short.pop(), plan.served > 0)
     }
 
-    /// Serves the jobs in this order, as far as room and quota go.
+    /// Plans the starts of the jobs in this order, as far as free resources and quota
+    /// allow.
     fn plan(
         &self,
         now: Time,
         turns: &[Turn],
-        held: &BTreeSet<Host>,
+        reserved: &BTreeSet<Host>,
         order: &Order,
-        until: u64,
+        score_limit: u64,
     ) -> Plan {
         if turns.is_empty() {
             return Plan::default();
         }
-        let mut planner = Planner::new(self, now, turns, held, order);
+        let mut planner = Planner::new(self, now, turns, reserved, order);
         for turn in turns {
-            if self.judged.get() >= until {
+            if self.judged.get() >= score_limit {
                 break;
             }
             planner.serve(turn);
@@ -191,7 +211,7 @@
         planner.plan
     }
 
-    /// The tests hold the pass against the plain computation.
+    /// Whether `choose` selects this machine, too; checks the pass in debug builds.
     fn matches_choose(
         &self,
         now: Time,
@@ -206,49 +226,52 @@
         plain.as_ref() == Some(&m.host)
     }
 
-    /// The machine for one task, judged from scratch.
+    /// The machine for one task, computed from scratch.
     pub(super) fn choose(
         &self,
         now: Time,
         id: &JobId,
-        held: &BTreeSet<Host>,
+        reserved: &BTreeSet<Host>,
         order: &Order,
     ) -> Option<Host> {
-        let j = self.jobs.get(id)?;
-        let fresh = self.max_heartbeat_age();
-        let view = JobView::of(self, now, j, order, self.fleet.can_rent(now));
-        let zones = AllowedZones::of(self, j);
-        let spare = self.free_above_headroom(now);
+        let job = self.jobs.get(id)?;
+        let max_age = self.max_heartbeat_age();
+        let view = JobView::of(self, now, job, order, self.fleet.can_rent(now));
+        let allowed_zones = AllowedZones::of(self, job);
+        let free = self.free_above_headroom(now);
         let mut best: Option<(Score, &Machine)> = None;
-        for m in self.machines.values() {
-            if !m.open(now, fresh) {
+        for machine in self.machines.values() {
+            if !machine.open(now, max_age) {
                 continue;
             }
-            if !view.may_use(&spare, m.spot, 0) {
+            if !view.may_use(&free, machine.spot, 0) {
                 continue;
             }
-            if !zones.contains(&m.zone) {
+            if !allowed_zones.contains(&machine.zone) {
                 continue;
             }
-            let (free, span) = (m.free(), m.remaining(now));
-            let kept = held.contains(&m.host);
-            let c = Candidate {
-                machine: m,
+            let (free, span) = (machine.free(), machine.remaining(now));
+            let kept = reserved.contains(&machine.host);
+            let candidate = Candidate {
+                machine: machine,
                 free,
                 remaining: span,
                 reserved: kept,
             };
-            let Some(score) = view.score(&c) else {
+            let Some(score) = view.score(&candidate) else {
                 continue;
             };
-            if best.as_ref().is_none_or(|(b, _)| score < *b) {
-                best = Some((score, m));
+            if best
+                .as_ref()
+                .is_none_or(|(best_score, _)| score < *best_score)
+            {
+                best = Some((score, machine));
             }
         }
-        best.map(|(_, m)| m.host.clone())
+        best.map(|(_, machine)| machine.host.clone())
     }
 
-    /// A machine that has been silent for longer takes nothing new.
+    /// A machine whose last heartbeat is older takes no new tasks.
     pub(super) fn max_heartbeat_age(&self) -> Span {
         Span::secs(self.cfg.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_S)
     }
@@ -256,29 +279,35 @@
     pub(super) fn start(&mut self, now: Time, id: &JobId, host: &Host, attempt: Option<Attempt>) {
         let attempt = attempt.unwrap_or_else(|| self.next_attempt());
         let wall = self.wall;
-        let Some(j) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(ix) = j.take_pending() else { return };
-        let est = estimate::of(j);
-        let part = j.part_of(ix);
-        let quick = self.quick.contains(&j.spec.class);
-        self.books.task_started(id, ix);
-        let purpose = if quick { Purpose::Now } else { Purpose::Start };
+        let Some(task) = job.take_pending() else {
+            return;
+        };
+        let expected = estimate::of(job);
+        let record_part = job.part_of(task);
+        let is_quick = self.quick.contains(&job.spec.class);
+        self.books.task_started(id, task);
+        let purpose = if is_quick {
+            Purpose::Now
+        } else {
+            Purpose::Start
+        };
         let machine = self.machines.get(host);
         let place = machine.map(|m| AttemptPlace {
             zone: m.zone.clone(),
             build: m.build.clone(),
             spot: m.spot,
         });
-        let ver = j.touch(part, &mut self.dirty, purpose);
-        j.live.insert(
-            ix,
+        let version = job.touch(record_part, &mut self.dirty, purpose);
+        job.live.insert(
+            task,
             Live {
                 attempt,
                 host: host.clone(),
                 place,
-                ver,
+                ver: version,
                 phase: Phase::Placed,
                 placed: now,
                 placed_wall: wall,
@@ -290,40 +319,40 @@
                 timed_out: false,
             },
         );
-        self.teams.add(&j.spec.team, &j.need);
+        self.teams.add(&job.spec.team, &job.need);
         let mut holds_image = false;
         if let Some(m) = self.machines.get_mut(host) {
-            holds_image = m.has_image(&j.spec.image);
-            m.used += j.need;
-            let slot = Slot {
-                need: j.need,
+            holds_image = m.has_image(&job.spec.image);
+            m.used += job.need;
+            let allocation = Slot {
+                need: job.need,
                 start: now,
-                estimate: est,
-                endless: est == ENDLESS,
-                image: j.spec.image.clone(),
+                estimate: expected,
+                endless: expected == ENDLESS,
+                image: job.spec.image.clone(),
             };
-            m.slots.insert(task_id(id, ix), slot);
+            m.slots.insert(task_id(id, task), allocation);
         }
         self.unsent.insert(host.clone());
-        tracing::debug!(job = %id, class = %j.spec.class, task = %ix, %host, holds_image, "placed");
+        tracing::debug!(job = %id, class = %job.spec.class, task = %task, %host, holds_image, "placed");
     }
 }
 
-/// Serves jobs in their order, and keeps account of what is left for the next.
+/// Serves the turns in their order, and keeps account of what is left for the next.
 struct Planner<'a> {
     sched: &'a Sched,
     now: Time,
     order: &'a Order,
     held: &'a BTreeSet<Host>,
     can_rent: bool,
-    /// More waits than there is room for: all of it fills up, and the image decides
+    /// More is requested than is free: all machines fill up, so that the image decides
     /// first; otherwise that would spoil the best fit.
     crowded: bool,
     candidates: Vec<Candidate<'a>>,
     spare: FreeCapacity,
-    /// What the teams may still take.
+    /// The remaining quota of each team.
     quota: BTreeMap<&'a Team, Resources>,
-    /// Tasks of each job that were placed in earlier turns.
+    /// The number of tasks of each job that were placed in earlier turns.
     placed: BTreeMap<&'a JobId, i64>,
     plan: Plan,
 }
@@ -377,18 +406,18 @@
         self.quota
             .insert(team, left.minus(&job.need.scaled(placed)));
         self.placed.insert(&turn.job, placed_before + placed);
-        // What is lifted has another turn, and is short only then.
+        // A boosted job has another turn, and is reported as short only then.
         if placed < wanted && turn.max_tasks.is_none() {
             let short = Shortage::anywhere(&turn.job, wanted - placed);
             self.plan.short.push(short);
         }
     }
 
-    /// Places up to so many tasks of a job; answers how many found room.
+    /// Places up to `wanted` tasks of a job; returns how many were placed.
     fn place_tasks(&mut self, turn: &Turn, job: &Job, wanted: i64) -> i64 {
         let mut view = JobView::of(self.sched, self.now, job, self.order, self.can_rent);
         view.image_first |= self.crowded;
-        // Room kept for quick classes is for them, and for who is below the floor.
+        // Headroom is for quick classes, and for boosted jobs.
         let may_take =
             |spare: &FreeCapacity, spot, placed| turn.boosted || view.may_use(spare, spot, placed);
         if wanted <= 0 || !may_take(&self.spare, true, 0) {
@@ -405,7 +434,7 @@
             }
             debug_assert!(
                 self.matches_choose(turn, self.candidates[i].machine),
-                "{}: the pass and the plain choice differ",
+                "{}: pass and choose selected different machines",
                 turn.job
             );
             self.plan_start(&turn.job, job, view.estimate, i);
@@ -417,7 +446,7 @@
         placed
     }
 
-    /// The candidates that suit a job, the best on top.
+    /// The suitable candidates for a job, the best on top.
     fn scores(&self, job: &Job, view: &JobView) -> BinaryHeap<Reverse<(Score, usize)>> {
         let zones = AllowedZones::of(self.sched, job);
         let candidates = self.candidates.iter().enumerate();
@@ -426,7 +455,7 @@
         scores.collect::<Vec<_>>().into()
     }
 
-    /// A task of the job will start there.
+    /// Plans the start of a task of the job on this candidate.
     fn plan_start(&mut self, id: &JobId, job: &Job, estimate: Span, i: usize) {
         let candidate = &mut self.candidates[i];
         candidate.free -= job.need;
@@ -439,8 +468,8 @@
         self.plan.starts.push((id.clone(), host));
     }
 
-    /// The first start of a pass is the one that a single task would choose, where
-    /// nothing but the fit decides.
+    /// Whether the choice agrees with `choose`. Only the first start of a pass is
+    /// compared, and only where nothing but the fit decides.
     fn matches_choose(&self, turn: &Turn, machine: &Machine) -> bool {
         !self.plan.starts.is_empty()
             || self.crowded
@@ -451,7 +480,7 @@
     }
 }
 
-/// The machines that have room, but for those kept free for a gang.
+/// The machines with free CPUs, except those reserved for a gang.
 fn candidates<'a>(sched: &'a Sched, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
     let fresh = sched.max_heartbeat_age();
     let mut candidates = vec![];
@@ -484,23 +513,23 @@
     estimate: Span,
     max_spread: Span,
     quick: bool,
-    /// It has waited for as long as any of these rules may make it wait.
+    /// It has waited for as long as any rule may delay it.
     waited_too_long: bool,
-    /// And nothing of it has started meanwhile.
+    /// It has waited that long, and none of its tasks started meanwhile.
     waited_without_start: bool,
-    /// A machine that holds the image comes before a better fit.
+    /// A machine that has the image comes before a better fit.
     image_first: bool,
     scored: &'a Cell<u64>,
     can_rent: bool,
-    /// Every machine there is has failed the job: none is avoided.
+    /// Every machine has failed the job: none is avoided.
     failed_all: bool,
-    /// The next aim for waiting is met by what runs by then.
+    /// A task that runs by then meets the next waiting objective.
     start_by: Option<Time>,
-    /// Work that may go elsewhere leaves plain machines to what may not.
+    /// A job that may use spot machines leaves ordinary ones to jobs that may not.
     avoids_ordinary: bool,
-    /// A gang waits for whole plain machines, and may have them soon.
+    /// A gang waits for whole ordinary machines, and may get them soon.
     gang_is_waiting: bool,
-    /// Spot machines for it can be rented.
+    /// Spot machines for the job can be rented.
     can_rent_spot: bool,
 }
 
@@ -526,7 +555,7 @@
             waited_without_start: j.waited_without_start(now),
             image_first: quick,
             scored: &s.judged,
-            // What can't wait for a machine to boot does not rent one.
+            // Jobs that can't wait for a machine to boot don't rent one.
             can_rent: can_rent && !quick && !j.waited_too_long(now),
             failed_all: j.error_hosts.len() >= s.machines.len(),
             start_by: s.start_by(now, j, order.is_within_guarantee(j.id())),
@@ -536,15 +565,17 @@
         }
     }
 
-    /// Room that is kept for quick classes is not for others, but for a single task
-    /// of who is stalled; `got`: tasks that this pass has placed.
+    /// Whether the job may use capacity of a machine, `spot` or ordinary, as far as
+    /// headroom is concerned: headroom is for quick classes, and for a single task of a
+    /// job that waited too long without a start. `placed` is the number of its tasks
+    /// that this pass has placed.
     fn may_use(&self, spare: &FreeCapacity, spot: bool, got: i64) -> bool {
         self.quick
             || self.waited_without_start && got == 0
             || spare.covers_task(&self.job.need, spot)
     }
 
-    /// How well the machine suits, if it may be taken at all.
+    /// How well the machine suits; none if it may not be used at all.
     pub(super) fn score(&self, c: &Candidate) -> Option<Score> {
         let j = self.job;
         self.scored.set(self.scored.get() + 1);
@@ -554,19 +585,19 @@
         if c.reserved && !(self.waited_too_long && c.machine.reservation_expired(self.now)) {
             return None;
         }
-        // A machine that failed this job is not tried again soon.
+        // A machine on which this job failed is not tried again soon.
         if !(self.failed_all || self.waited_too_long) && j.error_hosts.contains(&c.machine.host) {
             return None;
         }
         let mut class = fit_class(c.remaining, self.estimate, self.max_spread);
-        // One that services hold open will not empty for a gang, but others do,
-        // unless what is lendable fills them up again and again.
+        // A machine that services keep in use will not empty for a gang. Others do,
+        // unless work for spot machines fills them up again and again.
         let empties = c.remaining.is_none_or(|(_, high)| high < ENDLESS);
         if self.gang_is_waiting && !self.waited_too_long && !c.machine.spot && empties {
             return None;
         }
-        // An empty plain machine costs several times what a spot one does, be
-        // it for work that needs one or until it is given back.
+        // An empty ordinary machine costs several times what a spot machine does,
+        // whether it is used by jobs that need one or stays up until it is returned.
         if self.can_rent_spot && !c.machine.spot && c.remaining.is_none() {
             class = LAST_RESORT;
         }
@@ -574,8 +605,8 @@
             return None;
         }
         let no_image = !c.machine.has_image(&j.spec.image);
-        // An image that is fetched for longer than an aim allows decides more
-        // than the fit: starts were late on machines that fitted best.
+        // A fetch that takes longer than the objective allows counts more than the fit;
+        // otherwise starts are late on machines that fit best.
         let late = no_image
             && self.start_by.is_some_and(|by| {
                 self.now
@@ -606,27 +637,27 @@
 fn fit_class(span: Option<(Span, Span)>, est: Span, delta: Span) -> u8 {
     match span {
         Some((low, high)) if high.max(est) - low.min(est) <= delta => 0,
-        // It stays up for so long anyway.
+        // The machine stays in use that long anyway.
         Some((_, high)) if high >= est => 1,
-        // Rented already and ready: costs what renting would, sooner.
+        // Rented already and ready: costs as much as renting, but starts sooner.
         None => 2,
-        // Only when nothing else has room.
+        // Only if nothing else has free resources.
         Some(_) => LAST_RESORT,
     }
 }
 
 const LAST_RESORT: u8 = 3;
-/// Smaller is better; fields count in this order.
+/// Smaller is better; fields are compared in this order.
 #[derive(Clone, Debug)]
 pub(super) struct Score {
     pub image_late: bool,
     class: u8,
     image_missing_first: bool,
     ordinary_avoided: bool,
-    /// It would take CPUs beside accelerators that it has no use for.
+    /// It would use CPUs beside accelerators that it does not need.
     strands_accelerators: bool,
-    /// The machine would have to stay up for longer: of those that pass the
-    /// spread check, one that stays up anyway costs nothing more.
+    /// The machine would have to stay in use longer. Of the machines that pass the
+    /// spread check, one that stays in use long enough anyway costs nothing more.
     extends_machine_use: bool,
     leftover_share: f64,
     image_missing: bool,
@@ -661,7 +692,7 @@
 }
 impl Eq for Score {}
 
-/// The job may run on this machine.
+/// Whether the constraints of the job allow this machine.
 pub(super) fn may_run_on(s: &JobSpec, m: &Machine) -> bool {
     s.builds.as_ref().is_none_or(|b| b.contains(&m.build))
         && s.zone.as_ref().is_none_or(|z| *z == m.zone)
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -14,28 +14,29 @@
 use crate::wire::user::{Kind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks stopped in one go; the next pass sees what came of it.
+/// Tasks stopped in one round; the next pass sees the effect.
 const MAX_STOPS: usize = 12;
-/// Tasks examined in one go, for all claims together.
+/// Tasks examined in one round, for all preemptors together.
 const MAX_EXAMINED: u32 = 40_000;
-/// A task that has run for this share of its estimate is let finish.
+/// A task that has run for this share of its estimate is allowed to finish.
 const NEARLY_DONE_SHARE: f64 = 0.85;
-/// Seconds of work that a task may lose to make room for what is not urgent.
+/// Seconds of work that a task may lose for a job that is not urgent.
 const MAX_CHEAP_LOSS_S: f64 = 6.0;
-/// The same for borrowed quota that its owner wants back.
+/// Seconds of work that a task on borrowed quota may lose when the owner of the quota
+/// needs it.
 const MAX_BORROWED_LOSS_S: f64 = 12.0;
-/// A job that made room waits so long before it starts anything.
+/// How long a preempted job waits before it starts tasks again.
 const PREEMPTED_BACKOFF: Span = Span(1_000_000);
-/// A start that is undone sooner did not count, in seconds.
+/// A task that has run for less than this does not count as started, in seconds.
 const MIN_RUN_S: f64 = 31.0;
 
 /// A task that might be stopped for some job.
 struct Victim<'a> {
-    /// Work that would be lost, in seconds of a CPU.
+    /// Work that would be lost, in CPU seconds.
     cost: f64,
-    /// The same in seconds.
+    /// Work that would be lost, in seconds.
     lost_s: f64,
-    /// Its start has counted, it saves, and little is lost.
+    /// The task has counted as started, saves checkpoints, and would lose little.
     cheap: bool,
     rank: &'a Rank,
     job: &'a Job,
@@ -44,15 +45,15 @@
     chosen: bool,
 }
 
-/// A job that found no room and may have some made.
+/// A job that lacks resources and may preempt tasks of others.
 struct Preemptor<'a> {
     now: Time,
     job: &'a Job,
     rank: &'a Rank,
-    /// Its team is within its guarantee.
+    /// The job is within the guarantee of its team.
     within_guarantee: bool,
     tasks: i64,
-    /// Zones in which its tasks may not be, given where the others are.
+    /// Zones in which its tasks may not start, given where the others are.
     excluded_zones: BTreeSet<&'a Zone>,
 }
 
@@ -77,7 +78,7 @@
     victims: Vec<Victim<'a>>,
     /// Positions of the victims that lose little.
     little_loss: Vec<usize>,
-    /// Positions among the victims, by machine.
+    /// Positions of the victims on each machine.
     on_machine: BTreeMap<&'a Host, Vec<usize>>,
     /// Resources of tasks that are being stopped already.
     stopping: Resources,
@@ -112,25 +113,25 @@
         }
     }
 
-    /// No more are chosen in this go.
+    /// Whether this round chooses no more tasks.
     fn is_full(&self) -> bool {
         self.stops.len() >= MAX_STOPS || self.examined > MAX_EXAMINED
     }
 
-    /// Chooses tasks to be stopped for a claim, until it has room.
-    fn serve(&mut self, claim: &Preemptor) {
-        // What is being stopped already makes room for the first claims.
-        let part = self.fleet_capacity.dominant_resource(&claim.job.need);
-        let asked = claim.job.need.scaled(claim.tasks);
-        let mut lacking = (part(&asked) - part(&self.stopping)).max(0);
+    /// Chooses tasks to stop for a preemptor, until it has enough resources.
+    fn serve(&mut self, preemptor: &Preemptor) {
+        // Tasks that are being stopped already make room for the first preemptors.
+        let resource = self.fleet_capacity.dominant_resource(&preemptor.job.need);
+        let asked = preemptor.job.need.scaled(preemptor.tasks);
+        let mut lacking = (resource(&asked) - resource(&self.stopping)).max(0);
         self.stopping = self.stopping.minus(&asked).at_least_zero();
-        let candidates = if claim.is_urgent() {
+        let candidates = if preemptor.is_urgent() {
             self.victims.len()
         } else {
             self.little_loss.len()
         };
         for position in 0..candidates {
-            let first = if claim.is_urgent() {
+            let first = if preemptor.is_urgent() {
                 position
             } else {
                 self.little_loss[position]
@@ -143,60 +144,62 @@
                 return;
             }
             let victim = &self.victims[first];
-            if victim.chosen || !self.sched.may_preempt(victim, claim, self.order) {
+            if victim.chosen || !self.sched.may_preempt(victim, preemptor, self.order) {
                 continue;
             }
-            for i in self.stops_to_fit(claim, first) {
-                lacking -= part(&self.victims[i].job.need);
-                self.stop(claim, i);
+            for i in self.stops_to_fit(preemptor, first) {
+                lacking -= resource(&self.victims[i].job.need);
+                self.stop(preemptor, i);
             }
         }
     }
 
-    /// Tasks on one machine, this one first, whose end lets a task of the claim begin
-    /// there; none if it would not.
-    fn stops_to_fit(&mut self, claim: &Preemptor, first: usize) -> Vec<usize> {
+    /// Tasks on one machine, the victim `first` among them, whose end lets a task of
+    /// the preemptor start there; empty if even all of them are not enough.
+    fn stops_to_fit(&mut self, preemptor: &Preemptor, first: usize) -> Vec<usize> {
         let machine = self.victims[first].machine;
         let beside = self.on_machine.get(&machine.host);
         let beside = beside.map_or(&[][..], |positions| positions);
         self.examined += beside.len() as u32;
-        let mut room = machine.free();
+        let mut free = machine.free();
         let mut stops = vec![];
-        if room.fits(&claim.job.need) {
-            // It is not for want of room that nothing of it begins here.
+        if free.fits(&preemptor.job.need) {
+            // Something other than a lack of resources keeps its tasks from starting
+            // here.
             return stops;
         }
         let others = beside.iter().copied().filter(|i| *i != first);
         for i in std::iter::once(first).chain(others) {
             let victim = &self.victims[i];
-            let may_stop = claim.is_urgent() || victim.loses_little();
-            if victim.chosen || !may_stop || !self.sched.may_preempt(victim, claim, self.order) {
+            let may_stop = preemptor.is_urgent() || victim.loses_little();
+            if victim.chosen || !may_stop || !self.sched.may_preempt(victim, preemptor, self.order)
+            {
                 continue;
             }
-            room += victim.job.need;
+            free += victim.job.need;
             stops.push(i);
-            if room.fits(&claim.job.need) {
+            if free.fits(&preemptor.job.need) {
                 return stops;
             }
         }
         vec![]
     }
 
-    fn stop(&mut self, claim: &Preemptor, i: usize) {
+    fn stop(&mut self, preemptor: &Preemptor, i: usize) {
         let victim = &mut self.victims[i];
         tracing::info!(job = %victim.job.id(), task = %victim.task, host = %victim.machine.host,
-            for_job = %claim.job.id(), class = %claim.job.spec.class, "preempted");
+            for_job = %preemptor.job.id(), class = %preemptor.job.spec.class, "preempted");
         victim.chosen = true;
         self.stops.push((victim.job.id().clone(), victim.task));
     }
 }
 
 impl Sched {
-    /// Stops tasks for those that found no room and have a right to it.
+    /// Stops tasks for jobs that lack resources and may preempt.
     pub(super) fn preempt(&mut self, now: Time, order: &Order) {
         for (id, task) in self.chosen_stops(now, order) {
             if let Some(job) = self.jobs.get_mut(&id) {
-                // Others first, or it takes the same room again.
+                // Other jobs go first; otherwise it takes the same resources again.
                 job.backoff_until = job.backoff_until.max(now + PREEMPTED_BACKOFF);
             }
             self.stop(now, &id, task, 0.0);
@@ -204,13 +207,13 @@
     }
 
     fn chosen_stops(&self, now: Time, order: &Order) -> Vec<(JobId, TaskIx)> {
-        let claims = self.preemptors(now, order);
-        if claims.is_empty() {
+        let preemptors = self.preemptors(now, order);
+        if preemptors.is_empty() {
             return vec![];
         }
         let mut selection = Selection::new(self, now, order);
-        for claim in &claims {
-            selection.serve(claim);
+        for preemptor in &preemptors {
+            selection.serve(preemptor);
             if selection.is_full() {
                 break;
             }
@@ -222,35 +225,35 @@
         if self.fleet.shortages.is_empty() {
             return vec![];
         }
-        let spare = self.free_above_headroom(now);
+        let free = self.free_above_headroom(now);
         let zones: BTreeSet<&Zone> = self.machines.values().map(|m| &m.zone).collect();
-        let short = self.fleet.shortages.iter();
-        let claims = short.filter_map(|short| self.preemptor(now, short, order, &spare, &zones));
-        claims.collect()
+        let shortages = self.fleet.shortages.iter();
+        let preemptors =
+            shortages.filter_map(|shortages| self.preemptor(now, shortages, order, &free, &zones));
+        preemptors.collect()
     }
 
-    /// The claim of a job that found no room, if it may have some made.
+    /// The preemptor for a job that lacks resources, if it may preempt.
     fn preemptor<'a>(
         &'a self,
         now: Time,
-        short: &Shortage,
+        shortage: &Shortage,
         order: &'a Order,
-        spare: &FreeCapacity,
+        free: &FreeCapacity,
         zones: &BTreeSet<&'a Zone>,
     ) -> Option<Preemptor<'a>> {
-        let job = self.jobs.get(&short.job)?;
-        let rank = order.rank(&short.job)?;
-        let within = order.is_within_guarantee(&short.job);
-        // A gang needs whole machines in one place: stopping a task here and there
-        // makes no room for it.
+        let job = self.jobs.get(&shortage.job)?;
+        let rank = order.rank(&shortage.job)?;
+        let within_guarantee = order.is_within_guarantee(&shortage.job);
+        // A gang needs whole machines in one place: stopping single tasks here and
+        // there does not help it.
         let is_gang = job.spec.kind == Kind::Gang;
-        if is_gang || job.priority() == Priority::Low && !within {
+        if is_gang || job.priority() == Priority::Low && !within_guarantee {
             return None;
         }
-        // Room that is kept for quick classes is not for the others;
-        // stopping tasks would only fill it up.
-        let quick = self.is_quick(&job.spec.class);
-        if !quick && !spare.has_no_shortage(&job.need, job.spec.spot) {
+        // Headroom is not for other classes: stopping tasks would only fill it up.
+        let is_quick = self.is_quick(&job.spec.class);
+        if !is_quick && !free.has_no_shortage(&job.need, job.spec.spot) {
             return None;
         }
         let allowed = AllowedZones::of(self, job);
@@ -259,16 +262,16 @@
             now,
             job,
             rank,
-            within_guarantee: within,
-            tasks: short.tasks,
+            within_guarantee: within_guarantee,
+            tasks: shortage.tasks,
             excluded_zones: closed.collect(),
         })
     }
 
-    /// Every task that could be stopped for anyone, and the resources of those that
-    /// are being stopped already.
+    /// The resources of all tasks that are being stopped already, and every task that
+    /// could be stopped for some job.
     fn stoppable<'a>(&'a self, now: Time, order: &'a Order) -> (Resources, Vec<Victim<'a>>) {
-        let fresh = self.max_heartbeat_age();
+        let max_age = self.max_heartbeat_age();
         let mut stopping = Resources::default();
         let mut victims = vec![];
         for job in self.jobs.values().filter(|job| !job.live.is_empty()) {
@@ -287,10 +290,10 @@
                     _ => 0.0,
                 };
                 let is_array = job.spec.kind == Kind::Array;
-                // What was set aside for it is not taken away again.
+                // Tasks started from the reserved share are protected.
                 let guarded = self.books.is_protected(&task_id(job.id(), *task));
                 let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
-                if guarded || !is_array || nearly_done || !machine.open(now, fresh) {
+                if guarded || !is_array || nearly_done || !machine.open(now, max_age) {
                     continue;
                 }
                 victims.push(Victim::new(job, *task, ran_s, rank, machine));
@@ -299,26 +302,28 @@
         (stopping, victims)
     }
 
-    /// A task may be stopped for work of higher priority, or if its team has
-    /// borrowed beyond its guarantee and the other is within its own.
-    fn may_preempt(&self, victim: &Victim, claim: &Preemptor, order: &Order) -> bool {
-        if claim.excluded_zones.contains(&victim.machine.zone) {
+    /// Whether the victim may be stopped for the preemptor: for a job of higher
+    /// priority, or if the victim's team has borrowed beyond its guarantee and the
+    /// preemptor is within its own.
+    fn may_preempt(&self, victim: &Victim, preemptor: &Preemptor, order: &Order) -> bool {
+        if preemptor.excluded_zones.contains(&victim.machine.zone) {
             return false;
         }
-        // Room left by one that is served earlier would go back to it.
-        if victim.rank <= claim.rank {
+        // Resources left by a job that is served earlier would go back to it.
+        if victim.rank <= preemptor.rank {
             return false;
         }
-        let (theirs, ours) = (&victim.job.spec, &claim.job.spec);
-        let (their_priority, our_priority) = (victim.job.priority(), claim.job.priority());
+        let (theirs, ours) = (&victim.job.spec, &preemptor.job.spec);
+        let (their_priority, our_priority) = (victim.job.priority(), preemptor.job.priority());
         let lower = their_priority > our_priority;
-        if lower && (claim.is_urgent() || victim.cheap) {
+        if lower && (preemptor.is_urgent() || victim.cheap) {
             return may_run_on(ours, victim.machine);
         }
-        // What is fetched for longer than is lost for nothing gains nobody time.
+        // If the fetch of the image takes longer than the work that is lost, nobody
+        // gains time.
         let machine = victim.machine;
-        let fetch = machine.fetch_time(claim.now, &ours.image, ours.image_gb);
-        claim.within_guarantee
+        let fetch = machine.fetch_time(preemptor.now, &ours.image, ours.image_gb);
+        preemptor.within_guarantee
             && victim.lost_s < MAX_BORROWED_LOSS_S
             && fetch.as_secs() < MAX_BORROWED_LOSS_S
             && theirs.team != ours.team
@@ -343,8 +348,8 @@
         Victim {
             cost: lost * job.spec.cpus,
             lost_s: lost,
-            // For what is not urgent only those stop that lose little,
-            // and whose start has counted.
+            // For jobs that are not urgent, only tasks are stopped that lose little and
+            // that have counted as started.
             cheap: saves && lost < MAX_CHEAP_LOSS_S && ran_s > MIN_RUN_S,
             rank,
             job,
--- a/src/sched/resources.rs
+++ b/src/sched/resources.rs
@@ -1,4 +1,5 @@
-//! Amounts of a machine, in thousandths, so that sums stay exact.
+//! Amounts of CPUs, accelerators and memory, in thousandths of a unit so that sums stay
+//! exact.
 
 use crate::wire::cloud::Flavor;
 use crate::wire::user::{JobSpec, MAX_TASKS};
@@ -12,10 +13,10 @@
     pub mem: i64,
 }
 
-/// Far above any sum of tasks, and far from the end of the range.
+/// Stands for no limit: far above any sum of task needs, and far from overflow.
 const UNLIMITED: i64 = i64::MAX / 4;
-/// A submission may name any amount. More than that is no more than this, so that all
-/// tasks of a job together stay within what is unlimited.
+/// A submission may name any amount. Larger ones are capped here, so that the sum over
+/// all tasks of a job stays within [`UNLIMITED`].
 const MAX_PER_TASK: i64 = UNLIMITED / MAX_TASKS as i64;
 
 fn to_milli_ceil(v: f64) -> i64 {
@@ -27,27 +28,27 @@
 }
 
 impl Resources {
-    /// What one task of the job takes, rounded up.
-    pub fn of_task(s: &JobSpec) -> Resources {
+    /// The need of one task of the job, rounded up.
+    pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
-            cpu: to_milli_ceil(s.cpus).min(MAX_PER_TASK),
-            gpu: to_milli_ceil(s.gpus).min(MAX_PER_TASK),
-            mem: to_milli_ceil(s.memory_gb).min(MAX_PER_TASK),
+            cpu: to_milli_ceil(spec.cpus).min(MAX_PER_TASK),
+            gpu: to_milli_ceil(spec.gpus).min(MAX_PER_TASK),
+            mem: to_milli_ceil(spec.memory_gb).min(MAX_PER_TASK),
         }
     }
-    /// What a machine offers, rounded down.
-    pub fn of_machine_type(f: &Flavor) -> Resources {
+    /// The capacity of a machine, rounded down.
+    pub fn of_machine_type(flavor: &Flavor) -> Resources {
         Resources {
-            cpu: to_milli_floor(f.cpus),
-            gpu: to_milli_floor(f.gpus),
-            mem: to_milli_floor(f.memory_gb),
+            cpu: to_milli_floor(flavor.cpus),
+            gpu: to_milli_floor(flavor.gpus),
+            mem: to_milli_floor(flavor.memory_gb),
         }
     }
-    /// A team's limit on CPUs and accelerators; memory has none, nor has a
-    /// part that is given as 0: where only accelerators were limited, every
-    /// job was once refused for its CPUs.
+    /// A team's limit on CPUs and accelerators. Memory is unlimited, and so is an
+    /// amount given as 0: otherwise a team with a limit on accelerators alone has every
+    /// job refused for its CPUs.
     pub fn limit(cpus: f64, gpus: f64) -> Resources {
-        let part = |v: f64| {
+        let amount = |v: f64| {
             if v > 0.0 {
                 to_milli_floor(v)
             } else {
@@ -55,8 +56,8 @@
             }
         };
         Resources {
-            cpu: part(cpus),
-            gpu: part(gpus),
+            cpu: amount(cpus),
+            gpu: amount(gpus),
             mem: UNLIMITED,
         }
     }
@@ -65,39 +66,40 @@
     }
     /// How many tasks of this need fit.
     pub fn tasks_that_fit(&self, need: &Resources) -> i64 {
-        let one = |have: i64, n: i64| match n {
+        let fitting = |have: i64, need: i64| match need {
             0 if have >= 0 => i64::MAX,
             0 => 0,
-            _ => have.max(0) / n,
+            _ => have.max(0) / need,
         };
-        one(self.cpu, need.cpu)
-            .min(one(self.gpu, need.gpu))
-            .min(one(self.mem, need.mem))
+        fitting(self.cpu, need.cpu)
+            .min(fitting(self.gpu, need.gpu))
+            .min(fitting(self.mem, need.mem))
             .min(1_000_000)
     }
-    /// The first part, by its name for users, that this has too little of.
+    /// The first resource, by its name in submissions, of which this has less than
+    /// `need`.
     pub fn first_lacking(&self, need: &Resources) -> Option<&'static str> {
-        let parts = [
+        let amounts = [
             ("Vcpus", self.cpu, need.cpu),
             ("Accelerators", self.gpu, need.gpu),
             ("RamGb", self.mem, need.mem),
         ];
-        let short = parts.into_iter().find(|(_, have, need)| have < need);
-        short.map(|(name, ..)| name)
+        let lacking = amounts.into_iter().find(|(_, have, need)| have < need);
+        lacking.map(|(name, ..)| name)
     }
-    pub fn scaled(&self, n: i64) -> Resources {
+    pub fn scaled(&self, factor: i64) -> Resources {
         Resources {
-            cpu: self.cpu * n,
-            gpu: self.gpu * n,
-            mem: self.mem * n,
+            cpu: self.cpu * factor,
+            gpu: self.gpu * factor,
+            mem: self.mem * factor,
         }
     }
-    pub fn scaled_f64(&self, n: f64) -> Resources {
-        let one = |v: i64| (v as f64 * n) as i64;
+    pub fn scaled_f64(&self, factor: f64) -> Resources {
+        let scale = |v: i64| (v as f64 * factor) as i64;
         Resources {
-            cpu: one(self.cpu),
-            gpu: one(self.gpu),
-            mem: one(self.mem),
+            cpu: scale(self.cpu),
+            gpu: scale(self.gpu),
+            mem: scale(self.mem),
         }
     }
     pub fn at_least_zero(self) -> Resources {
@@ -107,12 +109,15 @@
             mem: self.mem.max(0),
         }
     }
-    /// There is enough of each part that is asked for.
+    /// Whether there is enough of each resource that is needed; resources that are not
+    /// needed may be short.
     pub fn covers(&self, need: &Resources) -> bool {
-        let one = |have: i64, n: i64| n <= 0 || have >= n;
-        one(self.cpu, need.cpu) && one(self.gpu, need.gpu) && one(self.mem, need.mem)
+        let is_covered = |have: i64, need: i64| need <= 0 || have >= need;
+        is_covered(self.cpu, need.cpu)
+            && is_covered(self.gpu, need.gpu)
+            && is_covered(self.mem, need.mem)
     }
-    /// The part of which `need` takes the largest share of this.
+    /// Selects the resource of which `need` takes the largest share of this amount.
     pub fn dominant_resource(&self, need: &Resources) -> fn(&Resources) -> i64 {
         let share = |n: i64, of: i64| n as f64 / of.max(1) as f64;
         let cpu = share(need.cpu, self.cpu);
@@ -125,34 +130,34 @@
             |r| r.mem
         }
     }
-    pub fn minus(mut self, o: &Resources) -> Resources {
-        self -= *o;
+    pub fn minus(mut self, other: &Resources) -> Resources {
+        self -= *other;
         self
     }
-    /// Share of `whole` that is left of what was asked for, by the part of
-    /// which most is left.
+    /// The largest share of `whole` that this is, over the resources in `asked`.
     pub fn largest_free_share(&self, whole: &Resources, asked: &Resources) -> f64 {
-        let one = |left: i64, n: i64| if n > 0 { left } else { 0 };
+        let if_asked = |left: i64, n: i64| if n > 0 { left } else { 0 };
         let left = Resources {
-            cpu: one(self.cpu, asked.cpu),
-            gpu: one(self.gpu, asked.gpu),
-            mem: one(self.mem, asked.mem),
+            cpu: if_asked(self.cpu, asked.cpu),
+            gpu: if_asked(self.gpu, asked.gpu),
+            mem: if_asked(self.mem, asked.mem),
         };
         left.dominant_share_of(whole)
     }
-    /// Share of `whole` that this is, by the part of which there is least.
+    /// The smallest share of `whole` that this is, over all resources.
     pub fn smallest_share_of(&self, whole: &Resources) -> f64 {
-        let one = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 1.0 };
-        one(self.cpu, whole.cpu)
-            .min(one(self.gpu, whole.gpu))
-            .min(one(self.mem, whole.mem))
+        let share = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 1.0 };
+        share(self.cpu, whole.cpu)
+            .min(share(self.gpu, whole.gpu))
+            .min(share(self.mem, whole.mem))
     }
-    /// Share of `whole` that this is, by its scarcest part.
+    /// The dominant share: the largest share of `whole` that this is, over all
+    /// resources.
     pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
-        let one = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 0.0 };
-        one(self.cpu, whole.cpu)
-            .max(one(self.gpu, whole.gpu))
-            .max(one(self.mem, whole.mem))
+        let share = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 0.0 };
+        share(self.cpu, whole.cpu)
+            .max(share(self.gpu, whole.gpu))
+            .max(share(self.mem, whole.mem))
     }
 }
 
@@ -165,17 +170,17 @@
 }
 
 impl AddAssign for Resources {
-    fn add_assign(&mut self, o: Resources) {
-        self.cpu += o.cpu;
-        self.gpu += o.gpu;
-        self.mem += o.mem;
+    fn add_assign(&mut self, other: Resources) {
+        self.cpu += other.cpu;
+        self.gpu += other.gpu;
+        self.mem += other.mem;
     }
 }
 
 impl SubAssign for Resources {
-    fn sub_assign(&mut self, o: Resources) {
-        self.cpu -= o.cpu;
-        self.gpu -= o.gpu;
-        self.mem -= o.mem;
+    fn sub_assign(&mut self, other: Resources) {
+        self.cpu -= other.cpu;
+        self.gpu -= other.gpu;
+        self.mem -= other.mem;
     }
 }
--- a/src/sched/wait_limits.rs
+++ b/src/sched/wait_limits.rs
@@ -1,54 +1,60 @@
-//! How long a job may wait while some machine has room for it. Several rules keep room
-//! from a job for the good of others: a rental that would suit it better, a machine
-//! that has failed it, room for quick classes, machines for a gang. Each of them is
-//! meant to be short, and none has an end of its own. A job that has waited for
-//! [`PATIENCE`] is bound by none of them, so that it is left waiting for no more
-//! than 90 s.
+//! Bounds on how long a job waits while some machine has resources for it. Several
+//! rules keep a job from free resources for the sake of others: a rental that would
+//! suit it better, a machine on which it failed, headroom for quick classes, machines
+//! reserved for a gang. Each is meant to delay a job briefly, but none has a time limit
+//! of its own. A job that has waited for [`MAX_RULE_WAIT`] is exempt from all of them,
+//! so that none of them delays it for more than 90 s.
 
 use super::Sched;
 use super::job::Job;
 use super::machine::{Machine, Slot};
 use crate::time::{Span, Time};
 
-/// A job that waits for longer takes any room that it may run on.
+/// A job that has waited for longer takes any resources that it may use.
 const MAX_RULE_WAIT: Span = Span(70_000_000);
-/// A machine is kept free for a gang for so long; then it is for who is overdue, too.
-/// Long enough for those to empty that the gang counts on.
+/// How long a machine is reserved for gangs only; after that, jobs that have waited too
+/// long may use it, too. Long enough for the machines to empty on which the gang
+/// counts.
 const MAX_GANG_RESERVATION: Span = Span(80_000_000);
-/// A faulty machine that can't be given back is tried again after so long.
+/// A quarantined machine that can't be returned is used again after this time.
 const QUARANTINE_TIME: Span = Span(60_000_000);
-/// A task that exceeds its estimate by more is not expected to end soon.
+/// A task that exceeds its estimate by more than this is not expected to end soon.
 const MAX_OVERRUN: Span = Span(60_000_000);
-/// A task of a job that failed everywhere works if it has run for so long.
+/// A task of a job that failed everywhere counts as healthy after running for this
+/// long.
 const HEALTHY_RUN_TIME: Span = Span(20_000_000);
 
 impl Job {
-    /// Some of it has waited for room for as long as it may.
+    /// Whether some task of the job has waited for resources for as long as it may.
     pub(super) fn waited_too_long(&self, now: Time) -> bool {
-        self.waiting_since.is_some_and(|t| now - t >= MAX_RULE_WAIT)
+        self.waiting_since
+            .is_some_and(|since| now - since >= MAX_RULE_WAIT)
     }
 
-    /// The same, and nothing of it was started meanwhile.
+    /// Whether the job has waited too long, and none of its tasks started meanwhile.
     pub(super) fn waited_without_start(&self, now: Time) -> bool {
-        let started = self.live.values().map(|l| l.placed).max();
-        self.waited_too_long(now) && started.is_none_or(|t| now - t >= MAX_RULE_WAIT)
+        let last_start = self.live.values().map(|live| live.placed).max();
+        self.waited_too_long(now) && last_start.is_none_or(|since| now - since >= MAX_RULE_WAIT)
     }
 
-    /// One of its tasks runs as it should, whatever failed before.
+    /// Whether one of its tasks has run long enough to count as healthy, whatever
+    /// failed before.
     pub(super) fn has_healthy_task(&self, now: Time) -> bool {
-        let since = self.live.values().filter_map(|l| l.running_since);
-        since.min().is_some_and(|t| now - t >= HEALTHY_RUN_TIME)
+        let since = self.live.values().filter_map(|live| live.running_since);
+        since
+            .min()
+            .is_some_and(|since| now - since >= HEALTHY_RUN_TIME)
     }
 }
 
 impl Machine {
-    /// It has been kept free for gangs for as long as it may be.
+    /// Whether the machine has been reserved for gangs for as long as it may be.
     pub(super) fn reservation_expired(&self, now: Time) -> bool {
         self.kept_since
-            .is_some_and(|t| now - t >= MAX_GANG_RESERVATION)
+            .is_some_and(|since| now - since >= MAX_GANG_RESERVATION)
     }
 
-    /// It is put aside no longer; the next error puts it aside again.
+    /// Ends the quarantine after [`QUARANTINE_TIME`]; the next error starts it again.
     pub(super) fn end_quarantine(&mut self, now: Time) {
         if self.quarantined && now - self.quarantined_at >= QUARANTINE_TIME {
             self.quarantined = false;
@@ -58,23 +64,24 @@
 }
 
 impl Slot {
-    /// The task is expected to end within that time.
+    /// Whether the task is expected to end within that time.
     pub(super) fn ends_within(&self, now: Time, within: Span) -> bool {
         self.remaining(now) < within && !self.overran_estimate(now)
     }
 
-    /// It has exceeded its estimate for so long that its end is not to be foreseen.
+    /// Whether the task has exceeded its estimate for so long that its end can't be
+    /// predicted.
     pub(super) fn overran_estimate(&self, now: Time) -> bool {
         now - self.start > self.estimate + MAX_OVERRUN
     }
 }
 
 impl Sched {
-    /// Since when each job waits.
+    /// Updates the time since which each job has waited.
     pub(super) fn update_waiting_since(&mut self, now: Time) {
-        for j in self.jobs.values_mut() {
-            j.waiting_since = match j.pending() > 0 {
-                true => j.waiting_since.or(Some(now)),
+        for job in self.jobs.values_mut() {
+            job.waiting_since = match job.pending() > 0 {
+                true => job.waiting_since.or(Some(now)),
                 false => None,
             };
         }
