--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -1,4 +1,5 @@
-//! Which machines are rented, watched, returned and written off.
+//! Fleet management: renting machines, watching their heartbeats, returning them and
+//! writing them off.
 
 mod rent;
 
@@ -13,33 +14,36 @@
 use hookworks_job_lifecycle::Failure;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A machine costs at least this long.
+/// The shortest time for which a machine is billed.
 const MIN_PAID_TIME: Span = Span(60_000_000);
-/// Unreachable machines are returned one in so long: many at a time are likely to be a
-/// matter of the network.
+/// Unreachable machines are returned one per interval: many at a time are likely to be
+/// a network fault.
 const UNREACHABLE_RETURN_INTERVAL: Span = Span(2_000_000);
-/// A worker whose controller has lost the leader reports elsewhere after so long.
+/// A worker whose controller has lost the leader sends its heartbeats through another
+/// controller after this time.
 const REROUTE_TIMEOUT: Span = Span(8_000_000);
-/// Errors in a row that quarantine a machine.
+/// Consecutive errors that quarantine a machine.
 const MAX_ERRORS_IN_A_ROW: u32 = 2;
-/// A machine whose task failed gets no new one for so long.
+/// A machine on which a task failed gets no new task for this time.
 const FAILED_TASK_BACKOFF: Span = Span(5_000_000);
-/// A job that fails everywhere starts nothing for so long, and twice that after every
-/// few more errors, up to eight times: short enough that it is not left waiting once
-/// the cause is mended.
+/// Backoff of a job that fails everywhere. It doubles after every few more errors, up
+/// to eight times this value: short enough that the job restarts soon after the cause
+/// is fixed.
 const FAILING_JOB_BACKOFF_S: f64 = 5.0;
 const ERRORS_PER_DOUBLING: u32 = 3;
 const MAX_DOUBLINGS: u32 = 3;
-/// A machine that was to be taken and has been silent for so long has been taken.
+/// A machine that the cloud announced to reclaim counts as reclaimed after this time
+/// without a heartbeat.
 const RECLAIMED_AFTER_SILENCE: Span = Span(4_500_000);
-/// A machine of an unknown type boots for so long.
+/// The boot time assumed for a machine of an unknown type.
 const DEFAULT_BOOT_S: f64 = 60.0;
 /// Machines returned in one request.
 const MAX_RETURNS_PER_REQUEST: usize = 100;
-/// A return is asked for again if no answer says that the machine is gone.
+/// A return request is repeated after this time if no answer confirms that the machine
+/// is gone.
 const RETURN_RETRY_INTERVAL: Span = Span(6_000_000);
 
-/// What can be asked of the cloud.
+/// The kind of a machine, as it is requested from the cloud.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct MachineKind {
     build: Build,
@@ -56,21 +60,21 @@
         }
     }
 
-    fn of_request(hire: &Hire) -> MachineKind {
+    fn of_request(request: &Hire) -> MachineKind {
         MachineKind {
-            build: hire.build.clone(),
-            zone: hire.zone.clone(),
-            spot: hire.spot,
+            build: request.build.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
         }
     }
 }
 
-/// Tasks of a job that found no room.
+/// Tasks of a job for which no free resources were found.
 #[derive(Clone, Debug)]
 pub struct Shortage {
     pub job: JobId,
     pub tasks: i64,
-    /// The only zone in which room is of use.
+    /// The only zone whose machines are of use, if there is one.
     pub zone: Option<Zone>,
 }
 
@@ -84,32 +88,32 @@
     }
 }
 
-/// A rental request that has no final answer yet.
+/// A rental request without a final answer yet.
 struct PendingRental {
-    hire: Hire,
-    /// When to send it again; none while it is under way.
+    request: Hire,
+    /// When to send the request again; none while it is in flight.
     retry_at: Option<Time>,
     retries: u32,
 }
 
-/// What is known of the fleet besides its machines.
+/// The state of the fleet besides its machines.
 pub struct Fleet {
     epoch: Epoch,
     last_request_number: u64,
-    /// Jobs with tasks that found no room though their team may run them.
+    /// Jobs with tasks that lack resources though their team's quota allows them.
     pub shortages: Vec<Shortage>,
     /// Rental requests by name.
     requests: BTreeMap<String, PendingRental>,
     /// When each kind of machine was last refused.
     refused: HashMap<MachineKind, Time>,
-    /// Machines that were returned for certain.
+    /// Machines whose return the cloud has confirmed.
     returned: HashSet<Host>,
-    /// When other controllers were last found out of reach.
+    /// When other controllers were last found unreachable.
     pub unreachable_controllers: HashMap<Label, Time>,
-    /// The sequence number of the first job that came in this term; those before it
-    /// were loaded.
+    /// The sequence number of the first job that was submitted under this leader; jobs
+    /// before it were loaded.
     pub first_submitted_seq: u64,
-    /// The next unreachable machine may be returned then.
+    /// The earliest time at which the next unreachable machine may be returned.
     return_unreachable_at: Time,
 }
 
@@ -128,25 +132,26 @@
         }
     }
 
-    /// Heartbeats by way of that controller may not have come through.
-    fn route_may_be_lost(&self, now: Time, via: &Option<Label>) -> bool {
-        let since = via
+    /// Whether heartbeats through that controller may have been lost.
+    fn route_may_be_lost(&self, now: Time, controller: &Option<Label>) -> bool {
+        let since = controller
             .as_ref()
             .and_then(|label| self.unreachable_controllers.get(label));
         since.is_some_and(|since| now - *since < REROUTE_TIMEOUT)
     }
 
-    /// Returned for certain: whatever still arrives from there is late.
+    /// Whether the return of the machine is confirmed: whatever still arrives from it
+    /// is late.
     pub fn is_returned(&self, host: &Host) -> bool {
         self.returned.contains(host)
     }
 
-    /// Rental requests without an answer yet.
+    /// The number of rental requests without a final answer.
     pub fn requests_in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Some kind of machine was not refused lately, or is on its way.
+    /// Whether some kind of machine was not refused recently, or is on its way.
     pub fn can_rent(&self, now: Time) -> bool {
         let mut refused = self.refused.keys();
         !self.requests.is_empty() || refused.all(|kind| !self.recently_refused(now, kind))
@@ -158,23 +163,26 @@
     }
 }
 
-/// What the silence of machines means at the moment.
+/// How missing heartbeats are judged at the moment.
 struct Silence {
-    /// Machines that are silent for longer have failed, as far as can be told.
+    /// Machines without a heartbeat for longer are presumed to have failed.
     limit: Span,
-    /// The same for those whose controller may not reach this one.
+    /// The same limit for machines whose controller may not reach this one.
     limit_route_lost: Span,
-    /// What was not heard while this process was suspended is no silence of theirs.
+    /// When this process last resumed after a suspension; heartbeats missed before do
+    /// not count.
     resumed_at: Time,
-    /// This leader has been there for long enough to have heard all machines.
+    /// This leader has led for long enough to have received heartbeats from all
+    /// machines.
     settled: bool,
-    /// It is long and of few enough machines to be no fault on our side.
+    /// Missing heartbeats are the machines' fault: this leader has led long enough, and
+    /// too few machines are silent for a fault on this side.
     is_machine_fault: bool,
 }
 
 impl Silence {
-    fn limit_for(&self, cut_off: bool) -> Span {
-        if cut_off {
+    fn limit_for(&self, route_may_be_lost: bool) -> Span {
+        if route_may_be_lost {
             self.limit_route_lost
         } else {
             self.limit
@@ -182,13 +190,13 @@
     }
 }
 
-/// A machine that has not come up by then will not.
+/// The time after which a machine that has not come up is given up.
 pub(super) fn boot_timeout(boot_s: f64) -> Span {
     Span::secs(boot_s * 2.5 + 10.0)
 }
 
 impl Sched {
-    /// Rents for what found no room, and returns what idles.
+    /// Rents machines for tasks that lack resources, and returns idle ones.
     pub(super) fn plan_fleet(&mut self, now: Time) {
         if !self.may_start(now) {
             return;
@@ -199,7 +207,7 @@
         self.request_returns(now);
     }
 
-    /// A page of the cloud's list of machines.
+    /// Processes a page of the cloud's list of machines.
     pub(super) fn machines_listed(&mut self, now: Time, list: Vec<Listed>) {
         let mut unexpected = 0;
         let mut unreported = vec![];
@@ -217,12 +225,15 @@
         }
         self.request_reports(now, unreported);
         if unexpected > 0 {
-            tracing::info!(machines = unexpected, "not expected but listed");
+            tracing::info!(
+                machines = unexpected,
+                "unexpected machines in the cloud's list"
+            );
         }
     }
 
     fn add_unexpected(&mut self, now: Time, listed: &Listed) {
-        tracing::debug!(host = %listed.host, status = %listed.status, "a machine that was not expected is listed");
+        tracing::debug!(host = %listed.host, status = %listed.status, "unexpected machine in the cloud's list");
         let token = self.base_token();
         let rented = Time(now.0.saturating_sub(Span::secs(listed.age_s).0));
         let (host, build, zone) = (&listed.host, listed.build.clone(), listed.zone.clone());
@@ -231,7 +242,7 @@
         self.machines.insert(host.clone(), machine);
     }
 
-    /// True if the machine runs and has not reported yet.
+    /// Updates a machine from the list; true if it runs and has not reported yet.
     fn update_listed(&mut self, now: Time, listed: &Listed) -> bool {
         let Some(machine) = self.machines.get_mut(&listed.host) else {
             return false;
@@ -251,110 +262,113 @@
         }
         self.fences.bound(machine);
         if listed.status == "failed" && !matches!(machine.life, Life::Leaving { .. }) {
-            tracing::info!(host = %machine.host, "stopped on its own, released");
+            tracing::info!(host = %machine.host, "machine failed in the cloud; returning it");
             machine.life = Life::Leaving { next: now };
         }
         listed.status == "running" && !machine.reported
     }
 
-    /// Until when the lease of a worker that we have just met may have been
-    /// renewed: an earlier leader may go on for a while after our beginning.
+    /// The latest time at which an earlier leader may have renewed the lease of a
+    /// worker that this leader has just met: an earlier leader may continue for a while
+    /// after this one began.
     pub(super) fn latest_lease_renewal(&self, now: Time) -> Time {
         now.max(self.began + self.cfg.report_grace())
     }
 
-    /// Machines that fell silent, never came up or are about to be taken.
+    /// Gives up machines without heartbeats and machines that never came up, and evicts
+    /// tasks from machines that are about to be reclaimed.
     pub(super) fn watch_machines(&mut self, now: Time) {
         self.look_at_zones(now);
-        let lease = self.lease_bound();
+        let lease_bound = self.lease_bound();
         let silence = self.silence(now);
-        let kept: HashSet<Zone> = self.kept_zones(now);
+        let kept_zones: HashSet<Zone> = self.kept_zones(now);
         let mut expired: Vec<Host> = vec![];
-        let mut evicted: Vec<TaskId> = vec![];
+        let mut to_evict: Vec<TaskId> = vec![];
         for machine in self.machines.values_mut() {
-            let zone_kept = kept.contains(&machine.zone);
+            let zone_kept = kept_zones.contains(&machine.zone);
             let has_worker = machine.life != Life::Booting;
             match machine.life {
                 Life::Booting => {
                     let boot_s = self.flavors.get(&machine.build).map(|f| f.boot_s);
                     let limit = boot_timeout(boot_s.unwrap_or(DEFAULT_BOOT_S));
-                    // A new leader has not heard from those that are up.
+                    // A new leader has not received a heartbeat yet from machines that
+                    // are up.
                     if now - machine.hired > limit && !zone_kept && silence.settled {
-                        tracing::info!(host = %machine.host, "never came up, released");
+                        tracing::info!(host = %machine.host, "machine did not come up in time; returning it");
                         machine.life = Life::Leaving { next: now };
                     }
                 }
                 Life::Up => {
                     machine.end_quarantine(now);
-                    // One that comes back has as long as any other to report.
+                    // After its zone returns, a machine has as long as any other to
+                    // report.
                     let returned = self.watch.zones.returned(&machine.zone);
-                    let heard = machine.heard.max(returned).max(silence.resumed_at);
-                    let cut_off = self.fleet.route_may_be_lost(now, &machine.via);
-                    let silent =
-                        now - heard > silence.limit_for(cut_off) && silence.is_machine_fault;
-                    let taken = machine.notice_until.is_some_and(|until| now > until)
-                        && now - heard > RECLAIMED_AFTER_SILENCE;
-                    if (silent && !zone_kept) || taken {
-                        tracing::info!(host = %machine.host, tasks = machine.slots.len(), "silent, released");
+                    let last_heartbeat = machine.heard.max(returned).max(silence.resumed_at);
+                    let route_may_be_lost = self.fleet.route_may_be_lost(now, &machine.via);
+                    let is_silent = now - last_heartbeat > silence.limit_for(route_may_be_lost)
+                        && silence.is_machine_fault;
+                    let is_reclaimed = machine.notice_until.is_some_and(|until| now > until)
+                        && now - last_heartbeat > RECLAIMED_AFTER_SILENCE;
+                    if (is_silent && !zone_kept) || is_reclaimed {
+                        tracing::info!(host = %machine.host, tasks = machine.slots.len(), "no heartbeat from machine; returning it");
                         machine.life = Life::Leaving { next: now };
                     }
                     if machine.notice_until.is_some() {
-                        evicted.extend(machine.slots.keys().cloned());
+                        to_evict.extend(machine.slots.keys().cloned());
                     }
                 }
                 Life::Leaving { .. } => {}
             }
-            if has_worker && now > machine.answered + lease {
+            if has_worker && now > machine.answered + lease_bound {
                 expired.push(machine.host.clone());
             }
         }
         for host in expired {
             self.worker_lease_expired(now, &host);
         }
-        for task in evicted {
+        for task in to_evict {
             self.evict(now, &task);
         }
     }
 
-    /// What the silence of machines means at the moment.
+    /// How missing heartbeats are judged at the moment.
     fn silence(&self, now: Time) -> Silence {
         let workers = &self.cfg.workers;
         let heartbeats_s = workers.report_s * 1.25 * 2.0 + 2.0;
         let share_of_lease_s = workers.lease_s * self.cfg.tuning.silent_share;
         let limit = Span::secs(share_of_lease_s.max(heartbeats_s));
-        // Zones in trouble are one matter, and machines that fall silent another.
+        // Machines of silent zones are judged by zone and not counted here.
         let watched = |machine: &&Machine| {
             machine.life == Life::Up && machine.certain && !self.watch.silent(&machine.zone)
         };
-        let awake = self.awake;
-        let is_silent = |machine: &&Machine| now - machine.heard.max(awake) > limit;
-        let all = self.machines.values().filter(watched).count();
-        let silent = self.machines.values().filter(watched).filter(is_silent);
-        // When most fall silent at once, the fault is likely on our side.
-        let is_ours = all > 2 && silent.count() * 2 > all;
-        let settled = now - self.began.max(awake) > limit;
+        let resumed_at = self.awake;
+        let is_silent = |machine: &&Machine| now - machine.heard.max(resumed_at) > limit;
+        let watched_count = self.machines.values().filter(watched).count();
+        let silent_machines = self.machines.values().filter(watched).filter(is_silent);
+        // If most machines are silent at once, the fault is likely on this side.
+        let is_own_fault = watched_count > 2 && silent_machines.count() * 2 > watched_count;
+        let settled = now - self.began.max(resumed_at) > limit;
         Silence {
             limit,
             limit_route_lost: limit.max(Span::secs(workers.lease_s)),
-            resumed_at: awake,
+            resumed_at,
             settled,
-            is_machine_fault: settled && !is_ours,
+            is_machine_fault: settled && !is_own_fault,
         }
     }
 
-    /// The worker's lease has expired by any clock, so its tasks are gone.
+    /// The worker's lease has expired by any clock, so its tasks have ended.
     fn worker_lease_expired(&mut self, now: Time, host: &Host) {
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
         machine.answered = now;
         machine.reported = false;
-        // An unreachable one, which reports all the same, is looked after in
-        // `return_idle`.
+        // An unreachable machine that still reports is handled in `return_idle`.
         let failed = machine.life == Life::Up && machine.unreachable_since.is_none();
         let zone = machine.zone.clone();
         let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
-        // A lost zone's machines are good for its next session, when it is back.
+        // The machines of a lost zone are kept for new sessions when the zone is back.
         if failed
             && !self.keeps_zone(now, &zone)
             && let Some(machine) = self.machines.get_mut(host)
@@ -363,15 +377,15 @@
         }
         self.watch.ended(&zone, tasks.len());
         if !tasks.is_empty() {
-            tracing::info!(%host, tasks = tasks.len(), "lease has run out, tasks restart");
+            tracing::info!(%host, tasks = tasks.len(), "worker lease expired; its tasks restart");
         }
         for task in tasks {
             self.gone_by(now, &task, Some(Failure::Lost), false);
         }
     }
 
-    /// Graceful eviction of a task from a machine that is about to be taken: it saves
-    /// while it can.
+    /// Evicts a task gracefully from a machine that is about to be reclaimed: the task
+    /// saves while it can.
     fn evict(&mut self, now: Time, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -391,7 +405,7 @@
         let saves = job.spec.checkpoint_s > 0.0 && live.phase == Phase::Running;
         let saves_now = saves && now + margin >= until;
         match kind {
-            // Moved while its machine still stands.
+            // A service is moved while its machine is still up.
             Kind::Service => self.stop(now, &task.job, task.ix, save_s + 1.0),
             Kind::Gang if saves_now => self.stop_gang(now, &task.job),
             Kind::Array if saves_now => self.stop(now, &task.job, task.ix, save_s + 1.0),
@@ -399,14 +413,14 @@
         }
     }
 
-    /// A task ended with an error: the machine's fault, or the job's?
+    /// A task ended with an error: decides whether the machine or the job is at fault.
     pub(super) fn task_failed(&mut self, now: Time, host: &Host, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         job.errors += 1;
         job.error_hosts.insert(host.clone());
-        let works_elsewhere = job.done_count > 0;
+        let done_elsewhere = job.done_count > 0;
         if job.fails_everywhere() {
             return self.job_fails_everywhere(now, &task.job);
         }
@@ -416,24 +430,25 @@
         machine.fails += 1;
         machine.fail_jobs.insert(task.job.clone());
         machine.rest_until = now + FAILED_TASK_BACKOFF;
-        let blamed = machine.fail_jobs.len() > 1 || works_elsewhere;
-        if machine.fails >= MAX_ERRORS_IN_A_ROW && blamed && !machine.quarantined {
-            tracing::info!(%host, fails = machine.fails, "quarantined");
+        let machine_at_fault = machine.fail_jobs.len() > 1 || done_elsewhere;
+        if machine.fails >= MAX_ERRORS_IN_A_ROW && machine_at_fault && !machine.quarantined {
+            tracing::info!(%host, fails = machine.fails, "machine quarantined after repeated errors");
             machine.quarantined = true;
             machine.quarantined_at = now;
             self.forgive(host);
         }
     }
 
-    /// The job fails on all machines, so that they are not to blame.
+    /// The job fails on all machines: backs it off, and clears its errors from the
+    /// machines.
     fn job_fails_everywhere(&mut self, now: Time, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let doublings = (job.errors / ERRORS_PER_DOUBLING).min(MAX_DOUBLINGS);
-        let pause = FAILING_JOB_BACKOFF_S * 2f64.powi(doublings as i32);
-        job.backoff_until = now + Span::secs(pause);
-        tracing::info!(job = %id, pause, "fails everywhere, backs off");
+        let backoff_s = FAILING_JOB_BACKOFF_S * 2f64.powi(doublings as i32);
+        job.backoff_until = now + Span::secs(backoff_s);
+        tracing::info!(job = %id, pause = backoff_s, "job fails on every machine; backing off");
         for machine in self.machines.values_mut() {
             if machine.fail_jobs.remove(id) && machine.fail_jobs.is_empty() {
                 machine.fails = 0;
@@ -442,9 +457,9 @@
         }
     }
 
-    /// Scale in: returns machines that idle or can't be used.
+    /// Scale in: returns machines that are idle or unusable.
     fn return_idle(&mut self, now: Time) {
-        let keep = self.headroom(now);
+        let headroom = self.headroom(now);
         let mut free = self.free_capacity(now);
         let is_idle = |machine: &&Machine| {
             let up = machine.life == Life::Up && machine.reported;
@@ -454,7 +469,7 @@
         let mut idle: Vec<(bool, Time, Host)> = idle
             .map(|machine| (machine.spot, machine.idle_since, machine.host.clone()))
             .collect();
-        // Ordinary machines cost more, so they go first.
+        // Ordinary machines cost more, so they are returned first.
         idle.sort();
         for (spot, _, host) in idle {
             let Some(machine) = self.machines.get(&host) else {
@@ -462,23 +477,27 @@
             };
             let mut unusable = machine.quarantined || machine.notice_until.is_some();
             if let Some(since) = machine.unreachable_since {
-                let long = now - since >= self.lease_bound() + self.lease_bound();
-                if !long || now < self.fleet.return_unreachable_at {
+                let silent_for_long = now - since >= self.lease_bound() + self.lease_bound();
+                if !silent_for_long || now < self.fleet.return_unreachable_at {
                     continue;
                 }
                 self.fleet.return_unreachable_at = now + UNREACHABLE_RETURN_INTERVAL;
                 unusable = true;
             }
             if !unusable {
-                let mut rest = free;
-                rest.take(&machine.capacity, spot);
-                let kept = !rest.all.covers(&keep.all) || !spot && !rest.plain.covers(&keep.plain);
-                if kept || !self.idle_timeout_expired(now, machine) || self.is_wanted(machine) {
+                let mut free_after = free;
+                free_after.take(&machine.capacity, spot);
+                let needed_for_headroom = !free_after.all.covers(&headroom.all)
+                    || !spot && !free_after.plain.covers(&headroom.plain);
+                if needed_for_headroom
+                    || !self.idle_timeout_expired(now, machine)
+                    || self.is_wanted(machine)
+                {
                     continue;
                 }
-                free = rest;
+                free = free_after;
             }
-            tracing::info!(%host, spot, "given back");
+            tracing::info!(%host, spot, "returning idle or unusable machine");
             if let Some(machine) = self.machines.get_mut(&host) {
                 machine.life = Life::Leaving { next: now };
             }
@@ -495,17 +514,17 @@
         now - machine.idle_since > Span::secs(limit_s) && now - machine.hired > MIN_PAID_TIME
     }
 
-    /// Some job without room could use the machine.
+    /// Whether some job that lacks resources could use the machine.
     fn is_wanted(&self, machine: &Machine) -> bool {
-        self.fleet.shortages.iter().any(|short| {
-            let job = self.jobs.get(&short.job);
-            let zone = short.zone.as_ref();
+        self.fleet.shortages.iter().any(|shortage| {
+            let job = self.jobs.get(&shortage.job);
+            let zone = shortage.zone.as_ref();
             job.is_some_and(|job| may_run_on(&job.spec, machine))
                 && zone.is_none_or(|zone| *zone == machine.zone)
         })
     }
 
-    /// Asks the cloud to take back the machines that leave.
+    /// Asks the cloud to take back the machines that are being returned.
     fn request_returns(&mut self, now: Time) {
         let mut hosts = vec![];
         for machine in self.machines.values_mut() {
@@ -522,8 +541,8 @@
         }
     }
 
-    /// The cloud's answer to a return; `ok`: the machines are gone for certain, and with
-    /// them what ran there.
+    /// The cloud's answer to a return request; `ok`: the return is confirmed, and with
+    /// it the end of all tasks on these machines.
     pub(super) fn machines_returned(&mut self, now: Time, hosts: Vec<Host>, ok: bool) {
         if !ok {
             return;
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -1,4 +1,5 @@
-//! Scale out: what is rented, of which kind and where; and what becomes of requests.
+//! Scale out: which machines are rented, of which kind and in which zone, and how
+//! rental requests are answered.
 
 use super::{MachineKind, PendingRental};
 use crate::ids::{Build, Host, Team, Zone};
@@ -10,32 +11,32 @@
 use crate::wire::cloud::{Flavor, Hire};
 use std::collections::BTreeMap;
 
-/// A kind of machine that was refused is not asked for again so soon.
+/// A kind of machine that was refused is not requested again for this time.
 pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
-/// The most machines in one request.
+/// The maximum number of machines in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// For less than this part of a machine none is rented.
+/// No machine is rented if less than this share of it is needed.
 const MIN_MACHINE_SHARE: f64 = 0.2;
-/// A request without an answer is repeated after a second, then after one more each
-/// time, up to this.
+/// A request without an answer is retried after one second, then with a delay that
+/// grows by one second each time, up to this maximum.
 const MAX_RETRY_DELAY_S: u32 = 5;
 
-/// Resources that are on their way, in machines of a kind.
+/// Capacity that is expected soon, in machines of one kind.
 #[derive(Default)]
 struct ExpectedCapacity {
-    /// All of them.
+    /// All of it.
     machines: f64,
-    /// Those of machines that will be empty.
+    /// The part on machines that will be empty.
     empty_machines: f64,
 }
 
 impl ExpectedCapacity {
-    /// Sets resources aside for so many tasks; answers for how many there are some.
+    /// Reserves capacity for up to this many tasks; returns for how many it suffices.
     fn reserve(&mut self, tasks: f64, tasks_per_machine: f64) -> f64 {
         if tasks_per_machine <= 0.0 {
             return 0.0;
         }
-        // What takes a machine to itself has no use for a corner of one.
+        // A task that needs a whole machine can't use the free part of another one.
         let available = if tasks_per_machine <= 1.0 {
             self.empty_machines.min(self.machines)
         } else {
@@ -48,42 +49,42 @@
     }
 }
 
-/// A job whose tasks lack room, and the only zone in which room is of use to them, if
-/// there is one.
+/// A job whose tasks lack resources, and the only zone whose machines are of use to
+/// them, if there is one.
 #[derive(Clone, Copy)]
 struct Demand<'a> {
     job: &'a Job,
     zone: Option<&'a Zone>,
 }
 
-/// A kind of machine with its price for each task.
+/// A kind of machine and its price for each task.
 struct PricedKind {
     price_per_task: f64,
     kind: MachineKind,
 }
 
 impl Sched {
-    /// Repeats the rental requests that had no answer, when they are due.
+    /// Retries the rental requests that had no answer, when they are due.
     pub(super) fn repeat_rental_requests(&mut self, now: Time) {
-        for request in self.fleet.requests.values_mut() {
-            if request.retry_at.is_some_and(|at| now >= at) {
-                request.retry_at = None;
-                self.out.push(Effect::Hire(request.hire.clone()));
+        for pending in self.fleet.requests.values_mut() {
+            if pending.retry_at.is_some_and(|at| now >= at) {
+                pending.retry_at = None;
+                self.out.push(Effect::Hire(pending.request.clone()));
             }
         }
     }
 
-    /// Rents for what found no room, or else for the headroom.
+    /// Rents machines for tasks that lack resources, or else for the headroom.
     pub(super) fn rent(&mut self, now: Time) {
-        // One request at a time; its answer says what is left.
+        // One request is in flight at a time; its answer shows what is still needed.
         let mut requests = self.fleet.requests.values();
-        if requests.any(|request| request.retry_at.is_none()) {
+        if requests.any(|pending| pending.retry_at.is_none()) {
             return;
         }
-        let mut coming = self.expected_capacity(now);
-        let mut wanted = self.wanted_for_jobs(now, &mut coming);
+        let mut expected = self.expected_capacity(now);
+        let mut wanted = self.wanted_for_jobs(now, &mut expected);
         if wanted.is_empty() {
-            wanted.extend(self.wanted_for_headroom(now, &mut coming));
+            wanted.extend(self.wanted_for_headroom(now, &mut expected));
         }
         for (kind, machines) in wanted {
             if machines >= MIN_MACHINE_SHARE {
@@ -92,28 +93,29 @@
         }
     }
 
-    /// How many machines of each kind the jobs without room need besides what is coming.
+    /// How many machines of each kind the jobs that lack resources need in addition to
+    /// the expected capacity.
     fn wanted_for_jobs(
         &self,
         now: Time,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
+        expected: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> BTreeMap<MachineKind, f64> {
         let machines = self.machines_by_zone();
-        let plain_wanted = self.jobs.values().any(|job| !job.spec.spot);
-        let mut left: BTreeMap<&Team, Resources> = BTreeMap::new();
-        let mut wanted = BTreeMap::new();
+        let ordinary_wanted = self.jobs.values().any(|job| !job.spec.spot);
+        let mut quota: BTreeMap<&Team, Resources> = BTreeMap::new();
+        let mut machines_wanted = BTreeMap::new();
         for (demand, tasks) in self.demands() {
             let job = demand.job;
             let team = &job.spec.team;
-            let left = left
+            let quota = quota
                 .entry(team)
                 .or_insert_with(|| self.teams.remaining(team));
-            let tasks = tasks.min(left.tasks_that_fit(&job.need));
+            let tasks = tasks.min(quota.tasks_that_fit(&job.need));
             if tasks <= 0 {
                 continue;
             }
-            *left -= job.need.scaled(tasks);
-            let lacking = self.reserve_expected(now, demand, tasks, plain_wanted, coming);
+            *quota -= job.need.scaled(tasks);
+            let lacking = self.reserve_expected(now, demand, tasks, ordinary_wanted, expected);
             if lacking <= 0.0 || self.may_be_rented_already(now, job) {
                 continue;
             }
@@ -122,14 +124,14 @@
                 continue;
             };
             let tasks_per_machine = self.tasks_per_machine(&kind, &job.need).max(1.0);
-            *wanted.entry(kind).or_default() += lacking / tasks_per_machine;
+            *machines_wanted.entry(kind).or_default() += lacking / tasks_per_machine;
         }
-        wanted
+        machines_wanted
     }
 
-    /// The jobs without room, with so many tasks each. What only some kinds of machine
-    /// serve comes first: otherwise those that could do with any would count on its
-    /// machines, and they would be rented again and again.
+    /// The jobs that lack resources, with the number of their tasks. Jobs that only
+    /// some kinds of machine can serve come first: otherwise jobs that could use any
+    /// kind reserve those machines, and they are rented again and again.
     fn demands(&self) -> Vec<(Demand<'_>, i64)> {
         let mut demands = vec![];
         for short in &self.fleet.shortages {
@@ -142,99 +144,100 @@
         demands
     }
 
-    /// Sets resources that are coming aside for so many tasks of a job; answers how many
-    /// lack some.
+    /// Reserves expected capacity for tasks of a job; returns how many tasks lack some.
     fn reserve_expected(
         &self,
         now: Time,
         demand: Demand,
         tasks: i64,
-        plain_wanted: bool,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
+        ordinary_wanted: bool,
+        expected: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> f64 {
         let job = demand.job;
-        // Work for spot machines does not count on plain ones if it can rent others.
-        let only_spot = job.spec.spot && plain_wanted && self.spot_rentable(now, job);
-        let allowed = AllowedZones::of(self, job);
+        // A job that may use spot machines does not count on ordinary ones if it can
+        // rent spot machines.
+        let spot_only = job.spec.spot && ordinary_wanted && self.spot_rentable(now, job);
+        let allowed_zones = AllowedZones::of(self, job);
         let mut lacking = tasks as f64;
-        for (kind, coming) in coming.iter_mut() {
-            if lacking > 0.0 && (kind.spot || !only_spot) && suits(demand, &allowed, kind) {
-                lacking -= coming.reserve(lacking, self.tasks_per_machine(kind, &job.need));
+        for (kind, expected) in expected.iter_mut() {
+            if lacking > 0.0 && (kind.spot || !spot_only) && suits(demand, &allowed_zones, kind) {
+                lacking -= expected.reserve(lacking, self.tasks_per_machine(kind, &job.need));
             }
         }
         lacking
     }
 
-    /// How much of a machine to rent when less is free than is to be kept free.
+    /// How much of a machine to rent when less capacity is free than the headroom
+    /// requires.
     fn wanted_for_headroom(
         &self,
         now: Time,
-        coming: &mut BTreeMap<MachineKind, ExpectedCapacity>,
+        expected: &mut BTreeMap<MachineKind, ExpectedCapacity>,
     ) -> Option<(MachineKind, f64)> {
         let (kind, mut machines) = self.missing_headroom(now)?;
-        for (coming_kind, coming) in coming.iter_mut() {
-            if kind.spot || !coming_kind.spot {
-                machines -= coming.reserve(machines, 1.0);
+        for (expected_kind, expected) in expected.iter_mut() {
+            if kind.spot || !expected_kind.spot {
+                machines -= expected.reserve(machines, 1.0);
             }
         }
         Some((kind, machines))
     }
 
     fn request_machines(&mut self, now: Time, kind: MachineKind, machines: f64) {
-        // A zone that comes back is rented in by degrees.
-        let open = self.watch.open(now, &kind.zone);
-        let max = (MAX_MACHINES_PER_REQUEST as f64 * open).ceil() as u32;
+        // Rentals in a zone that has just returned are increased gradually.
+        let open_share = self.watch.open(now, &kind.zone);
+        let max = (MAX_MACHINES_PER_REQUEST as f64 * open_share).ceil() as u32;
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
         self.fleet.last_request_number += 1;
         let name = format!("hw-{}-{}", self.fleet.epoch, self.fleet.last_request_number);
-        let hire = Hire {
+        let request = Hire {
             name: name.clone(),
             build: kind.build,
             zone: kind.zone,
             spot: kind.spot,
             count,
         };
-        tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
-            spot = hire.spot, count, "renting");
-        self.out.push(Effect::Hire(hire.clone()));
-        let request = PendingRental {
-            hire,
+        tracing::info!(request = %name, build = %request.build, zone = %request.zone,
+            spot = request.spot, count, "requesting machines");
+        self.out.push(Effect::Hire(request.clone()));
+        let pending = PendingRental {
+            request,
             retry_at: None,
             retries: 0,
         };
-        self.fleet.requests.insert(name, request);
+        self.fleet.requests.insert(name, pending);
     }
 
-    /// An earlier leader may have rented for the job what no list shows yet. Until lists
-    /// show all that was rented before this leadership, only jobs that came in since are
-    /// rented for.
+    /// Whether an earlier leader may have rented machines for the job that no list
+    /// shows yet. Until the cloud's lists show everything that was rented before this
+    /// leadership, machines are rented only for jobs submitted since.
     fn may_be_rented_already(&self, now: Time, job: &Job) -> bool {
         job.seq < self.fleet.first_submitted_seq && now < self.began + self.cfg.oldest_list
     }
 
-    /// What is on its way, by kind: machines that boot or are asked for, and
-    /// resources that running tasks leave before a machine rented now would be up.
+    /// The expected capacity by kind: machines that boot or are requested, and
+    /// resources that running tasks free before a machine rented now would be up.
     fn expected_capacity(&self, now: Time) -> BTreeMap<MachineKind, ExpectedCapacity> {
         let mut all: BTreeMap<MachineKind, ExpectedCapacity> = BTreeMap::new();
-        for request in self.fleet.requests.values() {
-            let hire = &request.hire;
-            if self.watch.silent(&hire.zone) {
+        for pending in self.fleet.requests.values() {
+            let request = &pending.request;
+            if self.watch.silent(&request.zone) {
                 continue;
             }
-            let coming = all.entry(MachineKind::of_request(hire)).or_default();
-            coming.machines += hire.count as f64;
-            coming.empty_machines += hire.count as f64;
+            let expected = all.entry(MachineKind::of_request(request)).or_default();
+            expected.machines += request.count as f64;
+            expected.empty_machines += request.count as f64;
         }
         for machine in self.machines.values() {
-            // Nothing can be counted on in a zone that is silent.
+            // No capacity is expected in a silent zone.
             if self.watch.silent(&machine.zone) {
                 continue;
             }
-            let of_machine = self.expected_on_machine(now, machine);
-            if of_machine.machines > 0.0 {
-                let coming = all.entry(MachineKind::of_machine(machine)).or_default();
-                coming.machines += of_machine.machines;
-                coming.empty_machines += of_machine.empty_machines;
+            let on_machine = self.expected_on_machine(now, machine);
+            if on_machine.machines > 0.0 {
+                let expected = all.entry(MachineKind::of_machine(machine)).or_default();
+                expected.machines += on_machine.machines;
+                expected.empty_machines += on_machine.empty_machines;
             }
         }
         all
@@ -260,14 +263,14 @@
         }
     }
 
-    /// What the tasks of a machine leave before one rented now would be up.
+    /// The capacity that tasks of a machine free before one rented now would be up.
     fn freed_soon(&self, now: Time, machine: &Machine) -> ExpectedCapacity {
-        let soon = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+        let boot_wait = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
         let mut freed = Resources::default();
         let mut staying = 0;
-        for slot in machine.slots.values() {
-            if slot.ends_within(now, soon) {
-                freed += slot.need;
+        for allocation in machine.slots.values() {
+            if allocation.ends_within(now, boot_wait) {
+                freed += allocation.need;
             } else {
                 staying += 1;
             }
@@ -279,8 +282,8 @@
         }
     }
 
-    /// Kinds of machine that hold a task of this need, and suit the demand if there is
-    /// one, the cheapest first; `machines`: how many there are in each zone.
+    /// The kinds of machine that fit a task of this need and suit the demand, if there
+    /// is one, the cheapest first; `machines`: the number of machines in each zone.
     fn kinds_for(
         &self,
         now: Time,
@@ -294,12 +297,12 @@
             demand.is_none_or(|(demand, allowed)| suits(*demand, allowed, kind))
         };
         let mut kinds = vec![];
-        for flavor in self.flavors.values() {
-            let tasks = Resources::of_machine_type(flavor).tasks_that_fit(need);
+        for machine_type in self.flavors.values() {
+            let tasks = Resources::of_machine_type(machine_type).tasks_that_fit(need);
             if tasks == 0 {
                 continue;
             }
-            for (kind, price) in self.offers(now, flavor) {
+            for (kind, price) in self.offers(now, machine_type) {
                 if suits(&kind) {
                     let price_per_task = price / tasks as f64;
                     kinds.push(PricedKind {
@@ -309,8 +312,8 @@
                 }
             }
         }
-        // Among equals the zone with the fewest machines, so that the loss of
-        // one zone hurts less.
+        // At equal prices the zone with the fewest machines comes first, so that the
+        // loss of one zone hurts less.
         let machines_in = |kind: &MachineKind| machines.get(&kind.zone).copied().unwrap_or(0);
         kinds.sort_by(|a, b| {
             a.price_per_task
@@ -320,16 +323,19 @@
         kinds
     }
 
-    /// The kinds of a machine type that may be asked for now, with their prices.
-    fn offers(&self, now: Time, flavor: &Flavor) -> Vec<(MachineKind, f64)> {
+    /// The kinds of a machine type that may be requested now, with their prices.
+    fn offers(&self, now: Time, machine_type: &Flavor) -> Vec<(MachineKind, f64)> {
         let mut offers = vec![];
-        // What is rented in a zone that is lost boots and is paid for, and never
-        // reports.
-        for zone in flavor.zones.iter().filter(|zone| !self.watch.silent(zone)) {
-            let spot = flavor.spot_price.map(|price| (true, price));
-            for (spot, price) in spot.into_iter().chain([(false, flavor.price)]) {
+        // Machines rented in a lost zone boot and are billed, but never report.
+        for zone in machine_type
+            .zones
+            .iter()
+            .filter(|zone| !self.watch.silent(zone))
+        {
+            let spot = machine_type.spot_price.map(|price| (true, price));
+            for (spot, price) in spot.into_iter().chain([(false, machine_type.price)]) {
                 let kind = MachineKind {
-                    build: flavor.build.clone(),
+                    build: machine_type.build.clone(),
                     zone: zone.clone(),
                     spot,
                 };
@@ -349,39 +355,41 @@
         machines
     }
 
-    /// How long a machine of that type boots, in seconds.
+    /// The boot time of a machine of that type, in seconds.
     pub(in crate::sched) fn boot_s(&self, build: &Build) -> f64 {
-        self.flavors.get(build).map_or(0.0, |flavor| flavor.boot_s)
+        self.flavors
+            .get(build)
+            .map_or(0.0, |machine_type| machine_type.boot_s)
     }
 
     fn tasks_per_machine(&self, kind: &MachineKind, need: &Resources) -> f64 {
-        let flavor = self.flavors.get(&kind.build);
-        flavor.map_or(0.0, |flavor| {
-            Resources::of_machine_type(flavor).tasks_that_fit(need) as f64
+        let machine_type = self.flavors.get(&kind.build);
+        machine_type.map_or(0.0, |machine_type| {
+            Resources::of_machine_type(machine_type).tasks_that_fit(need) as f64
         })
     }
 
-    /// Machines for the job were not refused lately in that zone.
+    /// Whether some kind of machine for the job was not refused recently in that zone.
     pub(in crate::sched) fn rentable(&self, now: Time, job: &Job, zone: Option<&Zone>) -> bool {
         let demand = Demand { job, zone };
         let kinds = self.kinds_for(now, &job.need, Some(demand), &BTreeMap::new());
         !kinds.is_empty()
     }
 
-    /// Spot machines for the job were not refused lately.
+    /// Whether some kind of spot machine for the job was not refused recently.
     pub(in crate::sched) fn spot_rentable(&self, now: Time, job: &Job) -> bool {
         let demand = Demand { job, zone: None };
         let kinds = self.kinds_for(now, &job.need, Some(demand), &BTreeMap::new());
         kinds.iter().any(|priced| priced.kind.spot)
     }
 
-    /// A machine to rent when less is free than is to be kept free, and how much of it
-    /// is lacking.
+    /// The kind of machine to rent when less capacity is free than the headroom
+    /// requires, and how much of it is missing.
     fn missing_headroom(&self, now: Time) -> Option<(MachineKind, f64)> {
-        let keep = self.headroom(now);
+        let headroom = self.headroom(now);
         let free = self.free_capacity(now);
-        let plain = !free.plain.covers(&keep.plain);
-        if !plain && free.all.covers(&keep.all) {
+        let lacks_ordinary = !free.plain.covers(&headroom.plain);
+        if !lacks_ordinary && free.all.covers(&headroom.all) {
             return None;
         }
         let least_task = Resources {
@@ -391,79 +399,84 @@
         };
         let kinds = self.kinds_for(now, &least_task, None, &self.machines_by_zone());
         let mut kinds = kinds.into_iter().map(|priced| priced.kind);
-        let kind = kinds.find(|kind| !plain || !kind.spot)?;
-        let whole = Resources::of_machine_type(self.flavors.get(&kind.build)?);
-        let lacking = if plain {
-            keep.plain.minus(&free.plain)
+        let kind = kinds.find(|kind| !lacks_ordinary || !kind.spot)?;
+        let capacity = Resources::of_machine_type(self.flavors.get(&kind.build)?);
+        let lacking = if lacks_ordinary {
+            headroom.plain.minus(&free.plain)
         } else {
-            keep.all.minus(&free.all)
+            headroom.all.minus(&free.all)
         };
-        Some((kind, lacking.at_least_zero().dominant_share_of(&whole)))
+        Some((kind, lacking.at_least_zero().dominant_share_of(&capacity)))
     }
 
     /// The cloud's answer to a rental request.
-    pub(in crate::sched) fn rental_answered(&mut self, now: Time, hire: Hire, result: HireResult) {
-        let kind = MachineKind::of_request(&hire);
+    pub(in crate::sched) fn rental_answered(
+        &mut self,
+        now: Time,
+        request: Hire,
+        result: HireResult,
+    ) {
+        let kind = MachineKind::of_request(&request);
         match result {
             HireResult::Ok(hosts) => {
-                self.fleet.requests.remove(&hire.name);
+                self.fleet.requests.remove(&request.name);
                 let rented = hosts.len() as u32;
-                if rented < hire.count {
+                if rented < request.count {
                     self.fleet.refused.insert(kind, now);
                 }
-                tracing::info!(request = %hire.name, got = rented, "rented");
+                tracing::info!(request = %request.name, got = rented, "rental request answered");
                 for host in hosts {
                     if !self.fleet.is_returned(&host) {
-                        self.add_rented(now, host, &hire);
+                        self.add_rented(now, host, &request);
                     }
                 }
-                if rented == hire.count && hire.count == MAX_MACHINES_PER_REQUEST {
-                    // Likely not all of it: the rest is asked for at once.
+                if rented == request.count && request.count == MAX_MACHINES_PER_REQUEST {
+                    // The request was probably capped; the rest is requested at once.
                     self.rent(now);
                 }
             }
             HireResult::NoCapacity => {
-                tracing::info!(request = %hire.name, zone = %hire.zone, spot = hire.spot, "none to rent");
-                self.fleet.requests.remove(&hire.name);
+                tracing::info!(request = %request.name, zone = %request.zone, spot = request.spot, "cloud has no capacity for the rental request");
+                self.fleet.requests.remove(&request.name);
                 self.fleet.refused.insert(kind, now);
-                // The next kind is asked for at once.
+                // The next kind is requested at once.
                 self.rent(now);
             }
             HireResult::Invalid => {
-                tracing::warn!(request = %hire.name, "rental request refused as invalid");
-                self.fleet.requests.remove(&hire.name);
+                tracing::warn!(request = %request.name, "cloud refused the rental request as invalid");
+                self.fleet.requests.remove(&request.name);
                 self.fleet.refused.insert(kind, now);
             }
             HireResult::Busy | HireResult::Unclear => {
-                if let Some(request) = self.fleet.requests.get_mut(&hire.name) {
-                    request.retries += 1;
-                    let delay_s = request.retries.min(MAX_RETRY_DELAY_S);
-                    request.retry_at = Some(now + Span::secs(delay_s as f64));
+                if let Some(pending) = self.fleet.requests.get_mut(&request.name) {
+                    pending.retries += 1;
+                    let delay_s = pending.retries.min(MAX_RETRY_DELAY_S);
+                    pending.retry_at = Some(now + Span::secs(delay_s as f64));
                 }
             }
         }
     }
 
-    fn add_rented(&mut self, now: Time, host: Host, hire: &Hire) {
+    fn add_rented(&mut self, now: Time, host: Host, request: &Hire) {
         let token = self.base_token();
-        let flavor = self.flavors.get(&hire.build);
+        let flavor = self.flavors.get(&request.build);
         let machine = self.machines.entry(host.clone()).or_insert_with(|| {
-            let (build, zone) = (hire.build.clone(), hire.zone.clone());
-            let mut machine = Machine::new(host, build, zone, hire.spot, now, token);
+            let (build, zone) = (request.build.clone(), request.zone.clone());
+            let mut machine = Machine::new(host, build, zone, request.spot, now, token);
             if let Some(flavor) = flavor {
                 machine.set_flavor(flavor);
             }
             machine
         });
-        // Nobody else has ever told it anything. It may have reported before
-        // this answer came; nothing was placed there until now.
+        // No other leader has sent commands to it. It may have reported before this
+        // answer came; nothing was placed on it until now.
         self.replan |= machine.reported && !machine.certain;
         machine.certain = true;
         machine.in_term = true;
     }
 }
 
-/// The demand can be met by machines of that kind.
+/// Whether machines of that kind can serve the demand.
 fn suits(demand: Demand, allowed: &AllowedZones, kind: &MachineKind) -> bool {
     let spec = &demand.job.spec;
     spec.builds
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -82,11 +82,11 @@
         let max_tasks = |id: &JobId| sched.jobs.get(id).filter(tried_singly).map(remaining);
         // Continues where the last pass stopped, after the urgent jobs.
         let start = sched.goes_on_at.as_ref();
-        let start = start.and_then(|id| ranked.iter().position(|(_, ranked_id)| *ranked_id == id));
+        let start = start.and_then(|id| ranked.iter().position(|entry| entry.1 == id));
         let (before, following) = ranked.split_at(start.unwrap_or(0));
         let (urgent, others): (Vec<_>, Vec<_>) = before
             .iter()
-            .partition(|(rank, _)| rank.tier <= MAX_URGENT_TIER);
+            .partition(|entry| entry.0.tier <= MAX_URGENT_TIER);
         let urgent_count = urgent.len();
         let ranked = urgent.into_iter().chain(following).chain(others);
         let turns = ranked.map(|(_, id)| Turn {
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -40,7 +40,7 @@
     /// The tasks to start, each a job and a machine, in this order.
     starts: Vec<(JobId, Host)>,
     /// The jobs that lack resources, and for how many tasks.
-    short: Vec<Shortage>,
+    shortages: Vec<Shortage>,
     /// The number of turns that were served.
     served: usize,
 }
@@ -85,7 +85,7 @@
             for (id, host) in plan.starts {
                 self.start(now, &id, &host, None);
             }
-            shortages.extend(plan.short);
+            shortages.extend(plan.shortages);
             if plan.served < batch {
                 remaining_turns = &remaining_turns[plan.served..];
                 break;
@@ -184,7 +184,7 @@
         for (id, host) in plan.starts {
             self.start(now, &id, &host, None);
         }
-        (plan.short.pop(), plan.served > 0)
+        (plan.shortages.pop(), plan.served > 0)
     }
 
     /// Plans the starts of the jobs in this order, as far as free resources and quota
@@ -216,14 +216,14 @@
         &self,
         now: Time,
         id: &JobId,
-        held: &BTreeSet<Host>,
+        reserved: &BTreeSet<Host>,
         order: &Order,
-        m: &Machine,
+        machine: &Machine,
     ) -> bool {
-        let judged = self.judged.get();
-        let plain = self.choose(now, id, held, order);
-        self.judged.set(judged);
-        plain.as_ref() == Some(&m.host)
+        let scored = self.judged.get();
+        let chosen = self.choose(now, id, reserved, order);
+        self.judged.set(scored);
+        chosen.as_ref() == Some(&machine.host)
     }
 
     /// The machine for one task, computed from scratch.
@@ -251,12 +251,12 @@
                 continue;
             }
             let (free, span) = (machine.free(), machine.remaining(now));
-            let kept = reserved.contains(&machine.host);
+            let is_reserved = reserved.contains(&machine.host);
             let candidate = Candidate {
-                machine: machine,
+                machine,
                 free,
                 remaining: span,
-                reserved: kept,
+                reserved: is_reserved,
             };
             let Some(score) = view.score(&candidate) else {
                 continue;
@@ -343,13 +343,13 @@
     sched: &'a Sched,
     now: Time,
     order: &'a Order,
-    held: &'a BTreeSet<Host>,
+    reserved: &'a BTreeSet<Host>,
     can_rent: bool,
     /// More is requested than is free: all machines fill up, so that the image decides
     /// first; otherwise that would spoil the best fit.
     crowded: bool,
     candidates: Vec<Candidate<'a>>,
-    spare: FreeCapacity,
+    free_above_headroom: FreeCapacity,
     /// The remaining quota of each team.
     quota: BTreeMap<&'a Team, Resources>,
     /// The number of tasks of each job that were placed in earlier turns.
@@ -362,13 +362,13 @@
         sched: &'a Sched,
         now: Time,
         turns: &'a [Turn],
-        held: &'a BTreeSet<Host>,
+        reserved: &'a BTreeSet<Host>,
         order: &'a Order,
     ) -> Planner<'a> {
-        let candidates = candidates(sched, now, held);
-        let mut open = Resources::default();
+        let candidates = candidates(sched, now, reserved);
+        let mut open_capacity = Resources::default();
         for candidate in candidates.iter().filter(|candidate| !candidate.reserved) {
-            open += candidate.free;
+            open_capacity += candidate.free;
         }
         let mut wanted = Resources::default();
         for turn in turns.iter().filter(|turn| !turn.boosted) {
@@ -380,11 +380,11 @@
             sched,
             now,
             order,
-            held,
+            reserved,
             can_rent: sched.fleet.can_rent(now),
-            crowded: !open.covers(&wanted),
+            crowded: !open_capacity.covers(&wanted),
             candidates,
-            spare: sched.free_above_headroom(now),
+            free_above_headroom: sched.free_above_headroom(now),
             quota: BTreeMap::new(),
             placed: BTreeMap::new(),
             plan: Plan::default(),
@@ -398,18 +398,21 @@
         };
         let team = &job.spec.team;
         let quota = self.quota.entry(team);
-        let left = *quota.or_insert_with(|| sched.teams.remaining(team));
+        let remaining = *quota.or_insert_with(|| sched.teams.remaining(team));
         let placed_before = self.placed.get(&turn.job).copied().unwrap_or(0);
-        let wanted = (job.pending() as i64 - placed_before).min(left.tasks_that_fit(&job.need));
-        let wanted = turn.max_tasks.map_or(wanted, |most| wanted.min(most));
+        let wanted =
+            (job.pending() as i64 - placed_before).min(remaining.tasks_that_fit(&job.need));
+        let wanted = turn
+            .max_tasks
+            .map_or(wanted, |max_tasks| wanted.min(max_tasks));
         let placed = self.place_tasks(turn, job, wanted);
         self.quota
-            .insert(team, left.minus(&job.need.scaled(placed)));
+            .insert(team, remaining.minus(&job.need.scaled(placed)));
         self.placed.insert(&turn.job, placed_before + placed);
         // A boosted job has another turn, and is reported as short only then.
         if placed < wanted && turn.max_tasks.is_none() {
-            let short = Shortage::anywhere(&turn.job, wanted - placed);
-            self.plan.short.push(short);
+            let shortage = Shortage::anywhere(&turn.job, wanted - placed);
+            self.plan.shortages.push(shortage);
         }
     }
 
@@ -418,18 +421,22 @@
         let mut view = JobView::of(self.sched, self.now, job, self.order, self.can_rent);
         view.image_first |= self.crowded;
         // Headroom is for quick classes, and for boosted jobs.
-        let may_take =
-            |spare: &FreeCapacity, spot, placed| turn.boosted || view.may_use(spare, spot, placed);
-        if wanted <= 0 || !may_take(&self.spare, true, 0) {
+        let may_use =
+            |free: &FreeCapacity, spot, placed| turn.boosted || view.may_use(free, spot, placed);
+        if wanted <= 0 || !may_use(&self.free_above_headroom, true, 0) {
             return 0;
         }
         let mut best_first = self.scores(job, &view);
         let mut placed = 0;
-        while placed < wanted && may_take(&self.spare, true, placed) {
+        while placed < wanted && may_use(&self.free_above_headroom, true, placed) {
             let Some(Reverse((_, i))) = best_first.pop() else {
                 break;
             };
-            if !may_take(&self.spare, self.candidates[i].machine.spot, placed) {
+            if !may_use(
+                &self.free_above_headroom,
+                self.candidates[i].machine.spot,
+                placed,
+            ) {
                 continue;
             }
             debug_assert!(
@@ -448,10 +455,12 @@
 
     /// The suitable candidates for a job, the best on top.
     fn scores(&self, job: &Job, view: &JobView) -> BinaryHeap<Reverse<(Score, usize)>> {
-        let zones = AllowedZones::of(self.sched, job);
+        let allowed_zones = AllowedZones::of(self.sched, job);
         let candidates = self.candidates.iter().enumerate();
-        let allowed = candidates.filter(|(_, candidate)| zones.contains(&candidate.machine.zone));
-        let scores = allowed.filter_map(|(i, c)| Some(Reverse((view.score(c)?, i))));
+        let allowed =
+            candidates.filter(|(_, candidate)| allowed_zones.contains(&candidate.machine.zone));
+        let scores =
+            allowed.filter_map(|(i, candidate)| Some(Reverse((view.score(candidate)?, i))));
         scores.collect::<Vec<_>>().into()
     }
 
@@ -463,7 +472,8 @@
             None => (estimate, estimate),
             Some((low, high)) => (low.min(estimate), high.max(estimate)),
         });
-        self.spare.take(&job.need, candidate.machine.spot);
+        self.free_above_headroom
+            .take(&job.need, candidate.machine.spot);
         let host = candidate.machine.host.clone();
         self.plan.starts.push((id.clone(), host));
     }
@@ -476,24 +486,24 @@
             || turn.max_tasks.is_some()
             || self
                 .sched
-                .matches_choose(self.now, &turn.job, self.held, self.order, machine)
+                .matches_choose(self.now, &turn.job, self.reserved, self.order, machine)
     }
 }
 
 /// The machines with free CPUs, except those reserved for a gang.
-fn candidates<'a>(sched: &'a Sched, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
-    let fresh = sched.max_heartbeat_age();
+fn candidates<'a>(sched: &'a Sched, now: Time, reserved: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
+    let max_age = sched.max_heartbeat_age();
     let mut candidates = vec![];
-    for machine in sched.machines.values().filter(|m| m.open(now, fresh)) {
-        let (free, kept) = (machine.free(), held.contains(&machine.host));
-        if free.cpu <= 0 || kept && !machine.reservation_expired(now) {
+    for machine in sched.machines.values().filter(|m| m.open(now, max_age)) {
+        let (free, is_reserved) = (machine.free(), reserved.contains(&machine.host));
+        if free.cpu <= 0 || is_reserved && !machine.reservation_expired(now) {
             continue;
         }
         candidates.push(Candidate {
             machine,
             free,
             remaining: machine.remaining(now),
-            reserved: kept,
+            reserved: is_reserved,
         });
     }
     candidates
@@ -512,7 +522,7 @@
     job: &'a Job,
     estimate: Span,
     max_spread: Span,
-    quick: bool,
+    is_quick: bool,
     /// It has waited for as long as any rule may delay it.
     waited_too_long: bool,
     /// It has waited that long, and none of its tasks started meanwhile.
@@ -535,33 +545,37 @@
 
 impl<'a> JobView<'a> {
     pub(super) fn of(
-        s: &'a Sched,
+        sched: &'a Sched,
         now: Time,
-        j: &'a Job,
+        job: &'a Job,
         order: &Order,
         can_rent: bool,
     ) -> JobView<'a> {
-        let t = &s.cfg.tuning;
-        let est = estimate::of(j);
-        let quick = s.is_quick(&j.spec.class);
-        let spares_plain = j.spec.spot && order.ordinary_machines_wanted;
+        let tuning = &sched.cfg.tuning;
+        let estimate = estimate::of(job);
+        let is_quick = sched.is_quick(&job.spec.class);
+        let avoids_ordinary = job.spec.spot && order.ordinary_machines_wanted;
         JobView {
             now,
-            job: j,
-            estimate: est,
-            max_spread: estimate::max_runtime_spread(est, t.delta_factor, t.delta_floor_s),
-            quick,
-            waited_too_long: j.waited_too_long(now),
-            waited_without_start: j.waited_without_start(now),
-            image_first: quick,
-            scored: &s.judged,
+            job,
+            estimate,
+            max_spread: estimate::max_runtime_spread(
+                estimate,
+                tuning.delta_factor,
+                tuning.delta_floor_s,
+            ),
+            is_quick,
+            waited_too_long: job.waited_too_long(now),
+            waited_without_start: job.waited_without_start(now),
+            image_first: is_quick,
+            scored: &sched.judged,
             // Jobs that can't wait for a machine to boot don't rent one.
-            can_rent: can_rent && !quick && !j.waited_too_long(now),
-            failed_all: j.error_hosts.len() >= s.machines.len(),
-            start_by: s.start_by(now, j, order.is_within_guarantee(j.id())),
-            avoids_ordinary: spares_plain,
-            gang_is_waiting: spares_plain && order.gang_is_waiting,
-            can_rent_spot: spares_plain && s.spot_rentable(now, j),
+            can_rent: can_rent && !is_quick && !job.waited_too_long(now),
+            failed_all: job.error_hosts.len() >= sched.machines.len(),
+            start_by: sched.start_by(now, job, order.is_within_guarantee(job.id())),
+            avoids_ordinary,
+            gang_is_waiting: avoids_ordinary && order.gang_is_waiting,
+            can_rent_spot: avoids_ordinary && sched.spot_rentable(now, job),
         }
     }
 
@@ -569,76 +583,83 @@
     /// headroom is concerned: headroom is for quick classes, and for a single task of a
     /// job that waited too long without a start. `placed` is the number of its tasks
     /// that this pass has placed.
-    fn may_use(&self, spare: &FreeCapacity, spot: bool, got: i64) -> bool {
-        self.quick
-            || self.waited_without_start && got == 0
-            || spare.covers_task(&self.job.need, spot)
+    fn may_use(&self, free: &FreeCapacity, spot: bool, placed: i64) -> bool {
+        self.is_quick
+            || self.waited_without_start && placed == 0
+            || free.covers_task(&self.job.need, spot)
     }
 
     /// How well the machine suits; none if it may not be used at all.
-    pub(super) fn score(&self, c: &Candidate) -> Option<Score> {
-        let j = self.job;
+    pub(super) fn score(&self, candidate: &Candidate) -> Option<Score> {
+        let job = self.job;
         self.scored.set(self.scored.get() + 1);
-        if !c.free.fits(&j.need) || !may_run_on(&j.spec, c.machine) {
+        if !candidate.free.fits(&job.need) || !may_run_on(&job.spec, candidate.machine) {
             return None;
         }
-        if c.reserved && !(self.waited_too_long && c.machine.reservation_expired(self.now)) {
+        if candidate.reserved
+            && !(self.waited_too_long && candidate.machine.reservation_expired(self.now))
+        {
             return None;
         }
         // A machine on which this job failed is not tried again soon.
-        if !(self.failed_all || self.waited_too_long) && j.error_hosts.contains(&c.machine.host) {
+        if !(self.failed_all || self.waited_too_long)
+            && job.error_hosts.contains(&candidate.machine.host)
+        {
             return None;
         }
-        let mut class = fit_class(c.remaining, self.estimate, self.max_spread);
+        let mut fit = fit_class(candidate.remaining, self.estimate, self.max_spread);
         // A machine that services keep in use will not empty for a gang. Others do,
         // unless work for spot machines fills them up again and again.
-        let empties = c.remaining.is_none_or(|(_, high)| high < ENDLESS);
-        if self.gang_is_waiting && !self.waited_too_long && !c.machine.spot && empties {
+        let empties = candidate.remaining.is_none_or(|(_, high)| high < ENDLESS);
+        if self.gang_is_waiting && !self.waited_too_long && !candidate.machine.spot && empties {
             return None;
         }
         // An empty ordinary machine costs several times what a spot machine does,
         // whether it is used by jobs that need one or stays up until it is returned.
-        if self.can_rent_spot && !c.machine.spot && c.remaining.is_none() {
-            class = LAST_RESORT;
+        if self.can_rent_spot && !candidate.machine.spot && candidate.remaining.is_none() {
+            fit = LAST_RESORT;
         }
-        if class == LAST_RESORT && self.can_rent {
+        if fit == LAST_RESORT && self.can_rent {
             return None;
         }
-        let no_image = !c.machine.has_image(&j.spec.image);
+        let image_missing = !candidate.machine.has_image(&job.spec.image);
         // A fetch that takes longer than the objective allows counts more than the fit;
         // otherwise starts are late on machines that fit best.
-        let late = no_image
-            && self.start_by.is_some_and(|by| {
+        let image_late = image_missing
+            && self.start_by.is_some_and(|limit| {
                 self.now
-                    + c.machine
-                        .fetch_time(self.now, &j.spec.image, j.spec.image_gb)
-                    > by
+                    + candidate
+                        .machine
+                        .fetch_time(self.now, &job.spec.image, job.spec.image_gb)
+                    > limit
             });
         Some(Score {
-            image_late: late,
-            class,
-            image_missing_first: self.image_first && no_image,
-            ordinary_avoided: self.avoids_ordinary && !c.machine.spot,
-            strands_accelerators: j.need.gpu == 0 && c.machine.capacity.gpu > 0,
-            extends_machine_use: c.remaining.is_some_and(|(_, high)| high < self.estimate),
-            leftover_share: c
+            image_late,
+            fit,
+            image_missing_first: self.image_first && image_missing,
+            ordinary_avoided: self.avoids_ordinary && !candidate.machine.spot,
+            strands_accelerators: job.need.gpu == 0 && candidate.machine.capacity.gpu > 0,
+            extends_machine_use: candidate
+                .remaining
+                .is_some_and(|(_, high)| high < self.estimate),
+            leftover_share: candidate
                 .free
-                .minus(&j.need)
-                .largest_free_share(&c.machine.capacity, &j.need),
-            image_missing: no_image,
+                .minus(&job.need)
+                .largest_free_share(&candidate.machine.capacity, &job.need),
+            image_missing,
         })
     }
 }
 
-pub(super) fn is_placed_individually(j: &Job) -> bool {
-    j.spec.kind == Kind::Gang || j.spec.one_zone || j.spec.spread
+pub(super) fn is_placed_individually(job: &Job) -> bool {
+    job.spec.kind == Kind::Gang || job.spec.one_zone || job.spec.spread
 }
 
-fn fit_class(span: Option<(Span, Span)>, est: Span, delta: Span) -> u8 {
-    match span {
-        Some((low, high)) if high.max(est) - low.min(est) <= delta => 0,
+fn fit_class(remaining: Option<(Span, Span)>, estimate: Span, max_spread: Span) -> u8 {
+    match remaining {
+        Some((low, high)) if high.max(estimate) - low.min(estimate) <= max_spread => 0,
         // The machine stays in use that long anyway.
-        Some((_, high)) if high >= est => 1,
+        Some((_, high)) if high >= estimate => 1,
         // Rented already and ready: costs as much as renting, but starts sooner.
         None => 2,
         // Only if nothing else has free resources.
@@ -651,7 +672,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Score {
     pub image_late: bool,
-    class: u8,
+    fit: u8,
     image_missing_first: bool,
     ordinary_avoided: bool,
     /// It would use CPUs beside accelerators that it does not need.
@@ -664,37 +685,39 @@
 }
 
 impl Ord for Score {
-    fn cmp(&self, o: &Score) -> Ordering {
-        let first = |s: &Score| {
+    fn cmp(&self, other: &Score) -> Ordering {
+        let rank = |score: &Score| {
             (
-                s.image_late,
-                s.class,
-                s.image_missing_first,
-                s.ordinary_avoided,
-                s.strands_accelerators,
-                s.extends_machine_use,
+                score.image_late,
+                score.fit,
+                score.image_missing_first,
+                score.ordinary_avoided,
+                score.strands_accelerators,
+                score.extends_machine_use,
             )
         };
-        let first = first(self).cmp(&first(o));
-        let then = first.then_with(|| self.leftover_share.total_cmp(&o.leftover_share));
-        then.then_with(|| self.image_missing.cmp(&o.image_missing))
+        let rank = rank(self).cmp(&rank(other));
+        let by_leftover = rank.then_with(|| self.leftover_share.total_cmp(&other.leftover_share));
+        by_leftover.then_with(|| self.image_missing.cmp(&other.image_missing))
     }
 }
 impl PartialOrd for Score {
-    fn partial_cmp(&self, o: &Score) -> Option<Ordering> {
-        Some(self.cmp(o))
+    fn partial_cmp(&self, other: &Score) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
 impl PartialEq for Score {
-    fn eq(&self, o: &Score) -> bool {
-        self.cmp(o) == Ordering::Equal
+    fn eq(&self, other: &Score) -> bool {
+        self.cmp(other) == Ordering::Equal
     }
 }
 impl Eq for Score {}
 
 /// Whether the constraints of the job allow this machine.
-pub(super) fn may_run_on(s: &JobSpec, m: &Machine) -> bool {
-    s.builds.as_ref().is_none_or(|b| b.contains(&m.build))
-        && s.zone.as_ref().is_none_or(|z| *z == m.zone)
-        && (s.spot || !m.spot)
+pub(super) fn may_run_on(spec: &JobSpec, machine: &Machine) -> bool {
+    spec.builds
+        .as_ref()
+        .is_none_or(|builds| builds.contains(&machine.build))
+        && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+        && (spec.spot || !machine.spot)
 }
