--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -432,7 +432,7 @@
         machine.rest_until = now + FAILED_TASK_BACKOFF;
         let machine_at_fault = machine.fail_jobs.len() > 1 || done_elsewhere;
         if machine.fails >= MAX_ERRORS_IN_A_ROW && machine_at_fault && !machine.quarantined {
-            tracing::info!(%host, fails = machine.fails, "machine quarantined after repeated errors");
+            tracing::info!(%host, fails = machine.fails, "quarantined");
             machine.quarantined = true;
             machine.quarantined_at = now;
             self.forgive(host);
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -198,7 +198,7 @@
             count,
         };
         tracing::info!(request = %name, build = %request.build, zone = %request.zone,
-            spot = request.spot, count, "requesting machines");
+            spot = request.spot, count, "renting");
         self.out.push(Effect::Hire(request.clone()));
         let pending = PendingRental {
             request,
@@ -424,7 +424,7 @@
                 if rented < request.count {
                     self.fleet.refused.insert(kind, now);
                 }
-                tracing::info!(request = %request.name, got = rented, "rental request answered");
+                tracing::info!(request = %request.name, got = rented, "rented");
                 for host in hosts {
                     if !self.fleet.is_returned(&host) {
                         self.add_rented(now, host, &request);
