--- a/src/sched/allowed_zones.rs
+++ b/src/sched/allowed_zones.rs
@@ -3,7 +3,7 @@
 //! still run: computed for each machine, the work of a pass grows with the number of
 //! machines times the square of the number of tasks.
 
-use super::Sched;
+use super::Scheduler;
 use super::job::Job;
 use crate::ids::Zone;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,13 +22,13 @@
 
 impl AllowedZones {
     /// Computed from the tasks of the job that are active now.
-    pub fn of(sched: &Sched, job: &Job) -> AllowedZones {
+    pub fn of(sched: &Scheduler, job: &Job) -> AllowedZones {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
             return AllowedZones::All;
         }
         let mut counts: BTreeMap<&Zone, u32> = BTreeMap::new();
-        for live in job.live.values() {
+        for live in job.active.values() {
             match sched.machines.get(&live.host) {
                 Some(machine) if !machine.zone.as_str().is_empty() => {
                     *counts.entry(&machine.zone).or_default() += 1
--- a/src/sched/attempt_places.rs
+++ b/src/sched/attempt_places.rs
@@ -6,7 +6,7 @@
 //! it. It therefore carries a checksum of the attempts that it describes; if that
 //! doesn't match, the places are ignored.
 
-use super::job::Live;
+use super::job::ActiveAttempt;
 use crate::ids::{Build, Host, Zone};
 use serde::{Deserialize, Serialize};
 
@@ -53,7 +53,7 @@
     /// The places of these attempts; none if some place is unknown, or if the encoded
     /// form may take more than `max_bytes`.
     pub fn of<'a>(
-        live: impl Iterator<Item = &'a Live> + Clone,
+        live: impl Iterator<Item = &'a ActiveAttempt> + Clone,
         max_bytes: usize,
     ) -> Option<AttemptPlaces> {
         let mut kinds: Vec<&AttemptPlace> = vec![];
--- a/src/sched/audit.rs
+++ b/src/sched/consistency.rs
@@ -1,17 +1,16 @@
-//! Sums that are kept up as things happen, held against the plain computation.
-
-use super::{Resources, Sched};
+use super::Resources;
+use super::Scheduler;
 use crate::ids::Team;
 use std::collections::BTreeMap;
 
-impl Sched {
+impl Scheduler {
     /// What does not add up; nothing, unless there is a mistake in the code.
-    pub fn audit(&self) -> Vec<String> {
+    pub fn check_totals(&self) -> Vec<String> {
         let mut wrong = vec![];
         let mut by_team: BTreeMap<&Team, Resources> = BTreeMap::new();
         let mut lives = 0;
         for j in self.jobs.values() {
-            for (t, l) in &j.live {
+            for (t, l) in &j.active {
                 *by_team.entry(&j.spec.team).or_default() += j.need;
                 lives += 1;
                 let task = crate::ids::TaskId {
@@ -19,11 +18,11 @@
                     ix: *t,
                 };
                 let m = self.machines.get(&l.host);
-                if !m.is_some_and(|m| m.slots.contains_key(&task)) {
+                if !m.is_some_and(|m| m.allocations.contains_key(&task)) {
                     wrong.push(format!("{task} has no place on {}", l.host));
                 }
             }
-            let listed = j.live.len() as u32 + j.done_count;
+            let listed = j.active.len() as u32 + j.done_count;
             if listed > j.spec.tasks {
                 wrong.push(format!("{}: {listed} of {}", j.id(), j.spec.tasks));
             }
@@ -31,10 +30,10 @@
         let mut slots = 0;
         for m in self.machines.values() {
             let mut used = Resources::default();
-            for s in m.slots.values() {
+            for s in m.allocations.values() {
                 used += s.need;
             }
-            slots += m.slots.len();
+            slots += m.allocations.len();
             if used != m.used {
                 wrong.push(format!("{}: {used} in use, not {}", m.host, m.used));
             }
--- a/src/sched/estimate.rs
+++ b/src/sched/estimate.rs
@@ -13,7 +13,7 @@
     if job.spec.kind == Kind::Service {
         return ENDLESS;
     }
-    Span::secs(job.median.unwrap_or(job.spec.estimate_s))
+    Span::secs(job.median_runtime.unwrap_or(job.spec.estimate_s))
 }
 
 /// The median of these runtimes; none if there are too few to replace the estimate of
--- a/src/sched/fair_share.rs
+++ b/src/sched/fair_share.rs
@@ -9,9 +9,10 @@
 //! in the order. Gangs, services and jobs of a single zone are counted, but not
 //! boosted: other rules place them.
 
+use super::Resources;
+use super::Scheduler;
 use super::job::Job;
 use super::place::is_placed_individually;
-use super::{Resources, Sched};
 use crate::ids::{Class, JobId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use hookworks_fairness::{
@@ -144,15 +145,15 @@
 
 /// The time since which the job has waited for a start of its remaining tasks.
 fn waiting_for_start_since(job: &Job) -> Time {
-    let last_start = job.live.values().map(|live| live.placed).max();
-    last_start.map_or(job.ready, |start| start.max(job.ready))
+    let last_start = job.active.values().map(|live| live.placed).max();
+    last_start.map_or(job.ready_since, |start| start.max(job.ready_since))
 }
 
-impl Sched {
+impl Scheduler {
     /// The longest wait that the objectives of each class allow.
     fn max_wait_by_class(&self) -> BTreeMap<Class, Span> {
         let mut max_waits: BTreeMap<Class, f64> = BTreeMap::new();
-        for objective in &self.cfg.objectives {
+        for objective in &self.config.objectives {
             if let (Some(class), Some(limit_s)) = (&objective.class, objective.within_s) {
                 let longest = max_waits.entry(class.clone()).or_default();
                 *longest = longest.max(limit_s);
@@ -168,24 +169,26 @@
     pub(super) fn record_loaded_jobs(&mut self, now: Time) {
         for job in self.jobs.values().filter(|job| job.needs.is_empty()) {
             let (class, team) = (&job.spec.class, &job.spec.team);
-            self.books.record(now, class, team, JobEvent::Accepted);
-            self.books.record_size(class, job.spec.tasks);
+            self.service_shares
+                .record(now, class, team, JobEvent::Accepted);
+            self.service_shares.record_size(class, job.spec.tasks);
             if job.history.first_start().is_some() {
-                self.books.record(now, class, team, JobEvent::Started);
+                self.service_shares
+                    .record(now, class, team, JobEvent::Started);
             }
         }
     }
 
     pub(super) fn record_job_event(&mut self, now: Time, id: &JobId, event: JobEvent) {
         if let Some(job) = self.jobs.get(id) {
-            self.books
+            self.service_shares
                 .record(now, &job.spec.class, &job.spec.team, event);
             let class = &job.spec.class;
             match event {
-                JobEvent::Accepted => self.books.record_size(class, job.spec.tasks),
+                JobEvent::Accepted => self.service_shares.record_size(class, job.spec.tasks),
                 JobEvent::Started => {
-                    if let Some(largest) = self.books.largest.get_mut(class) {
-                        largest.record_start(job.spec.tasks as u64, now - job.ready);
+                    if let Some(largest) = self.service_shares.largest.get_mut(class) {
+                        largest.record_start(job.spec.tasks as u64, now - job.ready_since);
                     }
                 }
                 _ => {}
@@ -195,20 +198,20 @@
 
     /// Updates the metrics, and decides which groups are below the guaranteed minimum.
     pub(super) fn update_fairness(&mut self, now: Time) {
-        if now < self.books.update_at {
+        if now < self.service_shares.update_at {
             return;
         }
-        self.books.update_at = now + UPDATE_INTERVAL;
+        self.service_shares.update_at = now + UPDATE_INTERVAL;
         let max_waits = self.max_wait_by_class();
         let default_max_wait = Span::secs(DEFAULT_MAX_WAIT_S);
         let mut by_class: BTreeMap<Class, WaitingJobs> = BTreeMap::new();
         let mut by_team: BTreeMap<Team, WaitingJobs> = BTreeMap::new();
         let mut not_started: BTreeMap<Class, Vec<(u64, Span)>> = BTreeMap::new();
         // A job that fails everywhere waits for its user, not for resources.
-        let is_waiting = |job: &&Job| job.pending() > 0 && !job.fails_everywhere();
+        let is_waiting = |job: &&Job| job.pending() > 0 && !job.failed_on_many_machines();
         for job in self.jobs.values().filter(is_waiting) {
             let (tasks, waited) = (job.pending() as u64, now - waiting_for_start_since(job));
-            let age = now - job.ready;
+            let age = now - job.ready_since;
             let max_wait = max_waits
                 .get(&job.spec.class)
                 .copied()
@@ -222,7 +225,7 @@
                 class.push((job.spec.tasks as u64, age));
             }
         }
-        let state = &mut self.books;
+        let state = &mut self.service_shares;
         state.metrics = (
             state.classes.metrics(now, &by_class),
             state.teams.metrics(now, &by_team),
@@ -242,14 +245,17 @@
     /// under a flood with hundreds of such jobs, a part of each at once takes all
     /// writes of the state service, and the leader falls behind.
     fn boost_overtaken(&mut self, now: Time) {
-        let policy = self.books.policy;
+        let policy = self.service_shares.policy;
         let is_waiting = |job: &&Job| {
-            let has_started = job.history.first_start().is_some() || !job.live.is_empty();
-            job.pending() > 0 && !has_started && now >= job.backoff_until && !job.fails_everywhere()
+            let has_started = job.history.first_start().is_some() || !job.active.is_empty();
+            job.pending() > 0
+                && !has_started
+                && now >= job.backoff_until
+                && !job.failed_on_many_machines()
         };
         let boost = |job: &Job| {
             let waiting = job.pending() as u64;
-            policy.boosted_tasks(job.spec.tasks as u64, waiting, now - job.ready) as i64
+            policy.boosted_tasks(job.spec.tasks as u64, waiting, now - job.ready_since) as i64
         };
         let mut overtaken: Vec<(&Job, i64)> = self
             .jobs
@@ -258,7 +264,7 @@
             .map(|job| (job, boost(job)))
             .filter(|(_, tasks)| *tasks > 0)
             .collect();
-        overtaken.sort_by_key(|(job, _)| (job.ready, job.seq));
+        overtaken.sort_by_key(|(job, _)| (job.ready_since, job.seq));
         let fleet_cpu: i64 = self.machines.values().map(|m| m.capacity.cpu).sum();
         let mut budget = (fleet_cpu as f64 * MAX_OVERTAKEN_SHARE) as i64;
         let mut starved = BTreeSet::new();
@@ -267,7 +273,11 @@
                 starved.insert(job.id().clone());
                 budget -= job.need.cpu * job.pending() as i64;
             } else {
-                let boosted = self.books.boosted.entry(job.id().clone()).or_default();
+                let boosted = self
+                    .service_shares
+                    .boosted
+                    .entry(job.id().clone())
+                    .or_default();
                 *boosted = tasks.max(*boosted);
                 budget -= job.need.cpu * tasks;
             }
@@ -275,21 +285,21 @@
                 break;
             }
         }
-        self.books.starved = starved;
+        self.service_shares.starved = starved;
     }
 
     /// Boosts jobs of the classes and teams below the guaranteed minimum, within the
     /// budget of each group.
     fn boost_below_minimum(&mut self) {
-        let policy = self.books.policy;
-        let (classes, teams) = &self.books.metrics;
+        let policy = self.service_shares.policy;
+        let (classes, teams) = &self.service_shares.metrics;
         let mut classes: BTreeMap<Class, i64> =
-            groups_below_minimum(classes, &self.books.below_minimum.0, &policy);
+            groups_below_minimum(classes, &self.service_shares.below_minimum.0, &policy);
         let mut teams: BTreeMap<Team, i64> =
-            groups_below_minimum(teams, &self.books.below_minimum.1, &policy);
-        self.books.below_minimum.0 = classes.keys().cloned().collect();
-        self.books.below_minimum.1 = teams.keys().cloned().collect();
-        self.books.boosted.clear();
+            groups_below_minimum(teams, &self.service_shares.below_minimum.1, &policy);
+        self.service_shares.below_minimum.0 = classes.keys().cloned().collect();
+        self.service_shares.below_minimum.1 = teams.keys().cloned().collect();
+        self.service_shares.boosted.clear();
         if classes.is_empty() && teams.is_empty() {
             return;
         }
@@ -298,7 +308,7 @@
             fleet += machine.capacity;
         }
         for job in self.jobs.values() {
-            let cpu_used = job.need.cpu * job.live.len() as i64;
+            let cpu_used = job.need.cpu * job.active.len() as i64;
             if let Some(amount) = classes.get_mut(&job.spec.class) {
                 *amount += cpu_used;
             }
@@ -316,7 +326,7 @@
         let mut teams = policy.budgets(fleet_part(team_count, class_count), &teams);
         // Those that have waited longest come first.
         let is_waiting = |job: &&Job| {
-            job.pending() > 0 && !is_placed_individually(job) && !job.fails_everywhere()
+            job.pending() > 0 && !is_placed_individually(job) && !job.failed_on_many_machines()
         };
         let mut waiting: Vec<&Job> = self.jobs.values().filter(is_waiting).collect();
         waiting.sort_by_key(|job| (waiting_for_start_since(job), job.seq));
@@ -335,7 +345,7 @@
             *budget -= tasks * need;
             boosted.insert(job.id().clone(), tasks);
         }
-        self.books.boosted = boosted;
+        self.service_shares.boosted = boosted;
     }
 
     /// CPUs used by the team's attempts, counting all that are not proven to have
@@ -359,8 +369,8 @@
             let all: Vec<String> = all.into_iter().map(entry).collect();
             all.join("; ")
         };
-        let overview = self.books.overview();
-        let boosted_jobs = self.books.boosted_jobs().count();
+        let overview = self.service_shares.overview();
+        let boosted_jobs = self.service_shares.boosted_jobs().count();
         let entry = |(name, metrics): (&String, &LargestJobsMetrics)| {
             let (from, begun, waiting) = (metrics.tasks_from, metrics.begun, metrics.waiting);
             let (longest, oldest) = (metrics.longest_s, metrics.oldest_s);
--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -4,9 +4,9 @@
 mod rent;
 
 use super::job::Phase;
-use super::machine::{Life, Machine};
+use super::machine::{Machine, MachineState};
 use super::place::may_run_on;
-use super::{Effect, Sched};
+use super::{Effect, Scheduler};
 use crate::ids::{Build, Epoch, Host, JobId, Label, TaskId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::cloud::{Hire, Listed};
@@ -195,7 +195,7 @@
     Span::secs(boot_s * 2.5 + 10.0)
 }
 
-impl Sched {
+impl Scheduler {
     /// Rents machines for tasks that lack resources, and returns idle ones.
     pub(super) fn plan_fleet(&mut self, now: Time) {
         if !self.may_start(now) {
@@ -238,7 +238,7 @@
         let rented = Time(now.0.saturating_sub(Span::secs(listed.age_s).0));
         let (host, build, zone) = (&listed.host, listed.build.clone(), listed.zone.clone());
         let mut machine = Machine::new(host.clone(), build, zone, listed.spot, rented, token);
-        machine.answered = self.latest_lease_renewal(now);
+        machine.last_renewal = self.latest_lease_renewal(now);
         self.machines.insert(host.clone(), machine);
     }
 
@@ -247,79 +247,80 @@
         let Some(machine) = self.machines.get_mut(&listed.host) else {
             return false;
         };
-        if !machine.reported {
+        if !machine.has_reported {
             // Loaded attempts name a machine, but not its type and zone.
             machine.build = listed.build.clone();
             machine.zone = listed.zone.clone();
             machine.spot = listed.spot;
-            if let Some(flavor) = self.flavors.get(&machine.build) {
-                machine.set_flavor(flavor);
+            if let Some(flavor) = self.machine_types.get(&machine.build) {
+                machine.set_machine_type(flavor);
             }
         }
-        machine.certain = true;
+        machine.existence_confirmed = true;
         if machine.addr.is_none() {
             machine.addr = listed.addr.clone();
         }
-        self.fences.bound(machine);
-        if listed.status == "failed" && !matches!(machine.life, Life::Leaving { .. }) {
+        self.fences.bound_machine_times(machine);
+        if listed.status == "failed" && !matches!(machine.state, MachineState::Leaving { .. }) {
             tracing::info!(host = %machine.host, "machine failed in the cloud; returning it");
-            machine.life = Life::Leaving { next: now };
+            machine.state = MachineState::Leaving { next: now };
         }
-        listed.status == "running" && !machine.reported
+        listed.status == "running" && !machine.has_reported
     }
 
     /// The latest time at which an earlier leader may have renewed the lease of a
     /// worker that this leader has just met: an earlier leader may continue for a while
     /// after this one began.
     pub(super) fn latest_lease_renewal(&self, now: Time) -> Time {
-        now.max(self.began + self.cfg.report_grace())
+        now.max(self.leading_since + self.config.report_grace())
     }
 
     /// Gives up machines without heartbeats and machines that never came up, and evicts
     /// tasks from machines that are about to be reclaimed.
     pub(super) fn watch_machines(&mut self, now: Time) {
-        self.look_at_zones(now);
+        self.update_zones(now);
         let lease_bound = self.lease_bound();
         let silence = self.silence(now);
-        let kept_zones: HashSet<Zone> = self.kept_zones(now);
+        let kept_zones: HashSet<Zone> = self.retained_zones(now);
         let mut expired: Vec<Host> = vec![];
         let mut to_evict: Vec<TaskId> = vec![];
         for machine in self.machines.values_mut() {
             let zone_kept = kept_zones.contains(&machine.zone);
-            let has_worker = machine.life != Life::Booting;
-            match machine.life {
-                Life::Booting => {
-                    let boot_s = self.flavors.get(&machine.build).map(|f| f.boot_s);
+            let has_worker = machine.state != MachineState::Booting;
+            match machine.state {
+                MachineState::Booting => {
+                    let boot_s = self.machine_types.get(&machine.build).map(|f| f.boot_s);
                     let limit = boot_timeout(boot_s.unwrap_or(DEFAULT_BOOT_S));
                     // A new leader has not received a heartbeat yet from machines that
                     // are up.
-                    if now - machine.hired > limit && !zone_kept && silence.settled {
+                    if now - machine.rented_at > limit && !zone_kept && silence.settled {
                         tracing::info!(host = %machine.host, "machine did not come up in time; returning it");
-                        machine.life = Life::Leaving { next: now };
+                        machine.state = MachineState::Leaving { next: now };
                     }
                 }
-                Life::Up => {
+                MachineState::Up => {
                     machine.end_quarantine(now);
                     // After its zone returns, a machine has as long as any other to
                     // report.
-                    let returned = self.watch.zones.returned(&machine.zone);
-                    let last_heartbeat = machine.heard.max(returned).max(silence.resumed_at);
-                    let route_may_be_lost = self.fleet.route_may_be_lost(now, &machine.via);
+                    let returned = self.zone_monitor.zones.returned_at(&machine.zone);
+                    let last_heartbeat =
+                        machine.last_heartbeat.max(returned).max(silence.resumed_at);
+                    let route_may_be_lost = self.fleet.route_may_be_lost(now, &machine.relayed_by);
                     let is_silent = now - last_heartbeat > silence.limit_for(route_may_be_lost)
                         && silence.is_machine_fault;
-                    let is_reclaimed = machine.notice_until.is_some_and(|until| now > until)
+                    let is_reclaimed = machine.spot_notice_until.is_some_and(|until| now > until)
                         && now - last_heartbeat > RECLAIMED_AFTER_SILENCE;
                     if (is_silent && !zone_kept) || is_reclaimed {
-                        tracing::info!(host = %machine.host, tasks = machine.slots.len(), "no heartbeat from machine; returning it");
-                        machine.life = Life::Leaving { next: now };
+                        tracing::info!(host = %machine.host, tasks = machine.allocations.len(), "no heartbeat from machine; returning it");
+                        machine.state = MachineState::Leaving { next: now };
                     }
-                    if machine.notice_until.is_some() {
-                        to_evict.extend(machine.slots.keys().cloned());
+                    if machine.spot_notice_until.is_some() {
+                        to_evict.extend(machine.allocations.keys().cloned());
                     }
                 }
-                Life::Leaving { .. } => {}
+                MachineState::Leaving { .. } => {}
             }
-            if has_worker && now > machine.answered + lease_bound {
+            if has_worker && now > machine.last_renewal + lease_bound {
                 expired.push(machine.host.clone());
             }
         }
@@ -333,21 +334,23 @@
 
     /// How missing heartbeats are judged at the moment.
     fn silence(&self, now: Time) -> Silence {
-        let workers = &self.cfg.workers;
+        let workers = &self.config.workers;
         let heartbeats_s = workers.report_s * 1.25 * 2.0 + 2.0;
-        let share_of_lease_s = workers.lease_s * self.cfg.tuning.silent_share;
+        let share_of_lease_s = workers.lease_s * self.config.tuning.silent_share;
         let limit = Span::secs(share_of_lease_s.max(heartbeats_s));
         // Machines of silent zones are judged by zone and not counted here.
         let watched = |machine: &&Machine| {
-            machine.life == Life::Up && machine.certain && !self.watch.silent(&machine.zone)
+            machine.state == MachineState::Up
+                && machine.existence_confirmed
+                && !self.zone_monitor.is_silent(&machine.zone)
         };
-        let resumed_at = self.awake;
-        let is_silent = |machine: &&Machine| now - machine.heard.max(resumed_at) > limit;
+        let resumed_at = self.resumed_at;
+        let is_silent = |machine: &&Machine| now - machine.last_heartbeat.max(resumed_at) > limit;
         let watched_count = self.machines.values().filter(watched).count();
         let silent_machines = self.machines.values().filter(watched).filter(is_silent);
         // If most machines are silent at once, the fault is likely on this side.
         let is_own_fault = watched_count > 2 && silent_machines.count() * 2 > watched_count;
-        let settled = now - self.began.max(resumed_at) > limit;
+        let settled = now - self.leading_since.max(resumed_at) > limit;
         Silence {
             limit,
             limit_route_lost: limit.max(Span::secs(workers.lease_s)),
@@ -362,25 +365,25 @@
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        machine.answered = now;
-        machine.reported = false;
+        machine.last_renewal = now;
+        machine.has_reported = false;
         // An unreachable machine that still reports is handled in `return_idle`.
-        let failed = machine.life == Life::Up && machine.unreachable_since.is_none();
+        let failed = machine.state == MachineState::Up && machine.unreachable_since.is_none();
         let zone = machine.zone.clone();
-        let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+        let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         // The machines of a lost zone are kept for new sessions when the zone is back.
         if failed
-            && !self.keeps_zone(now, &zone)
+            && !self.retains_zone(now, &zone)
             && let Some(machine) = self.machines.get_mut(host)
         {
-            machine.life = Life::Leaving { next: now };
+            machine.state = MachineState::Leaving { next: now };
         }
-        self.watch.ended(&zone, tasks.len());
+        self.zone_monitor.note_lease_expired(&zone, tasks.len());
         if !tasks.is_empty() {
             tracing::info!(%host, tasks = tasks.len(), "worker lease expired; its tasks restart");
         }
         for task in tasks {
-            self.gone_by(now, &task, Some(Failure::Lost), false);
+            self.attempt_gone_with(now, &task, Some(Failure::Lost), false);
         }
     }
 
@@ -390,11 +393,11 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get(&task.ix) else {
+        let Some(live) = job.active.get(&task.ix) else {
             return;
         };
         let machine = self.machines.get(&live.host);
-        let Some(until) = machine.and_then(|machine| machine.notice_until) else {
+        let Some(until) = machine.and_then(|machine| machine.spot_notice_until) else {
             return;
         };
         if live.stop.is_some() {
@@ -406,9 +409,9 @@
         let saves_now = saves && now + margin >= until;
         match kind {
             // A service is moved while its machine is still up.
-            Kind::Service => self.stop(now, &task.job, task.ix, save_s + 1.0),
+            Kind::Service => self.stop_attempt(now, &task.job, task.ix, save_s + 1.0),
             Kind::Gang if saves_now => self.stop_gang(now, &task.job),
-            Kind::Array if saves_now => self.stop(now, &task.job, task.ix, save_s + 1.0),
+            Kind::Array if saves_now => self.stop_attempt(now, &task.job, task.ix, save_s + 1.0),
             Kind::Gang | Kind::Array => {}
         }
     }
@@ -421,21 +424,21 @@
         job.errors += 1;
         job.error_hosts.insert(host.clone());
         let done_elsewhere = job.done_count > 0;
-        if job.fails_everywhere() {
+        if job.failed_on_many_machines() {
             return self.job_fails_everywhere(now, &task.job);
         }
         let Some(machine) = self.machines.get_mut(host) else {
             return;
         };
-        machine.fails += 1;
-        machine.fail_jobs.insert(task.job.clone());
-        machine.rest_until = now + FAILED_TASK_BACKOFF;
-        let machine_at_fault = machine.fail_jobs.len() > 1 || done_elsewhere;
-        if machine.fails >= MAX_ERRORS_IN_A_ROW && machine_at_fault && !machine.quarantined {
-            tracing::info!(%host, fails = machine.fails, "quarantined");
+        machine.failures += 1;
+        machine.failed_jobs.insert(task.job.clone());
+        machine.backoff_until = now + FAILED_TASK_BACKOFF;
+        let machine_at_fault = machine.failed_jobs.len() > 1 || done_elsewhere;
+        if machine.failures >= MAX_ERRORS_IN_A_ROW && machine_at_fault && !machine.quarantined {
+            tracing::info!(%host, fails = machine.failures, "quarantined");
             machine.quarantined = true;
             machine.quarantined_at = now;
-            self.forgive(host);
+            self.discard_failures_on(host);
         }
     }
 
@@ -450,8 +453,8 @@
         job.backoff_until = now + Span::secs(backoff_s);
         tracing::info!(job = %id, pause = backoff_s, "job fails on every machine; backing off");
         for machine in self.machines.values_mut() {
-            if machine.fail_jobs.remove(id) && machine.fail_jobs.is_empty() {
-                machine.fails = 0;
+            if machine.failed_jobs.remove(id) && machine.failed_jobs.is_empty() {
+                machine.failures = 0;
                 machine.quarantined = false;
             }
         }
@@ -462,8 +465,8 @@
         let headroom = self.headroom(now);
         let mut free = self.free_capacity(now);
         let is_idle = |machine: &&Machine| {
-            let up = machine.life == Life::Up && machine.reported;
-            up && !machine.shut && machine.slots.is_empty()
+            let up = machine.state == MachineState::Up && machine.has_reported;
+            up && !machine.closed && machine.allocations.is_empty()
         };
         let idle = self.machines.values().filter(is_idle);
         let mut idle: Vec<(bool, Time, Host)> = idle
@@ -475,7 +478,7 @@
             let Some(machine) = self.machines.get(&host) else {
                 continue;
             };
-            let mut unusable = machine.quarantined || machine.notice_until.is_some();
+            let mut unusable = machine.quarantined || machine.spot_notice_until.is_some();
             if let Some(since) = machine.unreachable_since {
                 let silent_for_long = now - since >= self.lease_bound() + self.lease_bound();
                 if !silent_for_long || now < self.fleet.return_unreachable_at {
@@ -499,19 +502,19 @@
             }
             tracing::info!(%host, spot, "returning idle or unusable machine");
             if let Some(machine) = self.machines.get_mut(&host) {
-                machine.life = Life::Leaving { next: now };
+                machine.state = MachineState::Leaving { next: now };
             }
         }
     }
 
     fn idle_timeout_expired(&self, now: Time, machine: &Machine) -> bool {
-        let tuning = &self.cfg.tuning;
+        let tuning = &self.config.tuning;
         let limit_s = if machine.spot {
             tuning.idle_spot_s
         } else {
             tuning.idle_s
         };
-        now - machine.idle_since > Span::secs(limit_s) && now - machine.hired > MIN_PAID_TIME
+        now - machine.idle_since > Span::secs(limit_s) && now - machine.rented_at > MIN_PAID_TIME
     }
 
     /// Whether some job that lacks resources could use the machine.
@@ -528,7 +531,7 @@
     fn request_returns(&mut self, now: Time) {
         let mut hosts = vec![];
         for machine in self.machines.values_mut() {
-            if let Life::Leaving { next } = &mut machine.life
+            if let MachineState::Leaving { next } = &mut machine.state
                 && now >= *next
                 && hosts.len() < MAX_RETURNS_PER_REQUEST
             {
@@ -537,7 +540,7 @@
             }
         }
         if !hosts.is_empty() {
-            self.out.push(Effect::Release(hosts));
+            self.effects.push(Effect::Release(hosts));
         }
     }
 
@@ -551,15 +554,15 @@
             let Some(machine) = self.machines.get(&host) else {
                 continue;
             };
-            if !matches!(machine.life, Life::Leaving { .. }) {
+            if !matches!(machine.state, MachineState::Leaving { .. }) {
                 continue;
             }
             let zone = machine.zone.clone();
-            let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+            let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
             for task in tasks {
-                self.gone_by(now, &task, Some(Failure::Lost), false);
+                self.attempt_gone_with(now, &task, Some(Failure::Lost), false);
             }
-            self.watch.given_back(&zone);
+            self.zone_monitor.note_released(&zone);
             self.machines.remove(&host);
             self.fleet.returned.insert(host);
         }
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -2,14 +2,11 @@
 //! rental requests are answered.
 
 use super::{MachineKind, PendingRental};
-use crate::ids::{Build, Host, Team, Zone};
-use crate::sched::allowed_zones::AllowedZones;
-use crate::sched::job::Job;
-use crate::sched::machine::{Life, Machine};
-use crate::sched::{Effect, HireResult, Resources, Sched};
-use crate::time::{Span, Time};
-use crate::wire::cloud::{Flavor, Hire};
-use std::collections::BTreeMap;
+use crate::sched::Effect;
+use crate::sched::RentalResult;
+use crate::sched::Resources;
+use crate::sched::Scheduler;
+use crate::sched::machine::MachineState;
 
 /// A kind of machine that was refused is not requested again for this time.
 pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
@@ -63,13 +60,13 @@
     kind: MachineKind,
 }
 
-impl Sched {
+impl Scheduler {
     /// Retries the rental requests that had no answer, when they are due.
     pub(super) fn repeat_rental_requests(&mut self, now: Time) {
         for pending in self.fleet.requests.values_mut() {
             if pending.retry_at.is_some_and(|at| now >= at) {
                 pending.retry_at = None;
-                self.out.push(Effect::Hire(pending.request.clone()));
+                self.effects.push(Effect::Rent(pending.request.clone()));
             }
         }
     }
@@ -185,7 +182,7 @@
 
     fn request_machines(&mut self, now: Time, kind: MachineKind, machines: f64) {
         // Rentals in a zone that has just returned are increased gradually.
-        let open_share = self.watch.open(now, &kind.zone);
+        let open_share = self.zone_monitor.usable_share(now, &kind.zone);
         let max = (MAX_MACHINES_PER_REQUEST as f64 * open_share).ceil() as u32;
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
         self.fleet.last_request_number += 1;
@@ -199,7 +196,7 @@
         };
         tracing::info!(request = %name, build = %request.build, zone = %request.zone,
             spot = request.spot, count, "renting");
-        self.out.push(Effect::Hire(request.clone()));
+        self.effects.push(Effect::Rent(request.clone()));
         let pending = PendingRental {
             request,
             retry_at: None,
@@ -212,7 +209,8 @@
     /// shows yet. Until the cloud's lists show everything that was rented before this
     /// leadership, machines are rented only for jobs submitted since.
     fn may_be_rented_already(&self, now: Time, job: &Job) -> bool {
-        job.seq < self.fleet.first_submitted_seq && now < self.began + self.cfg.oldest_list
+        job.seq < self.fleet.first_submitted_seq
+            && now < self.leading_since + self.config.max_list_age
     }
 
     /// The expected capacity by kind: machines that boot or are requested, and
@@ -221,7 +219,7 @@
         let mut all: BTreeMap<MachineKind, ExpectedCapacity> = BTreeMap::new();
         for pending in self.fleet.requests.values() {
             let request = &pending.request;
-            if self.watch.silent(&request.zone) {
+            if self.zone_monitor.is_silent(&request.zone) {
                 continue;
             }
             let expected = all.entry(MachineKind::of_request(request)).or_default();
@@ -230,7 +228,7 @@
         }
         for machine in self.machines.values() {
             // No capacity is expected in a silent zone.
-            if self.watch.silent(&machine.zone) {
+            if self.zone_monitor.is_silent(&machine.zone) {
                 continue;
             }
             let on_machine = self.expected_on_machine(now, machine);
@@ -244,38 +242,38 @@
     }
 
     fn expected_on_machine(&self, now: Time, machine: &Machine) -> ExpectedCapacity {
-        match machine.life {
-            Life::Booting => ExpectedCapacity {
+        match machine.state {
+            MachineState::Booting => ExpectedCapacity {
                 machines: 1.0,
                 empty_machines: 1.0,
             },
-            Life::Up if machine.shut => ExpectedCapacity {
+            MachineState::Up if machine.closed => ExpectedCapacity {
                 machines: machine
                     .free()
                     .at_least_zero()
                     .dominant_share_of(&machine.capacity),
-                empty_machines: machine.slots.is_empty() as u8 as f64,
+                empty_machines: machine.allocations.is_empty() as u8 as f64,
             },
-            Life::Up if machine.notice_until.is_none() && machine.capacity.cpu > 0 => {
+            MachineState::Up if machine.spot_notice_until.is_none() && machine.capacity.cpu > 0 => {
                 self.freed_soon(now, machine)
             }
-            Life::Up | Life::Leaving { .. } => ExpectedCapacity::default(),
+            MachineState::Up | MachineState::Leaving { .. } => ExpectedCapacity::default(),
         }
     }
 
     /// The capacity that tasks of a machine free before one rented now would be up.
     fn freed_soon(&self, now: Time, machine: &Machine) -> ExpectedCapacity {
-        let boot_wait = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+        let boot_wait = Span::secs(self.boot_s(&machine.build) * self.config.tuning.wait_share);
         let mut freed = Resources::default();
         let mut staying = 0;
-        for allocation in machine.slots.values() {
+        for allocation in machine.allocations.values() {
             if allocation.ends_within(now, boot_wait) {
                 freed += allocation.need;
             } else {
                 staying += 1;
             }
         }
-        let empties = staying == 0 && !machine.slots.is_empty();
+        let empties = staying == 0 && !machine.allocations.is_empty();
         ExpectedCapacity {
             machines: freed.dominant_share_of(&machine.capacity),
             empty_machines: empties as u8 as f64,
@@ -297,7 +295,7 @@
             demand.is_none_or(|(demand, allowed)| suits(*demand, allowed, kind))
         };
         let mut kinds = vec![];
-        for machine_type in self.flavors.values() {
+        for machine_type in self.machine_types.values() {
             let tasks = Resources::of_machine_type(machine_type).tasks_that_fit(need);
             if tasks == 0 {
                 continue;
@@ -330,7 +328,7 @@
         for zone in machine_type
             .zones
             .iter()
-            .filter(|zone| !self.watch.silent(zone))
+            .filter(|zone| !self.zone_monitor.is_silent(zone))
         {
             let spot = machine_type.spot_price.map(|price| (true, price));
             for (spot, price) in spot.into_iter().chain([(false, machine_type.price)]) {
@@ -349,7 +347,7 @@
 
     fn machines_by_zone(&self) -> BTreeMap<Zone, usize> {
         let mut machines = BTreeMap::new();
-        for machine in self.machines.values().filter(|machine| !machine.shut) {
+        for machine in self.machines.values().filter(|machine| !machine.closed) {
             *machines.entry(machine.zone.clone()).or_default() += 1;
         }
         machines
@@ -357,13 +355,13 @@
 
     /// The boot time of a machine of that type, in seconds.
     pub(in crate::sched) fn boot_s(&self, build: &Build) -> f64 {
-        self.flavors
+        self.machine_types
             .get(build)
             .map_or(0.0, |machine_type| machine_type.boot_s)
     }
 
     fn tasks_per_machine(&self, kind: &MachineKind, need: &Resources) -> f64 {
-        let machine_type = self.flavors.get(&kind.build);
+        let machine_type = self.machine_types.get(&kind.build);
         machine_type.map_or(0.0, |machine_type| {
             Resources::of_machine_type(machine_type).tasks_that_fit(need) as f64
         })
@@ -400,7 +398,7 @@
         let kinds = self.kinds_for(now, &least_task, None, &self.machines_by_zone());
         let mut kinds = kinds.into_iter().map(|priced| priced.kind);
         let kind = kinds.find(|kind| !lacks_ordinary || !kind.spot)?;
-        let capacity = Resources::of_machine_type(self.flavors.get(&kind.build)?);
+        let capacity = Resources::of_machine_type(self.machine_types.get(&kind.build)?);
         let lacking = if lacks_ordinary {
             headroom.plain.minus(&free.plain)
         } else {
@@ -414,11 +412,11 @@
         &mut self,
         now: Time,
         request: Hire,
-        result: HireResult,
+        result: RentalResult,
     ) {
         let kind = MachineKind::of_request(&request);
         match result {
-            HireResult::Ok(hosts) => {
+            RentalResult::Ok(hosts) => {
                 self.fleet.requests.remove(&request.name);
                 let rented = hosts.len() as u32;
                 if rented < request.count {
@@ -435,19 +433,19 @@
                     self.rent(now);
                 }
             }
-            HireResult::NoCapacity => {
+            RentalResult::NoCapacity => {
                 tracing::info!(request = %request.name, zone = %request.zone, spot = request.spot, "cloud has no capacity for the rental request");
                 self.fleet.requests.remove(&request.name);
                 self.fleet.refused.insert(kind, now);
                 // The next kind is requested at once.
                 self.rent(now);
             }
-            HireResult::Invalid => {
+            RentalResult::Invalid => {
                 tracing::warn!(request = %request.name, "cloud refused the rental request as invalid");
                 self.fleet.requests.remove(&request.name);
                 self.fleet.refused.insert(kind, now);
             }
-            HireResult::Busy | HireResult::Unclear => {
+            RentalResult::Busy | RentalResult::Unclear => {
                 if let Some(pending) = self.fleet.requests.get_mut(&request.name) {
                     pending.retries += 1;
                     let delay_s = pending.retries.min(MAX_RETRY_DELAY_S);
@@ -459,20 +457,20 @@
 
     fn add_rented(&mut self, now: Time, host: Host, request: &Hire) {
         let token = self.base_token();
-        let flavor = self.flavors.get(&request.build);
+        let flavor = self.machine_types.get(&request.build);
         let machine = self.machines.entry(host.clone()).or_insert_with(|| {
             let (build, zone) = (request.build.clone(), request.zone.clone());
             let mut machine = Machine::new(host, build, zone, request.spot, now, token);
             if let Some(flavor) = flavor {
-                machine.set_flavor(flavor);
+                machine.set_machine_type(flavor);
             }
             machine
         });
         // No other leader has sent commands to it. It may have reported before this
         // answer came; nothing was placed on it until now.
-        self.replan |= machine.reported && !machine.certain;
-        machine.certain = true;
-        machine.in_term = true;
+        self.replan |= machine.has_reported && !machine.existence_confirmed;
+        machine.existence_confirmed = true;
+        machine.session_confirmed = true;
     }
 }
 
@@ -487,3 +485,11 @@
         && (spec.spot || !kind.spot)
         && allowed.contains(&kind.zone)
 }
+
+use crate::ids::{Build, Host, Team, Zone};
+use crate::sched::allowed_zones::AllowedZones;
+use crate::sched::job::Job;
+use crate::sched::machine::{Life, Machine};
+use crate::time::{Span, Time};
+use crate::wire::cloud::{Flavor, Hire};
+use std::collections::BTreeMap;
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -1,10 +1,10 @@
 //! Gang scheduling: resources for all tasks are reserved before the first task starts,
 //! all tasks share one attempt number, and they end together.
 
-use super::Sched;
+use super::Scheduler;
 use super::fleet::Shortage;
-use super::job::{Job, Live, Phase};
-use super::machine::{ENDLESS, Life, Machine};
+use super::job::{ActiveAttempt, Job, Phase};
+use super::machine::{ENDLESS, Machine, MachineState};
 use super::order::Order;
 use super::place::{Candidate, JobView, Score, may_run_on};
 use crate::ids::{Attempt, Host, JobId, Zone};
@@ -44,7 +44,7 @@
     hosts: Vec<Host>,
 }
 
-impl Sched {
+impl Scheduler {
     /// Starts the whole gang, or replaces lost members of a gang that has not run yet.
     /// Returns the tasks that lack resources.
     pub(super) fn place_gang(
@@ -64,7 +64,7 @@
         {
             return None;
         }
-        if let Some(live) = job.live.values().next() {
+        if let Some(live) = job.active.values().next() {
             let attempt = live.attempt;
             if !takes_replacement(job, attempt) {
                 return None;
@@ -155,11 +155,15 @@
         let max_age = self.max_heartbeat_age();
         let view = JobView::of(self, now, job, order, false);
         let mut suitable = vec![];
-        for machine in self.machines.values().filter(|m| m.open(now, max_age)) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|m| m.accepts_tasks(now, max_age))
+        {
             let candidate = Candidate {
                 machine,
                 free: machine.free(),
-                remaining: machine.remaining(now),
+                remaining: machine.remaining_range(now),
                 reserved: reserved.contains(&machine.host),
             };
             if let Some(score) = view.score(&candidate) {
@@ -200,14 +204,17 @@
         for machine in self.machines.values() {
             let is_reserved = reserved.contains(&machine.host)
                 && !(waited_too_long && machine.reservation_expired(now));
-            if !may_run_on(&job.spec, machine) || is_reserved || self.watch.silent(&machine.zone) {
+            if !may_run_on(&job.spec, machine)
+                || is_reserved
+                || self.zone_monitor.is_silent(&machine.zone)
+            {
                 continue;
             }
             if let Some(soon_free) = self.soon_free(now, job, machine) {
                 zones.entry(&machine.zone).or_default().push(soon_free);
             }
         }
-        let rentable = self.flavors.values().flat_map(|flavor| &flavor.zones);
+        let rentable = self.machine_types.values().flat_map(|flavor| &flavor.zones);
         let is_allowed = |zone: &&Zone| job.spec.zone.as_ref().is_none_or(|only| only == *zone);
         for zone in rentable.filter(is_allowed) {
             zones.entry(zone).or_default();
@@ -224,21 +231,23 @@
             after,
             tasks,
         };
-        if machine.life == Life::Booting {
+        if machine.state == MachineState::Booting {
             return Some(soon_free(ENDLESS, tasks_if_empty));
         }
-        if !machine.open(now, self.max_heartbeat_age()) {
+        if !machine.accepts_tasks(now, self.max_heartbeat_age()) {
             return None;
         }
         let free_tasks = machine.free().tasks_that_fit(&job.need);
         if free_tasks > 0 {
             return Some(soon_free(Span::ZERO, free_tasks));
         }
-        let boot_wait = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
-        let empty_after = machine.remaining(now).map_or(Span::ZERO, |(_, high)| high);
+        let boot_wait = Span::secs(self.boot_s(&machine.build) * self.config.tuning.wait_share);
+        let empty_after = machine
+            .remaining_range(now)
+            .map_or(Span::ZERO, |(_, high)| high);
         let any_overran = || {
             machine
-                .slots
+                .allocations
                 .values()
                 .any(|slot| slot.overran_estimate(now))
         };
@@ -253,7 +262,7 @@
         if job.spec.kind != Kind::Gang {
             return;
         }
-        if job.live.is_empty() {
+        if job.active.is_empty() {
             job.gang_ran = false;
         } else if job.gang_ran {
             self.stop_members(now, id, 0.0);
@@ -273,10 +282,10 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let running = job.live.iter().filter(|(_, live)| live.stop.is_none());
+        let running = job.active.iter().filter(|(_, live)| live.stop.is_none());
         let tasks: Vec<_> = running.map(|(task, _)| *task).collect();
         for task in tasks {
-            self.stop(now, id, task, grace_s);
+            self.stop_attempt(now, id, task, grace_s);
         }
     }
 }
@@ -285,10 +294,10 @@
 /// while the gang has not run. In any other case all its attempts must end first.
 fn takes_replacement(job: &Job, attempt: Attempt) -> bool {
     // After a failover it isn't known yet whether an attempt waits or has run.
-    let state_known = |live: &Live| !(live.sent && live.phase == Phase::Placed);
+    let state_known = |live: &ActiveAttempt| !(live.run_sent && live.phase == Phase::Placed);
     let is_waiting =
-        |live: &Live| live.stop.is_none() && live.attempt == attempt && state_known(live);
-    !job.gang_ran && job.live.values().all(is_waiting)
+        |live: &ActiveAttempt| live.stop.is_none() && live.attempt == attempt && state_known(live);
+    !job.gang_ran && job.active.values().all(is_waiting)
 }
 
 /// Assigns the tasks to the machines in their order, only in one zone if it is given;
--- a/src/sched/headroom.rs
+++ b/src/sched/headroom.rs
@@ -1,9 +1,10 @@
 //! Headroom: capacity kept free for classes that require quick starts, sized from their
 //! recent arrivals, and the free capacity above it.
 
+use super::Resources;
+use super::Scheduler;
 use super::job::Job;
 use super::machine::Machine;
-use super::{Resources, Sched};
 use crate::ids::Class;
 use crate::time::{Span, Time};
 use std::collections::{HashMap, VecDeque};
@@ -120,21 +121,21 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Updates the quick classes: those with an objective for waiting that is shorter
     /// than any machine boots. Known once the machine types are.
     pub(super) fn update_quick_classes(&mut self) {
         let boot_times = self
-            .flavors
+            .machine_types
             .values()
             .map(|machine_type| machine_type.boot_s * FASTEST_BOOT_SHARE);
         let fastest_boot_s = boot_times.fold(f64::INFINITY, f64::min);
         let objectives = self
-            .cfg
+            .config
             .objectives
             .iter()
             .filter(|objective| objective.kind == "wait");
-        self.quick = objectives
+        self.fast_start_classes = objectives
             .filter(|objective| {
                 fastest_boot_s.is_finite()
                     && objective
@@ -146,19 +147,23 @@
     }
 
     pub(super) fn is_quick(&self, class: &Class) -> bool {
-        self.quick.contains(class)
+        self.fast_start_classes.contains(class)
     }
 
     /// Capacity kept free for quick classes.
     pub(super) fn headroom(&self, now: Time) -> FreeCapacity {
-        self.arrivals.headroom(now, self.cfg.tuning.headroom)
+        self.arrivals.headroom(now, self.config.tuning.headroom)
     }
 
     /// All capacity that is free now.
     pub(super) fn free_capacity(&self, now: Time) -> FreeCapacity {
         let max_age = self.max_heartbeat_age();
         let mut free = FreeCapacity::default();
-        for machine in self.machines.values().filter(|m| m.open(now, max_age)) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|m| m.accepts_tasks(now, max_age))
+        {
             free.add(machine);
         }
         free
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -1,14 +1,9 @@
 //! The order in which jobs are served, computed once for each pass.
 
+use super::Resources;
+use super::Scheduler;
+use super::estimate;
 use super::fleet::Shortage;
-use super::inheritance::LATE_FACTOR;
-use super::job::Job;
-use super::{Resources, Sched, estimate};
-use crate::ids::{JobId, Team};
-use crate::settings::Objective;
-use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
-use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Weight of the time for which a job would fill the fleet; it counts against the job.
 const WORK_WEIGHT: f64 = 12.0;
@@ -59,15 +54,15 @@
     /// tasks of jobs below the guaranteed minimum come first; such jobs have a second
     /// turn at their own position. The second value is the number of turns before that
     /// of the job at which the last pass stopped.
-    pub fn turns(&self, sched: &Sched, now: Time) -> (Vec<Turn>, usize) {
+    pub fn turns(&self, sched: &Scheduler, now: Time) -> (Vec<Turn>, usize) {
         let may_start = |j: &&Job| j.pending() > 0 && now >= j.backoff_until;
         let boosted = sched
-            .books
+            .service_shares
             .boosted_jobs()
             .filter_map(|id| sched.jobs.get(id));
         let boosted = boosted.filter(may_start).map(|j| Turn {
             job: j.id().clone(),
-            max_tasks: sched.books.boosted_tasks(j.id()),
+            max_tasks: sched.service_shares.boosted_tasks(j.id()),
             boosted: true,
         });
         let waiting = sched.jobs.values().filter(may_start);
@@ -77,11 +72,11 @@
         ranked.sort_by(|a, b| a.0.partial_cmp(b.0).unwrap_or(std::cmp::Ordering::Equal));
         // A job that fails everywhere is tried with one task at a time: with all of its
         // tasks it takes machines from others, and fetches its image on each, in vain.
-        let tried_singly = |j: &&Job| j.fails_everywhere() && !j.has_healthy_task(now);
-        let remaining = |j: &Job| 1 - j.live.len().min(1) as i64;
+        let tried_singly = |j: &&Job| j.failed_on_many_machines() && !j.has_healthy_task(now);
+        let remaining = |j: &Job| 1 - j.active.len().min(1) as i64;
         let max_tasks = |id: &JobId| sched.jobs.get(id).filter(tried_singly).map(remaining);
         // Continues where the last pass stopped, after the urgent jobs.
-        let start = sched.goes_on_at.as_ref();
+        let start = sched.resume_pass_at.as_ref();
         let start = start.and_then(|id| ranked.iter().position(|entry| entry.1 == id));
         let (before, following) = ranked.split_at(start.unwrap_or(0));
         let (urgent, others): (Vec<_>, Vec<_>) = before
@@ -97,7 +92,7 @@
         let mut all_turns: Vec<Turn> = boosted.collect();
         let turns_ahead = all_turns.len() + urgent_count;
         all_turns.extend(turns);
-        if sched.stuck {
+        if sched.pass_stalled {
             all_turns.rotate_left(turns_ahead);
             return (all_turns, 0);
         }
@@ -105,16 +100,16 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     pub(super) fn job_order(&self, now: Time) -> Order {
         let within_guarantee = self.jobs_within_guarantee();
         let mut capacity = Resources::default();
-        for machine in self.machines.values().filter(|machine| !machine.shut) {
+        for machine in self.machines.values().filter(|machine| !machine.closed) {
             capacity += machine.capacity;
         }
         let rank = |job: &Job| {
             let within_guarantee = within_guarantee.contains(job.id());
-            let starved = self.books.is_starved(job.id());
+            let starved = self.service_shares.is_starved(job.id());
             let tier = match job.priority() {
                 _ if starved => 0,
                 Priority::Production => 0,
@@ -137,7 +132,7 @@
                 },
             )
         };
-        let in_order = |job: &&Job| job.needs.is_empty() || !job.live.is_empty();
+        let in_order = |job: &&Job| job.needs.is_empty() || !job.active.is_empty();
         let ranks = self.jobs.values().filter(in_order).map(rank).collect();
         let ordinary_machines_wanted = self
             .jobs
@@ -193,7 +188,7 @@
         let run_s = estimate::of(job).as_secs();
         let run_s = if run_s > 1e9 { 0.0 } else { run_s };
         let arrived_s = job.arrived.0 as f64 / 1e6;
-        let ready_s = job.ready.0 as f64 / 1e6;
+        let ready_s = job.ready_since.0 as f64 / 1e6;
         let now_s = now.0 as f64 / 1e6;
         let mut earliest_s = f64::INFINITY;
         let mut consider = |start_s: f64| {
@@ -210,7 +205,7 @@
         for due in [inherited.in_time, inherited.late].into_iter().flatten() {
             consider(due.0 as f64 / 1e6 - run_s);
         }
-        for objective in &self.cfg.objectives {
+        for objective in &self.config.objectives {
             let is_own_class = objective.class.as_ref() == Some(&job.spec.class);
             let Some(limit_s) = objective.within_s else {
                 continue;
@@ -234,12 +229,12 @@
             objective.kind == "finished" && objective.class.as_ref() == Some(&job.spec.class)
         };
         let objectives = self
-            .cfg
+            .config
             .objectives
             .iter()
             .filter(is_own_class)
             .filter_map(|objective| objective.within_s);
-        let objectives = objectives.map(|s| job.ready + Span::secs(s));
+        let objectives = objectives.map(|s| job.ready_since + Span::secs(s));
         let deadline = job.spec.deadline_s.into_iter();
         let deadline = deadline.flat_map(|d| [d, LATE_FACTOR * d]);
         let deadline = deadline.map(|s| job.arrived + Span::secs(s));
@@ -258,8 +253,17 @@
             "guarantee" => within_guarantee,
             _ => false,
         };
-        let objectives = self.cfg.objectives.iter().filter(applies);
-        let start_times = objectives.filter_map(|o| Some(job.ready + Span::secs(o.within_s?)));
+        let objectives = self.config.objectives.iter().filter(applies);
+        let start_times =
+            objectives.filter_map(|o| Some(job.ready_since + Span::secs(o.within_s?)));
         start_times.filter(|t| *t > now).min()
     }
 }
+
+use super::inheritance::LATE_FACTOR;
+use super::job::Job;
+use crate::ids::{JobId, Team};
+use crate::settings::Objective;
+use crate::time::{Span, Time};
+use crate::wire::user::{Kind, Priority};
+use std::collections::{BTreeMap, HashMap, HashSet};
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -1,8 +1,9 @@
 //! What operators see: the line of figures in the log, and the overview.
 
+use super::Resources;
+use super::Scheduler;
 use super::job::{self, Job};
-use super::machine::Life;
-use super::{Resources, Sched};
+use super::machine::MachineState;
 use crate::time::Time;
 use crate::wire::user::Kind;
 use std::collections::BTreeMap;
@@ -22,33 +23,33 @@
     })
 }
 
-impl Sched {
+impl Scheduler {
     /// How full the fleet is, for whoever reads the log.
-    pub(super) fn sum_up(&self, now: Time) {
+    pub(super) fn log_summary(&self, now: Time) {
         let fresh = self.max_heartbeat_age();
         let (mut up, mut booting, mut spot) = (0, 0, 0);
         let (mut spot_used, mut starting) = (Resources::default(), Resources::default());
         let mut capacity = Resources::default();
         let (mut used, mut free, mut pending) = (capacity, capacity, capacity);
         for m in self.machines.values() {
-            up += (m.life == Life::Up) as u32;
-            booting += (m.life == Life::Booting) as u32;
+            up += (m.state == MachineState::Up) as u32;
+            booting += (m.state == MachineState::Booting) as u32;
             used += m.used;
             if m.spot {
-                spot += (m.life == Life::Up) as u32;
+                spot += (m.state == MachineState::Up) as u32;
                 spot_used += m.used;
             }
-            if m.life == Life::Up {
+            if m.state == MachineState::Up {
                 capacity += m.capacity;
             }
-            if m.open(now, fresh) {
+            if m.accepts_tasks(now, fresh) {
                 free += m.free();
             }
         }
         for j in self.jobs.values() {
             pending += j.need.scaled(j.pending() as i64);
-            let begins = |l: &&job::Live| l.running_since.is_none();
-            let n = j.live.values().filter(begins).count();
+            let begins = |l: &&job::ActiveAttempt| l.running_since.is_none();
+            let n = j.active.values().filter(begins).count();
             starting += j.need.scaled(n as i64);
         }
         tracing::info!(
@@ -62,7 +63,7 @@
             %starting,
             %free,
             %pending,
-            writes = ?self.dirty.lengths(),
+            writes = ?self.write_queue.lengths(),
             "fleet"
         );
     }
@@ -73,18 +74,18 @@
         for j in self.jobs.values() {
             let e = by_class.entry(j.spec.class.to_string()).or_default();
             e.0 += j.pending() as u64;
-            e.1 += j.live.len() as u64;
+            e.1 += j.active.len() as u64;
         }
         let (mut capacity, mut used) = (Resources::default(), Resources::default());
         let mut machines_up = 0;
         for m in self.machines.values() {
             used += m.used;
-            if m.life == Life::Up {
+            if m.state == MachineState::Up {
                 machines_up += 1;
                 capacity += m.capacity;
             }
         }
-        let writes = self.dirty.lengths();
+        let writes = self.write_queue.lengths();
         serde_json::json!({
             "epoch": self.epoch,
             "proven": self.may_start(now),
@@ -98,13 +99,13 @@
             "classes": by_class.into_iter().map(|(c, (p, l))|
                 (c, serde_json::json!({"pending": p, "started": l}))).collect::<serde_json::Map<_, _>>(),
             "teams": self.teams.overview(),
-            "served": self.books.overview(),
-            "unwritten": self.dirty.len(),
+            "served": self.service_shares.overview(),
+            "unwritten": self.write_queue.len(),
             "writes_waiting": {
                 "now": writes[0], "starts": writes[1], "ends": writes[2], "progress": writes[3],
             },
-            "look_ups": self.look_up_counts,
-            "judged": self.judged.get(),
+            "look_ups": self.lookup_counts,
+            "judged": self.machines_evaluated.get(),
             "reports_held": self.reports_held,
             "reports_refused": self.reports_refused,
             "rentals_under_way": self.fleet.requests_in_flight(),
@@ -118,7 +119,7 @@
             let short = self.fleet.shortages.iter().find(|s| s.job == *j.id());
             let left = self.teams.remaining(&j.spec.team).tasks_that_fit(&j.need);
             let waits_for = match short {
-                _ if !j.live.is_empty() => "its members to be gone or replaced",
+                _ if !j.active.is_empty() => "its members to be gone or replaced",
                 _ if left < j.pending() as i64 => "its team's limit",
                 Some(_) => "machines",
                 None => "the next pass",
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -8,15 +8,17 @@
 //! task from scratch. It serves jobs whose tasks affect each other's zones, and debug
 //! builds check the pass against it.
 
+use super::Resources;
+use super::Scheduler;
 use super::allowed_zones::AllowedZones;
 use super::attempt_places::AttemptPlace;
+use super::estimate;
 use super::fleet::Shortage;
 use super::headroom::FreeCapacity;
-use super::job::{Job, Live, Phase};
-use super::machine::{ENDLESS, Machine, Slot};
+use super::job::{ActiveAttempt, Job, Phase};
+use super::machine::{Allocation, ENDLESS, Machine};
 use super::order::{Order, Turn};
 use super::records::Purpose;
-use super::{Resources, Sched, estimate};
 use crate::ids::{Attempt, Host, JobId, TaskId, TaskIx, Team};
 use crate::time::{Span, Time};
 use crate::wire::user::{JobSpec, Kind};
@@ -42,7 +44,7 @@
     /// The jobs that lack resources, and for how many tasks.
     shortages: Vec<Shortage>,
     /// The number of turns that were served.
-    served: usize,
+    served: usize
 }
 
 /// A machine with free resources, as it will be once the planned tasks have started.
@@ -52,10 +54,10 @@
     /// The smallest and the largest remaining runtime of its tasks.
     pub remaining: Option<(Span, Span)>,
     /// The machine is reserved for a gang.
-    pub reserved: bool,
+    pub reserved: bool
 }
 
-impl Sched {
+impl Scheduler {
     /// One pass over all waiting jobs, or as many of them as one pass may score: an
     /// unbounded pass takes a second with 600 jobs waiting, in which no request is
     /// answered. The next pass continues where this one stopped, after the urgent jobs.
@@ -65,8 +67,8 @@
         let mut shortages = vec![];
         let mut reserved = BTreeSet::new();
         let mut remaining_turns = &turns[..];
-        let score_limit = self.judged.get() + MAX_SCORED_PER_PASS;
-        while !remaining_turns.is_empty() && self.judged.get() < score_limit {
+        let score_limit = self.machines_evaluated.get() + MAX_SCORED_PER_PASS;
+        while !remaining_turns.is_empty() && self.machines_evaluated.get() < score_limit {
             // Jobs that are placed individually split the turns, as each has to start
             // before the next job is looked at.
             let is_individual =
@@ -80,7 +82,7 @@
                 &remaining_turns[..batch],
                 &reserved,
                 &job_order,
-                score_limit,
+                score_limit
             );
             for (id, host) in plan.starts {
                 self.start(now, &id, &host, None);
@@ -107,22 +109,22 @@
             self.fleet
                 .shortages
                 .drain(..)
-                .filter(|s| unreached.contains(&s.job)),
+                .filter(|s| unreached.contains(&s.job))
         );
         self.fleet.shortages = shortages;
         // If the jobs ahead take the whole pass, the next pass skips them.
-        self.stuck = !remaining_turns.is_empty()
+        self.pass_stalled = !remaining_turns.is_empty()
             && turns_ahead > 0
             && remaining_turns.len() + turns_ahead >= turns.len();
-        if !self.stuck {
-            self.goes_on_at = remaining_turns.first().map(|turn| turn.job.clone());
+        if !self.pass_stalled {
+            self.resume_pass_at = remaining_turns.first().map(|turn| turn.job.clone());
         }
         for machine in self.machines.values_mut() {
             let is_reserved = reserved.contains(&machine.host);
-            machine.kept_since = is_reserved.then(|| machine.kept_since.unwrap_or(now));
+            machine.reserved_for_gangs_since = is_reserved.then(|| machine.reserved_for_gangs_since.unwrap_or(now));
         }
-        if now >= self.preempt_at {
-            self.preempt_at = now + PREEMPTION_INTERVAL;
+        if now >= self.next_preemption_at {
+            self.next_preemption_at = now + PREEMPTION_INTERVAL;
             self.preempt(now, &job_order);
         }
     }
@@ -135,7 +137,7 @@
         id: &JobId,
         reserved: &mut BTreeSet<Host>,
         order: &Order,
-        score_limit: u64,
+        score_limit: u64
     ) -> (Option<Shortage>, bool) {
         let is_gang = |job: &Job| job.spec.kind == Kind::Gang;
         if self.jobs.get(id).is_some_and(is_gang) {
@@ -145,17 +147,17 @@
             let wanted = (job.pending() as i64).min(
                 self.teams
                     .remaining(&job.spec.team)
-                    .tasks_that_fit(&job.need),
+                    .tasks_that_fit(&job.need)
             );
             if wanted == 0 {
                 break;
             }
-            if self.judged.get() >= score_limit {
+            if self.machines_evaluated.get() >= score_limit {
                 return (None, false);
             }
             // All its tasks have to be in the zone of the first one, and without a
             // spread no task excludes that zone for the next one.
-            if job.spec.one_zone && !job.spec.spread && !job.live.is_empty() {
+            if job.spec.one_zone && !job.spec.spread && !job.active.is_empty() {
                 return self.place_beside_others(now, id, reserved, order, score_limit);
             }
             let Some(host) = self.choose(now, id, reserved, order) else {
@@ -173,12 +175,12 @@
         id: &JobId,
         reserved: &BTreeSet<Host>,
         order: &Order,
-        score_limit: u64,
+        score_limit: u64
     ) -> (Option<Shortage>, bool) {
         let turn = Turn {
             job: id.clone(),
             max_tasks: None,
-            boosted: false,
+            boosted: false
         };
         let mut plan = self.plan(now, &[turn], reserved, order, score_limit);
         for (id, host) in plan.starts {
@@ -195,14 +197,14 @@
         turns: &[Turn],
         reserved: &BTreeSet<Host>,
         order: &Order,
-        score_limit: u64,
+        score_limit: u64
     ) -> Plan {
         if turns.is_empty() {
             return Plan::default();
         }
         let mut planner = Planner::new(self, now, turns, reserved, order);
         for turn in turns {
-            if self.judged.get() >= score_limit {
+            if self.machines_evaluated.get() >= score_limit {
                 break;
             }
             planner.serve(turn);
@@ -218,11 +220,11 @@
         id: &JobId,
         reserved: &BTreeSet<Host>,
         order: &Order,
-        machine: &Machine,
+        machine: &Machine
     ) -> bool {
-        let scored = self.judged.get();
+        let scored = self.machines_evaluated.get();
         let chosen = self.choose(now, id, reserved, order);
-        self.judged.set(scored);
+        self.machines_evaluated.set(scored);
         chosen.as_ref() == Some(&machine.host)
     }
 
@@ -232,7 +234,7 @@
         now: Time,
         id: &JobId,
         reserved: &BTreeSet<Host>,
-        order: &Order,
+        order: &Order
     ) -> Option<Host> {
         let job = self.jobs.get(id)?;
         let max_age = self.max_heartbeat_age();
@@ -241,7 +243,7 @@
         let free = self.free_above_headroom(now);
         let mut best: Option<(Score, &Machine)> = None;
         for machine in self.machines.values() {
-            if !machine.open(now, max_age) {
+            if !machine.accepts_tasks(now, max_age) {
                 continue;
             }
             if !view.may_use(&free, machine.spot, 0) {
@@ -250,13 +252,13 @@
             if !allowed_zones.contains(&machine.zone) {
                 continue;
             }
-            let (free, span) = (machine.free(), machine.remaining(now));
+            let (free, span) = (machine.free(), machine.remaining_range(now));
             let is_reserved = reserved.contains(&machine.host);
             let candidate = Candidate {
                 machine,
                 free,
                 remaining: span,
-                reserved: is_reserved,
+                reserved: is_reserved
             };
             let Some(score) = view.score(&candidate) else {
                 continue;
@@ -273,7 +275,9 @@
 
     /// A machine whose last heartbeat is older takes no new tasks.
     pub(super) fn max_heartbeat_age(&self) -> Span {
-        Span::secs(self.cfg.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_S)
+        Span::secs(
+            self.config.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_S
+        )
     }
 
     pub(super) fn start(&mut self, now: Time, id: &JobId, host: &Host, attempt: Option<Attempt>) {
@@ -287,8 +291,8 @@
         };
         let expected = estimate::of(job);
         let record_part = job.part_of(task);
-        let is_quick = self.quick.contains(&job.spec.class);
-        self.books.task_started(id, task);
+        let is_quick = self.fast_start_classes.contains(&job.spec.class);
+        self.service_shares.task_started(id, task);
         let purpose = if is_quick {
             Purpose::Now
         } else {
@@ -298,49 +302,49 @@
         let place = machine.map(|m| AttemptPlace {
             zone: m.zone.clone(),
             build: m.build.clone(),
-            spot: m.spot,
+            spot: m.spot
         });
-        let version = job.touch(record_part, &mut self.dirty, purpose);
-        job.live.insert(
+        let version = job.mark_changed(record_part, &mut self.write_queue, purpose);
+        job.active.insert(
             task,
-            Live {
+            ActiveAttempt {
                 attempt,
                 host: host.clone(),
                 place,
-                ver: version,
+                ver: version: ver,
                 phase: Phase::Placed,
                 placed: now,
                 placed_wall: wall,
                 running_since: None,
                 inherited: false,
-                told: None,
-                sent: false,
+                run_sent_in: None,
+                run_sent: false,
                 stop: None,
-                timed_out: false,
-            },
+                timed_out: false
+            }
         );
         self.teams.add(&job.spec.team, &job.need);
         let mut holds_image = false;
         if let Some(m) = self.machines.get_mut(host) {
             holds_image = m.has_image(&job.spec.image);
             m.used += job.need;
-            let allocation = Slot {
+            let allocation = Allocation {
                 need: job.need,
                 start: now,
                 estimate: expected,
                 endless: expected == ENDLESS,
-                image: job.spec.image.clone(),
+                image: job.spec.image.clone()
             };
-            m.slots.insert(task_id(id, task), allocation);
+            m.allocations.insert(task_id(id, task), allocation);
         }
-        self.unsent.insert(host.clone());
+        self.machines_with_unsent_runs.insert(host.clone());
         tracing::debug!(job = %id, class = %job.spec.class, task = %task, %host, holds_image, "placed");
     }
 }
 
 /// Serves the turns in their order, and keeps account of what is left for the next.
 struct Planner<'a> {
-    sched: &'a Sched,
+    sched: &'a Scheduler,
     now: Time,
     order: &'a Order,
     reserved: &'a BTreeSet<Host>,
@@ -354,16 +358,16 @@
     quota: BTreeMap<&'a Team, Resources>,
     /// The number of tasks of each job that were placed in earlier turns.
     placed: BTreeMap<&'a JobId, i64>,
-    plan: Plan,
+    plan: Plan
 }
 
 impl<'a> Planner<'a> {
     fn new(
-        sched: &'a Sched,
+        sched: &'a Scheduler,
         now: Time,
         turns: &'a [Turn],
         reserved: &'a BTreeSet<Host>,
-        order: &'a Order,
+        order: &'a Order
     ) -> Planner<'a> {
         let candidates = candidates(sched, now, reserved);
         let mut open_capacity = Resources::default();
@@ -387,7 +391,7 @@
             free_above_headroom: sched.free_above_headroom(now),
             quota: BTreeMap::new(),
             placed: BTreeMap::new(),
-            plan: Plan::default(),
+            plan: Plan::default()
         }
     }
 
@@ -435,7 +439,7 @@
             if !may_use(
                 &self.free_above_headroom,
                 self.candidates[i].machine.spot,
-                placed,
+                placed
             ) {
                 continue;
             }
@@ -470,7 +474,7 @@
         candidate.free -= job.need;
         candidate.remaining = Some(match candidate.remaining {
             None => (estimate, estimate),
-            Some((low, high)) => (low.min(estimate), high.max(estimate)),
+            Some((low, high)) => (low.min(estimate), high.max(estimate))
         });
         self.free_above_headroom
             .take(&job.need, candidate.machine.spot);
@@ -491,10 +495,14 @@
 }
 
 /// The machines with free CPUs, except those reserved for a gang.
-fn candidates<'a>(sched: &'a Sched, now: Time, reserved: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
+fn candidates<'a>(sched: &'a Scheduler, now: Time, reserved: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
     let max_age = sched.max_heartbeat_age();
     let mut candidates = vec![];
-    for machine in sched.machines.values().filter(|m| m.open(now, max_age)) {
+    for machine in sched
+        .machines
+        .values()
+        .filter(|m| m.accepts_tasks(now, max_age))
+    {
         let (free, is_reserved) = (machine.free(), reserved.contains(&machine.host));
         if free.cpu <= 0 || is_reserved && !machine.reservation_expired(now) {
             continue;
@@ -502,8 +510,8 @@
         candidates.push(Candidate {
             machine,
             free,
-            remaining: machine.remaining(now),
-            reserved: is_reserved,
+            remaining: machine.remaining_range(now),
+            reserved: is_reserved
         });
     }
     candidates
@@ -512,7 +520,7 @@
 pub(super) fn task_id(id: &JobId, ix: TaskIx) -> TaskId {
     TaskId {
         job: id.clone(),
-        ix,
+        ix
     }
 }
 
@@ -540,18 +548,18 @@
     /// A gang waits for whole ordinary machines, and may get them soon.
     gang_is_waiting: bool,
     /// Spot machines for the job can be rented.
-    can_rent_spot: bool,
+    can_rent_spot: bool
 }
 
 impl<'a> JobView<'a> {
     pub(super) fn of(
-        sched: &'a Sched,
+        sched: &'a Scheduler,
         now: Time,
         job: &'a Job,
         order: &Order,
-        can_rent: bool,
+        can_rent: bool
     ) -> JobView<'a> {
-        let tuning = &sched.cfg.tuning;
+        let tuning = &sched.config.tuning;
         let estimate = estimate::of(job);
         let is_quick = sched.is_quick(&job.spec.class);
         let avoids_ordinary = job.spec.spot && order.ordinary_machines_wanted;
@@ -562,20 +570,20 @@
             max_spread: estimate::max_runtime_spread(
                 estimate,
                 tuning.delta_factor,
-                tuning.delta_floor_s,
+                tuning.delta_floor_s
             ),
             is_quick,
             waited_too_long: job.waited_too_long(now),
             waited_without_start: job.waited_without_start(now),
             image_first: is_quick,
-            scored: &sched.judged,
+            scored: &sched.machines_evaluated,
             // Jobs that can't wait for a machine to boot don't rent one.
             can_rent: can_rent && !is_quick && !job.waited_too_long(now),
             failed_all: job.error_hosts.len() >= sched.machines.len(),
             start_by: sched.start_by(now, job, order.is_within_guarantee(job.id())),
             avoids_ordinary,
             gang_is_waiting: avoids_ordinary && order.gang_is_waiting,
-            can_rent_spot: avoids_ordinary && sched.spot_rentable(now, job),
+            can_rent_spot: avoids_ordinary && sched.spot_rentable(now, job)
         }
     }
 
@@ -646,7 +654,7 @@
                 .free
                 .minus(&job.need)
                 .largest_free_share(&candidate.machine.capacity, &job.need),
-            image_missing,
+            image_missing
         })
     }
 }
@@ -663,7 +671,7 @@
         // Rented already and ready: costs as much as renting, but starts sooner.
         None => 2,
         // Only if nothing else has free resources.
-        Some(_) => LAST_RESORT,
+        Some(_) => LAST_RESORT
     }
 }
 
@@ -681,7 +689,7 @@
     /// spread check, one that stays in use long enough anyway costs nothing more.
     extends_machine_use: bool,
     leftover_share: f64,
-    image_missing: bool,
+    image_missing: bool
 }
 
 impl Ord for Score {
@@ -693,7 +701,7 @@
                 score.image_missing_first,
                 score.ordinary_avoided,
                 score.strands_accelerators,
-                score.extends_machine_use,
+                score.extends_machine_use
             )
         };
         let rank = rank(self).cmp(&rank(other));
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -1,14 +1,16 @@
 //! Preemption: which running tasks are stopped for others, in the cases that the
 //! protocol allows.
 
+use super::Resources;
+use super::Scheduler;
 use super::allowed_zones::AllowedZones;
+use super::estimate;
 use super::fleet::Shortage;
 use super::headroom::FreeCapacity;
 use super::job::{Job, Phase};
 use super::machine::Machine;
 use super::order::{Order, Rank};
 use super::place::{may_run_on, task_id};
-use super::{Resources, Sched, estimate};
 use crate::ids::{Host, JobId, TaskIx, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
@@ -71,7 +73,7 @@
 
 /// The tasks that could be stopped, the cheapest first, and those chosen so far.
 struct Selection<'a> {
-    sched: &'a Sched,
+    sched: &'a Scheduler,
     order: &'a Order,
     /// All machines' resources.
     fleet_capacity: Resources,
@@ -87,7 +89,7 @@
 }
 
 impl<'a> Selection<'a> {
-    fn new(sched: &'a Sched, now: Time, order: &'a Order) -> Selection<'a> {
+    fn new(sched: &'a Scheduler, now: Time, order: &'a Order) -> Selection<'a> {
         let (stopping, mut victims) = sched.stoppable(now, order);
         victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         let mut on_machine: BTreeMap<&Host, Vec<usize>> = BTreeMap::new();
@@ -194,7 +196,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Stops tasks for jobs that lack resources and may preempt.
     pub(super) fn preempt(&mut self, now: Time, order: &Order) {
         for (id, task) in self.chosen_stops(now, order) {
@@ -202,7 +204,7 @@
                 // Other jobs go first; otherwise it takes the same resources again.
                 job.backoff_until = job.backoff_until.max(now + PREEMPTED_BACKOFF);
             }
-            self.stop(now, &id, task, 0.0);
+            self.stop_attempt(now, &id, task, 0.0);
         }
     }
 
@@ -274,10 +276,10 @@
         let max_age = self.max_heartbeat_age();
         let mut stopping = Resources::default();
         let mut victims = vec![];
-        for job in self.jobs.values().filter(|job| !job.live.is_empty()) {
+        for job in self.jobs.values().filter(|job| !job.active.is_empty()) {
             let estimate_s = estimate::of(job).as_secs();
             let rank = order.rank(job.id());
-            for (task, live) in &job.live {
+            for (task, live) in &job.active {
                 if live.stop.is_some() {
                     stopping += job.need;
                     continue;
@@ -291,9 +293,9 @@
                 };
                 let is_array = job.spec.kind == Kind::Array;
                 // Tasks started from the reserved share are protected.
-                let guarded = self.books.is_protected(&task_id(job.id(), *task));
+                let guarded = self.service_shares.is_protected(&task_id(job.id(), *task));
                 let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
-                if guarded || !is_array || nearly_done || !machine.open(now, max_age) {
+                if guarded || !is_array || nearly_done || !machine.accepts_tasks(now, max_age) {
                     continue;
                 }
                 victims.push(Victim::new(job, *task, ran_s, rank, machine));
--- a/src/sched/wait_limits.rs
+++ b/src/sched/wait_limits.rs
@@ -5,9 +5,9 @@
 //! of its own. A job that has waited for [`MAX_RULE_WAIT`] is exempt from all of them,
 //! so that none of them delays it for more than 90 s.
 
-use super::Sched;
+use super::Scheduler;
 use super::job::Job;
-use super::machine::{Machine, Slot};
+use super::machine::{Allocation, Machine};
 use crate::time::{Span, Time};
 
 /// A job that has waited for longer takes any resources that it may use.
@@ -33,14 +33,14 @@
 
     /// Whether the job has waited too long, and none of its tasks started meanwhile.
     pub(super) fn waited_without_start(&self, now: Time) -> bool {
-        let last_start = self.live.values().map(|live| live.placed).max();
+        let last_start = self.active.values().map(|live| live.placed).max();
         self.waited_too_long(now) && last_start.is_none_or(|since| now - since >= MAX_RULE_WAIT)
     }
 
     /// Whether one of its tasks has run long enough to count as healthy, whatever
     /// failed before.
     pub(super) fn has_healthy_task(&self, now: Time) -> bool {
-        let since = self.live.values().filter_map(|live| live.running_since);
+        let since = self.active.values().filter_map(|live| live.running_since);
         since
             .min()
             .is_some_and(|since| now - since >= HEALTHY_RUN_TIME)
@@ -50,7 +50,7 @@
 impl Machine {
     /// Whether the machine has been reserved for gangs for as long as it may be.
     pub(super) fn reservation_expired(&self, now: Time) -> bool {
-        self.kept_since
+        self.reserved_for_gangs_since
             .is_some_and(|since| now - since >= MAX_GANG_RESERVATION)
     }
 
@@ -58,12 +58,12 @@
     pub(super) fn end_quarantine(&mut self, now: Time) {
         if self.quarantined && now - self.quarantined_at >= QUARANTINE_TIME {
             self.quarantined = false;
-            self.fails = self.fails.saturating_sub(1);
+            self.failures = self.failures.saturating_sub(1);
         }
     }
 }
 
-impl Slot {
+impl Allocation {
     /// Whether the task is expected to end within that time.
     pub(super) fn ends_within(&self, now: Time, within: Span) -> bool {
         self.remaining(now) < within && !self.overran_estimate(now)
@@ -76,7 +76,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Updates the time since which each job has waited.
     pub(super) fn update_waiting_since(&mut self, now: Time) {
         for job in self.jobs.values_mut() {
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -68,10 +68,10 @@
     // lease must be over, or a later session is there.
     d.beat(&report(2, 1, Token(0)));
     assert_eq!(
-        d.s.jobs[&"job-000003".into()].live[&TaskIx(0)].host,
+        d.s.jobs[&"job-000003".into()].active[&TaskIx(0)].host,
         host(2)
     );
-    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].live[&TaskIx(0)].host == host(1);
+    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].active[&TaskIx(0)].host == host(1);
     assert!(there(&d));
     let mut r = runs(seq, a);
     r.session = Session(2);
@@ -90,7 +90,7 @@
 fn what_is_to_end_there_ends_with_the_lease() {
     let (mut d, a) = at_work();
     let mut seq = goes_deaf(&mut d, a);
-    let answered = d.s.machines[&host(1)].answered;
+    let answered = d.s.machines[&host(1)].last_renewal;
     d.ask(Ask::Cancel(JOB.into()));
     let cancelled = d.now;
     while d.attempt(JOB, 0).is_some() {
@@ -123,7 +123,7 @@
     d.hear = false;
     d.submit(&job(2, 1));
     for seq in 4..9 {
-        d.event(Event::Behind);
+        d.event(Event::Overloaded);
         d.wait(3.0);
         assert!(d.beat(&runs(seq, a)).is_some());
     }
@@ -132,7 +132,7 @@
     let (mut d, a) = at_work();
     let seq = goes_deaf(&mut d, a);
     assert!(d.beat(&runs(seq, a)).is_none());
-    d.event(Event::Behind);
+    d.event(Event::Overloaded);
     assert!(d.beat(&runs(seq + 1, a)).is_some());
 }
 
@@ -201,7 +201,7 @@
     let a = d.attempt(JOB, 0).unwrap();
     let j = &d.s.jobs[&JOB.into()];
     let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
-    (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+    (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
     let mut d = Desk::with(6, vec![j]);
     d.refuses = true;
     (d, a)
@@ -222,7 +222,7 @@
     d.beat(&r);
     assert_eq!(d.attempt(JOB, 0), Some(a), "it may have begun meanwhile");
     // Nor is what an earlier leader told it out of force yet.
-    assert!(d.s.machines[&host(1)].doubt.is_some());
+    assert!(d.s.machines[&host(1)].unconfirmed_token.is_some());
     // Sent in this term, a report of that session says what there is; and a later
     // one proves that all that was there before has ended.
     r.token = Token(Epoch(6).base());
@@ -245,7 +245,7 @@
     d.beat(&copy);
     d.submit(&job(1, 1));
     assert_eq!(d.attempt(JOB, 0), None, "placed on a ghost");
-    assert!(d.s.machines[&host(1)].notice_until.is_none());
+    assert!(d.s.machines[&host(1)].spot_notice_until.is_none());
     // Listed, it is there after all.
     let listed = Listed {
         host: host(1),
@@ -265,13 +265,13 @@
 #[test]
 fn a_copy_of_a_known_report_is_no_sign_of_life() {
     let (mut d, a) = at_work();
-    let heard = d.s.machines[&host(1)].heard;
+    let heard = d.s.machines[&host(1)].last_heartbeat;
     for _ in 0..4 {
         d.wait(2.5);
         d.beat(&runs(3, a));
         d.beat(&report(1, 2, Token(0)));
     }
-    assert_eq!(d.s.machines[&host(1)].heard, heard);
+    assert_eq!(d.s.machines[&host(1)].last_heartbeat, heard);
     assert_eq!(
         d.attempt(JOB, 0),
         Some(a),
@@ -294,9 +294,9 @@
         for n in 2..20 {
             let away = if alone { vec!["b", "c"] } else { vec!["b"] };
             let away = away.into_iter().map(Label::from).collect();
-            d.event(Event::OutOfReach(away));
+            d.event(Event::Unreachable(away));
             if busy {
-                d.event(Event::Behind);
+                d.event(Event::Overloaded);
             }
             d.wait(0.5);
             let proven = d.s.may_start(Time(d.now));
@@ -382,6 +382,6 @@
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
     d.event(Event::Direct(call, h, DirectResult::Done(Box::new(r))));
     let m = &d.s.machines[&host(1)];
-    assert!(m.certain && m.doubt.is_none());
+    assert!(m.existence_confirmed && m.unconfirmed_token.is_none());
     assert_eq!(d.attempt(JOB, 0), Some(a));
 }
--- a/tests/world/dispatch.rs
+++ b/tests/world/dispatch.rs
@@ -88,7 +88,7 @@
         if self.ctls[i].up {
             let away = self.out_of_reach(i);
             let wall = self.wall();
-            self.event(i, Event::OutOfReach(away));
+            self.event(i, Event::Unreachable(away));
             self.event(i, Event::Tick(wall));
             self.audit(i);
             self.check_places_wait(i);
@@ -103,7 +103,7 @@
         let held = |j: &&Job| j.holds.get(HoldKind::System).is_some();
         let held = t.sched.jobs.values().filter(held);
         self.limited.extend(held.map(|j| j.id().clone()));
-        let wrong = t.sched.audit();
+        let wrong = t.sched.check_totals();
         self.broken.extend(wrong);
     }
 
