--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -1,4 +1,4 @@
-//! A job and its tasks.
+//! A job, its tasks and their attempts.
 
 pub mod compact;
 mod record;
@@ -10,7 +10,7 @@
 use crate::ids::{Attempt, Host, JobId, ReqId, Seq, TaskIx};
 use crate::time::{Time, Wall};
 use crate::wire::user::{JobSpec, JobState, Kind};
-use hookworks_job_lifecycle::{FailureCounts as Attempts, History, Holds, WallMillis as At};
+use hookworks_job_lifecycle::{FailureCounts, History, Holds, WallMillis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,10 +18,10 @@
 use super::dependency_ids::DependencyIds;
 use super::resources::Resources;
 
-/// How far a started task is, as far as its worker has told.
+/// Progress of an attempt, as last reported by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not seen on its machine yet.
+    /// Not reported by its machine yet.
     Placed,
     Fetching,
     Waiting,
@@ -29,45 +29,45 @@
     Saving,
 }
 
-/// One start of a task. It holds its machine, quota and zone until it is
-/// proven gone.
+/// One attempt of a task. It occupies its machine, its team's quota and its zone until it is
+/// known to have ended.
 #[derive(Clone, Debug)]
 pub struct ActiveAttempt {
     pub attempt: Attempt,
     pub host: Host,
-    /// Where that is; not known of what was stored without it.
+    /// Zone, build and kind of the machine; unknown for records stored without it.
     pub place: Option<AttemptPlace>,
-    /// Version of its part of the job that must be stored before `run` leaves.
+    /// Version of its part that must be stored before `run` is sent.
     pub required_version: u64,
     pub phase: Phase,
     pub placed: Time,
     pub placed_wall: Wall,
     pub running_since: Option<Time>,
-    /// Placed under an earlier leader, and not seen before it ran.
+    /// Placed by an earlier leader and not yet seen by this one before it ran.
     pub inherited: bool,
-    /// The report in whose answer `run` was last sent.
+    /// The heartbeat in whose response `run` was last sent.
     pub run_sent_in: Option<Seq>,
-    /// `run` has left by some way or other.
+    /// `run` has been sent, directly or in a heartbeat response.
     pub run_sent: bool,
     pub stop: Option<Stop>,
-    /// It was stopped for having run for too long.
+    /// It was stopped for exceeding its time limit.
     pub timed_out: bool,
 }
 
-/// An attempt that must end.
+/// A request to end an attempt, with the time in seconds that it has for saving.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
     pub leeway_s: f64,
 }
 
-/// A share of a job's tasks that is stored as one record.
+/// A range of a job's tasks that is stored as one record.
 #[derive(Clone, Debug, Default)]
 pub struct Part {
     pub version: u64,
     pub stored_version: u64,
-    /// It waits to be written, for this purpose.
+    /// The purpose for which it is queued to be written.
     pub queued: Option<Purpose>,
-    /// Fields of a later version, which are not to be lost.
+    /// Unknown fields written by a later version, which are preserved.
     rest: Rest,
 }
 
@@ -78,7 +78,7 @@
     Accept,
     Known,
     Cancel,
-    /// A hold, or a release.
+    /// A hold (`true`) or a release (`false`).
     Hold(bool),
 }
 
@@ -88,16 +88,17 @@
     pub need: Resources,
     pub seq: u64,
     pub arrived: Time,
-    /// When the last job that it needs was done; when it arrived, if it needs none.
+    /// When its last dependency was done; the time of arrival if it has none.
     pub ready_since: Time,
     pub submitted: Wall,
     pub cancelled: bool,
-    /// Version of the first part that says so; told only once stored.
+    /// Version of the first part that contains the cancellation; users are told only once
+    /// that is stored.
     pub cancel_version: u64,
-    /// Nothing is left to do; the final state is being stored.
+    /// Nothing is left to run; this final state is being stored.
     pub closing_state: Option<JobState>,
-    /// Transactions with the final state that were sent and of which it isn't known
-    /// whether they were carried out: others may have read it there already.
+    /// Transactions with the final state that were sent and whose outcome is unknown: others
+    /// may already have read the state from the store.
     pub unresolved_final_writes: u32,
     done: Vec<u64>,
     pub done_count: u32,
@@ -107,61 +108,61 @@
     pub parts: Vec<Part>,
     pub part_size: u32,
     pub runtimes: Vec<f64>,
-    /// Of the runtimes; kept, since every pass asks for it.
+    /// Median of the runtimes; cached because every pass needs it.
     pub median_runtime: Option<f64>,
     pub backoff_until: Time,
-    /// Since when some of it has waited to start, without a break.
+    /// Since when any of its tasks has waited to start, without interruption.
     pub waiting_since: Option<Time>,
     pub errors: u32,
     pub error_hosts: BTreeSet<Host>,
-    /// Tasks that failed under earlier leaders, wherever that was.
+    /// Failed tasks under earlier leaders, on any machine.
     failed_before: u32,
-    /// All tasks of the gang's attempt were running at some time.
+    /// All tasks of the gang were running at the same time at some point.
     pub gang_ran: bool,
     pub waiters: Vec<(u64, ReqId, ReplyKind)>,
     pub holds: Holds,
-    /// What of that is stored for certain: nobody is shown more, as it could go
-    /// back; and the version of the first part with the latest change.
+    /// Holds that are durably stored; only these are shown to users, as newer ones could be
+    /// lost. Then the version of the first part with the latest change of holds.
     pub stored_holds: Holds,
     pub holds_version: u64,
-    /// Version of the first part with the latest release; nothing starts
-    /// before that is stored.
+    /// Version of the first part with the latest release; nothing starts before it is
+    /// stored.
     pub release_version: u64,
-    /// Failures that count.
-    pub failure_counts: Attempts,
+    /// Failures per task that count towards the retry limit.
+    pub failure_counts: FailureCounts,
     pub history: History,
     pub ended: Option<Wall>,
-    /// Which of the conditions to start are met, a bit each.
+    /// Bit set of the start conditions that are met.
     pub conditions_met: u32,
-    /// Which can't be met any more, and were told so by a hold: released, that
-    /// hold does not come back.
+    /// Bit set of the start conditions that can't be met any more and led to a hold: once
+    /// released, that hold is not set again.
     pub conditions_unmeetable: u32,
-    /// Jobs that are to be done before anything of this one starts.
+    /// Jobs that must be done before any task of this one starts.
     pub needs: DependencyIds,
-    /// How many of them were done since the job was last stored.
+    /// How many dependencies were done since the job was last stored.
     pub needs_met_unsaved: u32,
-    /// When the last of them was done, if it needed any.
+    /// When the last dependency was done, if there were any.
     pub ready_at: Option<Wall>,
-    /// The job that it needed and that was cancelled, by which it is cancelled.
+    /// The dependency whose cancellation cancelled this job.
     pub cancelled_with: Option<JobId>,
-    /// What it takes over from jobs that need it.
+    /// What it inherits from jobs that depend on it.
     pub(super) inherited: Inherited,
-    /// Of a job whose tasks wait for those of another: which need not wait any
-    /// more, and how many still do.
+    /// For a job whose tasks each wait for the same task of another job: the tasks that need
+    /// not wait any more, and how many still do.
     open_tasks: Vec<u64>,
     closed_count: u32,
     /// A part of its record could not be read.
     pub damaged: bool,
-    /// Fields of a later version, which are not to be lost.
+    /// Unknown fields written by a later version, which are preserved.
     unknown_fields: Rest,
 }
 
-/// A job that failed on so many machines and worked on none is at fault.
+/// A job that failed on so many machines and succeeded on none is itself at fault.
 const MIN_FAILED_MACHINES: usize = 3;
-/// Enough finished tasks for a median that later ones hardly move.
+/// Runtimes kept per job: enough for a median that further ones hardly change.
 const MAX_RUNTIMES: usize = 15;
 
-/// The final state of a job, kept for ever.
+/// The final state of a job, stored forever.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Final {
     pub state: JobState,
@@ -203,8 +204,8 @@
             stored_holds: Holds::default(),
             holds_version: 0,
             release_version: 0,
-            failure_counts: Attempts::default(),
-            history: History::new(At(wall.0)),
+            failure_counts: FailureCounts::default(),
+            history: History::new(WallMillis(wall.0)),
             ended: None,
             conditions_met: 0,
             conditions_unmeetable: 0,
@@ -224,7 +225,7 @@
         &self.spec.id
     }
 
-    /// What a record that can't be read as a whole says for certain.
+    /// The state that is certain from a record that can't be read as a whole.
     pub fn state_of_unreadable(value: &serde_json::Value) -> JobState {
         match value.get("cancelled").and_then(serde_json::Value::as_bool) {
             Some(true) => JobState::Cancelled,
@@ -232,12 +233,12 @@
         }
     }
 
-    /// It is cancelled, and a later leader will find that.
+    /// The cancellation is stored, so a later leader will find it.
     pub fn cancellation_stored(&self) -> bool {
         self.cancelled && self.parts[0].stored_version >= self.cancel_version
     }
 
-    /// The state to show to users, of what is stored.
+    /// The state shown to users, from what is stored.
     pub fn state(&self) -> JobState {
         if self.cancelled {
             JobState::Cancelled
@@ -249,8 +250,8 @@
     }
 
     pub fn running(&self) -> u32 {
-        let on = |l: &&ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
-        self.active.values().filter(on).count() as u32
+        let is_running = |l: &&ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
+        self.active.values().filter(is_running).count() as u32
     }
 
     pub fn is_done(&self, t: TaskIx) -> bool {
@@ -265,20 +266,20 @@
         }
     }
 
-    /// It has failed on several machines and succeeded on none: the fault is
-    /// likely its own.
+    /// It has failed on several machines and succeeded on none, so the job itself is likely
+    /// at fault.
     pub fn failed_on_many_machines(&self) -> bool {
         let before = self.failed_before as usize;
         self.done_count == 0 && self.error_hosts.len().max(before) >= MIN_FAILED_MACHINES
     }
 
-    /// Tasks that neither run nor are done.
+    /// Number of tasks that could be started now: neither active nor done, and not waiting.
     pub fn pending(&self) -> u32 {
         if self.cancelled || self.closing_state.is_some() || self.held() || self.blocked() {
             return 0;
         }
         if self.spec.kind == Kind::Gang && self.done_count > 0 {
-            return 0; // It completes together, or has.
+            return 0; // A gang completes as a whole, or has completed.
         }
         self.spec.tasks - self.done_count - self.active.len() as u32 - self.closed_count
     }
@@ -287,7 +288,7 @@
         self.spec.tasks - self.done_count
     }
 
-    /// The next task to start, which is then no longer pending.
+    /// Takes the next task to start, which is then no longer pending.
     pub fn take_pending(&mut self) -> Option<TaskIx> {
         if let Some(t) = self.retry_tasks.pop_first() {
             return Some(t);
@@ -302,8 +303,8 @@
         None
     }
 
-    /// Tasks wait for their counterparts from now on, but for those that have
-    /// begun already.
+    /// From now on each task waits for its counterpart in another job, except those already
+    /// started or done.
     pub fn close_tasks(&mut self) {
         self.next_unstarted = self.spec.tasks;
         self.retry_tasks.clear();
@@ -316,7 +317,7 @@
         }
     }
 
-    /// The task's counterpart is done. True if it waited for that.
+    /// The task's counterpart is done. Returns true if the task waited for it.
     pub fn open_task(&mut self, t: TaskIx) -> bool {
         let (word, bit) = (t.0 as usize / 64, 1 << (t.0 % 64));
         match self.open_tasks.get_mut(word) {
@@ -330,7 +331,7 @@
         true
     }
 
-    /// The task has been started before, and waits to be started again.
+    /// Whether the task may be started: not waiting, active or done.
     pub fn is_startable(&self, t: TaskIx) -> bool {
         let (word, bit) = (t.0 as usize / 64, 1 << (t.0 % 64));
         let open =
@@ -338,7 +339,7 @@
         t.0 < self.spec.tasks && open && !self.is_done(t) && !self.active.contains_key(&t)
     }
 
-    /// A started task is gone without being done.
+    /// Requeues a task whose attempt ended without success.
     pub fn requeue(&mut self, t: TaskIx) {
         if !self.is_done(t) && t.0 < self.next_unstarted {
             self.retry_tasks.insert(t);
@@ -349,13 +350,13 @@
         (t.0 / self.part_size) as usize
     }
 
-    /// Everything that was ever changed in this part is stored.
+    /// Whether every change of the task's part is stored.
     pub fn part_stored(&self, t: TaskIx) -> bool {
         let p = &self.parts[self.part_of(t)];
         p.stored_version >= p.version
     }
 
-    /// The tasks of a part.
+    /// First task of a part and the task after its last.
     pub fn part_range(&self, part: usize) -> (u32, u32) {
         let from = part as u32 * self.part_size;
         (from, (from + self.part_size).min(self.spec.tasks))
@@ -363,7 +364,7 @@
 
     pub fn record_runtime(&mut self, s: f64) {
         if self.runtimes.len() < MAX_RUNTIMES {
-            // Tenths will do, and keep the record small.
+            // Tenths of a second suffice and keep the record small.
             self.runtimes.push((s * 10.0).round() / 10.0);
             self.median_runtime = crate::sched::estimate::median(&self.runtimes);
         }
--- a/src/sched/job/compact.rs
+++ b/src/sched/job/compact.rs
@@ -1,8 +1,6 @@
-//! The compact form of the tasks of one record.
-//!
-//! Started tasks are sorted by attempt number, which rises with time, and stored
-//! as columns of differences: those are small, and small numbers take few bytes.
-//! The bytes are base64 text, since records are JSON.
+//! Compact encoding of the tasks of one record. Started tasks are sorted by attempt number,
+//! which rises with time, and stored as columns of differences: these are small and take few
+//! bytes. The bytes are base64 text, since records are JSON.
 
 use crate::ids::{Attempt, Host};
 use crate::sched::attempt_places::AttemptPlace;
@@ -11,23 +9,23 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 use thiserror::Error;
 
-/// The first byte of the coding; a later one would have another.
+/// Version of the encoding, in its first byte.
 const VERSION: u8 = 1;
-/// No record holds the tasks of a larger part.
-const MOST_TASKS: u64 = 1 << 17;
+/// Maximum number of tasks in a record.
+const MAX_TASKS: u64 = 1 << 17;
 
-/// Why a compact record can't be read.
+/// Why a compact record can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CompactError {
     #[error("not base64 text")]
     Text,
-    #[error("of a later version")]
+    #[error("unsupported version")]
     Version,
-    #[error("ends too early")]
+    #[error("unexpected end")]
     Short,
-    #[error("goes on after its end")]
+    #[error("trailing bytes")]
     Long,
-    #[error("a number or name in it is out of range")]
+    #[error("number or name out value_at range")]
     Range,
 }
 
@@ -46,14 +44,14 @@
 pub struct TaskRecord {
     /// Whether each task is done.
     pub done: Vec<bool>,
-    /// Failures of each task that count; empty if there are none.
+    /// Failures of each task that count towards the retry limit; empty if there are none.
     pub failures: Vec<u8>,
-    /// In the order of their attempts.
+    /// Sorted by attempt.
     pub started: Vec<StartedTask>,
 }
 
 impl TaskRecord {
-    /// Leaves out where the started tasks are.
+    /// Drops the places of the started tasks, to make the record smaller.
     pub fn forget_places(&mut self) {
         for s in &mut self.started {
             s.place = None;
@@ -77,8 +75,11 @@
         BASE64.encode(out.0)
     }
 
+    /// Decodes a record.
+    ///
     /// # Errors
-    /// If it is anything but what [`TaskRecord::encode`] wrote.
+    ///
+    /// If the text is not what [`TaskRecord::encode`] wrote.
     pub fn decode(text: &str) -> Result<TaskRecord, CompactError> {
         let bytes = BASE64.decode(text).map_err(|_| CompactError::Text)?;
         let mut from = Reader(&bytes);
@@ -116,7 +117,7 @@
     }
 }
 
-/// The usual names are `n-` and a number of six digits or more.
+/// The number in a host name of the usual form: `n-` and a number of six digits or more.
 fn host_number(host: &Host) -> Option<u64> {
     let number: u64 = host.as_str().strip_prefix("n-")?.parse().ok()?;
     (usual_host(number) == host.as_str()).then_some(number)
@@ -126,8 +127,8 @@
     format!("n-{number:06}")
 }
 
-/// Names of another form stand in front, one each; a host is the index of such a
-/// name, or its number past all of them.
+/// Host names of another form come first. A host is then the index of such a name, or its
+/// number offset by their count.
 fn write_hosts(out: &mut Writer, started: &[&StartedTask]) {
     let mut unusual: Vec<&Host> = vec![];
     for s in started {
@@ -159,7 +160,7 @@
     Ok(from.column(count)?.into_iter().map(host).collect())
 }
 
-/// The different places stand in front; 0 is a place that isn't known.
+/// The distinct places come first; index 0 stands for an unknown place.
 fn write_places(out: &mut Writer, started: &[&StartedTask]) {
     let mut places: Vec<&AttemptPlace> = vec![];
     let mut which = vec![];
@@ -170,7 +171,7 @@
         };
         let known = places.iter().position(|p| *p == place);
         let at = known.unwrap_or(places.len());
-        // Past what a byte can name, a place is as one that isn't known.
+        // Places beyond what a byte can index are stored as unknown.
         if at >= u8::MAX as usize {
             which.push(0);
             continue;
@@ -209,40 +210,40 @@
     which.into_iter().map(place).collect()
 }
 
-/// How a list of small numbers is coded: whichever takes the least.
+/// Encodings of a list of small numbers; the shortest is used.
 #[derive(Clone, Copy)]
 enum SmallNumbers {
-    /// Pairs of a number and how often it follows.
+    /// Run-length encoding: pairs of a number and its count.
     Runs = 0,
-    /// A bit each.
+    /// One bit per number.
     Bits = 1,
-    /// Four bits each.
+    /// Four bits per number.
     Nibbles = 2,
-    /// A byte each.
+    /// One byte per number.
     Bytes = 3,
 }
 
-/// The largest order of a Golomb code.
-const MOST_ORDER: u32 = 40;
+/// The largest supported order of a Golomb code.
+const MAX_ORDER: u32 = 40;
 
-/// The exponential Golomb code of a number: of the number plus 2 to the `order`, in
-/// binary, with a zero in front for each of its digits past the first `order` + 1.
+/// Length in bits of the exponential Golomb code of a number: the number plus 2 to the
+/// `order` in binary, preceded by a zero for each of its digits after the first `order` + 1.
 fn golomb_bits(n: u64, order: u32) -> u32 {
     let digits = u128::BITS - (n as u128 + (1 << order)).leading_zeros();
     2 * digits - 1 - order
 }
 
-/// The order in which these take the fewest bits, looked for around their mean
-/// number of digits.
+/// The order with the shortest encoding of these numbers, searched around their mean number
+/// of digits.
 fn best_order(numbers: &[u64]) -> u32 {
     let digits = numbers.iter().map(|n| u64::BITS - n.leading_zeros());
     let mean = digits.sum::<u32>() / numbers.len().max(1) as u32;
     let bits = |order: &u32| -> u32 { numbers.iter().map(|n| golomb_bits(*n, *order)).sum() };
-    let near = mean.saturating_sub(3)..=(mean + 2).min(MOST_ORDER);
-    near.min_by_key(bits).unwrap_or(0)
+    let candidates = mean.saturating_sub(3)..=(mean + 2).min(MAX_ORDER);
+    candidates.min_by_key(bits).unwrap_or(0)
 }
 
-/// Bits, the highest of each byte first.
+/// Writes bits, the most significant of each byte first.
 #[derive(Default)]
 struct BitWriter {
     bytes: Vec<u8>,
@@ -316,7 +317,7 @@
 struct Writer(Vec<u8>);
 
 impl Writer {
-    /// Seven bits a byte, the lowest first.
+    /// Variable-length encoding: seven bits per byte, the least significant first.
     fn number(&mut self, mut n: u64) {
         while n >= 0x80 {
             self.0.push(n as u8 | 0x80);
@@ -330,9 +331,8 @@
         self.0.extend(name.as_bytes());
     }
 
-    /// The first number, and of each further one the difference from that before it,
-    /// with the sign as its lowest bit, in exponential Golomb codes of the order
-    /// that takes the fewest bits.
+    /// Writes the first number, then the difference of each number to the one before,
+    /// zigzag-encoded, in exponential Golomb codes of the order with the shortest encoding.
     fn column(&mut self, numbers: impl Iterator<Item = u64>) {
         let numbers: Vec<u64> = numbers.collect();
         let Some(first) = numbers.first() else { return };
@@ -407,10 +407,10 @@
         Err(CompactError::Range)
     }
 
-    /// A number of entries.
+    /// Reads the number of entries of a list.
     fn count(&mut self) -> Result<usize, CompactError> {
         match self.number()? {
-            n if n <= MOST_TASKS => Ok(n as usize),
+            n if n <= MAX_TASKS => Ok(n as usize),
             _ => Err(CompactError::Range),
         }
     }
@@ -427,7 +427,7 @@
         let mut last = self.number()?;
         let mut numbers = vec![last];
         let order = self.byte()? as u32;
-        if order > MOST_ORDER {
+        if order > MAX_ORDER {
             return Err(CompactError::Range);
         }
         let mut bits = BitReader::new(self.0);
@@ -450,12 +450,12 @@
             _ => return Err(CompactError::Range),
         };
         let packed = self.bytes((count * width).div_ceil(8))?;
-        let of = |i: usize| {
+        let value_at = |i: usize| {
             let bit = i * width;
             let mask = (u8::MAX as u16 >> (8 - width)) as u8;
             packed[bit / 8] >> (bit % 8) & mask
         };
-        Ok((0..count).map(of).collect())
+        Ok((0..count).map(value_at).collect())
     }
 
     fn runs(&mut self, count: usize) -> Result<Vec<u8>, CompactError> {
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -1,4 +1,4 @@
-//! How a job and its tasks are kept in the store.
+//! Encoding of jobs and their tasks in the state service.
 
 use super::compact::{StartedTask, TaskRecord};
 use super::{ActiveAttempt, Job, MAX_RUNTIMES, Phase, Rest};
@@ -10,29 +10,29 @@
 use crate::time::{Time, Wall};
 use crate::wire::user::JobSpec;
 use hookworks_job_lifecycle::{
-    History, Hold, HoldKind, Holds, JobEvent as What, MAX_REASON_BYTES, WallMillis as At,
+    History, Hold, HoldKind, Holds, JobEvent, MAX_REASON_BYTES, WallMillis,
 };
 use serde::{Deserialize, Serialize};
 
-/// Bytes kept for the job itself in its first record.
-const HEADER: f64 = 1100.0;
-/// What holds and a history take at least, once there are any.
+/// Bytes reserved for the job itself in its first record.
+const HEADER_BYTES: f64 = 1100.0;
+/// Bytes that holds and a history need at least once there are any.
 pub const LATER_GROWTH_BYTES: usize = 320;
-/// Bytes that a started task takes in a record, and one hold.
-const PER_TASK: f64 = 42.0;
-const HOLD: usize = 320;
-/// Bytes that a started task takes in the compact form, most of the time; a started
-/// task at the most; and what such a record takes besides.
-const COMPACT_TASK: usize = 5;
-const COMPACT_TASK_MOST: usize = 16;
-const COMPACT_BASE: usize = 320;
-/// The longest runtime that is kept, in seconds, and the most that the counts of a
-/// history take.
-const LONGEST_RUNTIME: f64 = 99_999_999.9;
-const COUNTS_MOST: usize = 180;
-/// Bytes for a job's history: what it has at least, and at the most.
-const LEAST_HISTORY: usize = 130;
-const MOST_HISTORY: usize = 700;
+/// Bytes of a started task in a legacy record, and of one hold.
+const BYTES_PER_TASK: f64 = 42.0;
+const HOLD_BYTES: usize = 320;
+/// Bytes of a started task in the compact format, typically and at most, and the fixed size
+/// of such a record.
+const COMPACT_TASK_BYTES: usize = 5;
+const COMPACT_TASK_MAX_BYTES: usize = 16;
+const COMPACT_BASE_BYTES: usize = 320;
+/// The longest runtime that is stored, in seconds, and the maximum size in bytes of a
+/// history's counts.
+const MAX_RUNTIME_S: f64 = 99_999_999.9;
+const MAX_COUNTS_BYTES: usize = 180;
+/// Minimum and maximum bytes for a job's history.
+const MIN_HISTORY_BYTES: usize = 130;
+const MAX_HISTORY_BYTES: usize = 700;
 
 #[derive(Serialize, Deserialize)]
 struct Header {
@@ -55,7 +55,7 @@
     needs: DependencyIds,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     ready_at: Option<u64>,
-    /// Of a record from before there were histories there is none.
+    /// Absent in records written before histories were introduced.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     history: Option<serde_json::Value>,
     #[serde(flatten)]
@@ -68,23 +68,23 @@
 
 #[derive(Default, Serialize, Deserialize)]
 struct PartRecord {
-    /// Bits of the finished tasks, in hex words.
+    /// Bit set of the finished tasks, in hex words.
     #[serde(rename = "d", default)]
     done: String,
     #[serde(rename = "a", default)]
     live: Vec<(u32, u64, Host, u64)>,
-    /// Failures that count, a hex digit for each task.
+    /// Failures that count towards the retry limit, a hex digit per task.
     #[serde(rename = "e", default, skip_serializing_if = "String::is_empty")]
     failures: String,
-    /// Where the live attempts are.
+    /// Zone, build and kind of the machines of the active attempts.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     places: Option<AttemptPlaces>,
     #[serde(flatten)]
     rest: Rest,
 }
 
-/// The tasks of a record in either form. The earlier version can't read the compact
-/// one, and so leaves the job alone.
+/// The tasks of a record in either format. The earlier version can't read the compact one
+/// and therefore leaves the job untouched.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum StoredPart {
@@ -108,8 +108,8 @@
     }
 }
 
-/// The moment of the steady clock at which the clock on the wall showed `at`; `now` and
-/// `wall` are what both show at present.
+/// Converts the wall clock time `at` to the monotonic clock; `now` and `wall` are the
+/// current times of both clocks.
 fn steady_time(now: Time, wall: Wall, at: Wall) -> Time {
     Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at.0)))
 }
@@ -125,16 +125,19 @@
         };
         let live = || self.active.range(TaskIx(from)..TaskIx(to));
         let failures = self.failure_counts.encode(from, to);
-        // What the tasks leave of the room that their number was made for.
-        let used = PER_TASK as usize * live().count() + done.len() + failures.len();
-        let left = (PER_TASK as usize * self.part_size as usize).saturating_sub(used);
+        // Bytes left of the space that the part size was chosen for.
+        let used = BYTES_PER_TASK as usize * live().count() + done.len() + failures.len();
+        let left = (BYTES_PER_TASK as usize * self.part_size as usize).saturating_sub(used);
         PartRecord {
             done,
             live: live()
                 .map(|(t, l)| (t.0, l.attempt.0, l.host.clone(), l.placed_wall.0))
                 .collect(),
             failures,
-            places: AttemptPlaces::of(live().map(|(_, l)| l), left.saturating_sub(LEAST_HISTORY)),
+            places: AttemptPlaces::of(
+                live().map(|(_, l)| l),
+                left.saturating_sub(MIN_HISTORY_BYTES),
+            ),
             rest: self.parts[part].rest.clone(),
         }
     }
@@ -159,29 +162,23 @@
         }
     }
 
-    fn take_stored(
-        &mut self,
-        part: usize,
-        stored: StoredPart,
-        now: Time,
-        wall: Wall,
-    ) -> Option<()> {
+    fn load_part(&mut self, part: usize, stored: StoredPart, now: Time, wall: Wall) -> Option<()> {
         let (text, rest) = match stored {
-            StoredPart::Legacy(record) => return self.take_legacy(part, record, now, wall),
+            StoredPart::Legacy(record) => return self.load_legacy(part, record, now, wall),
             StoredPart::Compact(text) => (text, Rest::default()),
             StoredPart::CompactAndMore { text, rest } => (text, rest),
         };
         let decoded = TaskRecord::decode(&text);
         let record = decoded
             .inspect_err(
-                |e| tracing::error!(job = %self.id(), part, error = %e, "a compact record"),
+                |e| tracing::error!(job = %self.id(), part, error = %e, "compact record can't be decoded"),
             )
             .ok()?;
         self.parts[part].rest = rest;
-        self.take_tasks(part, record, now, wall)
+        self.load_tasks(part, record, now, wall)
     }
 
-    fn take_legacy(&mut self, part: usize, r: PartRecord, now: Time, wall: Wall) -> Option<()> {
+    fn load_legacy(&mut self, part: usize, r: PartRecord, now: Time, wall: Wall) -> Option<()> {
         let from = (part as u32).checked_mul(self.part_size)?;
         for (i, word) in r.done.as_bytes().chunks(16).enumerate() {
             let w = u64::from_str_radix(std::str::from_utf8(word).ok()?, 16).ok()?;
@@ -203,7 +200,7 @@
                 placed: Wall(at),
                 place: places.next(),
             };
-            self.take_started(started, now, wall)?;
+            self.load_started(started, now, wall)?;
         }
         self.failure_counts
             .decode(from, self.spec.tasks, &r.failures)?;
@@ -211,7 +208,7 @@
         Some(())
     }
 
-    fn take_tasks(&mut self, part: usize, r: TaskRecord, now: Time, wall: Wall) -> Option<()> {
+    fn load_tasks(&mut self, part: usize, r: TaskRecord, now: Time, wall: Wall) -> Option<()> {
         let (from, to) = self.part_range(part);
         let in_part = |count: usize| count <= (to - from) as usize;
         if !in_part(r.done.len()) || !in_part(r.failures.len()) {
@@ -222,7 +219,7 @@
         }
         for mut started in r.started {
             started.task = started.task.checked_add(from).filter(|t| *t < to)?;
-            self.take_started(started, now, wall)?;
+            self.load_started(started, now, wall)?;
         }
         let digit = |n: &u8| char::from_digit(*n as u32, 16);
         let failures: Option<String> = r.failures.iter().map(digit).collect();
@@ -230,19 +227,19 @@
             .decode(from, self.spec.tasks, &failures?)
     }
 
-    /// A task that an earlier leader started.
-    fn take_started(&mut self, started: StartedTask, now: Time, wall: Wall) -> Option<()> {
+    /// Takes over an attempt that an earlier leader started.
+    fn load_started(&mut self, started: StartedTask, now: Time, wall: Wall) -> Option<()> {
         if started.task >= self.spec.tasks {
             return None;
         }
-        let ago = crate::time::Span::millis(wall.0.saturating_sub(started.placed.0));
+        let age = crate::time::Span::millis(wall.0.saturating_sub(started.placed.0));
         let live = ActiveAttempt {
             attempt: started.attempt,
             host: started.host,
             place: started.place,
             required_version: 0,
             phase: Phase::Placed,
-            placed: Time(now.0.saturating_sub(ago.0)),
+            placed: Time(now.0.saturating_sub(age.0)),
             placed_wall: started.placed,
             running_since: None,
             inherited: true,
@@ -275,35 +272,35 @@
         serde_json::to_value(header).unwrap_or_default()
     }
 
-    /// The record of one part; the first also holds the job itself.
+    /// Encodes one part in the legacy format; the first part also contains the job itself.
     pub fn encode(&self, part: usize) -> serde_json::Value {
         let record = self.legacy_part(part);
         if part > 0 {
             return serde_json::to_value(record).unwrap_or_default();
         }
-        // What the tasks leave of the room that their number was made for.
-        let used = PER_TASK as usize * record.live.len() + record.done.len();
+        // Bytes left of the space that the part size was chosen for.
+        let used = BYTES_PER_TASK as usize * record.live.len() + record.done.len();
         let used = used
             + record
                 .places
                 .as_ref()
                 .map_or(0, AttemptPlaces::max_encoded_bytes);
-        let used = used + record.failures.len() + HOLD * self.holds.iter().count();
-        let room = (PER_TASK as usize * self.part_size as usize).saturating_sub(used);
-        let history = room.clamp(LEAST_HISTORY, MOST_HISTORY);
+        let used = used + record.failures.len() + HOLD_BYTES * self.holds.iter().count();
+        let room = (BYTES_PER_TASK as usize * self.part_size as usize).saturating_sub(used);
+        let history = room.clamp(MIN_HISTORY_BYTES, MAX_HISTORY_BYTES);
         let mut value = self.header(StoredPart::Legacy(record), self.holds.clone(), history);
-        // A record that the state service does not take would keep the job
-        // from ever being stored again.
-        let most = (HEADER + PER_TASK * self.part_size as f64) as usize;
-        if !self.holds.is_empty() && value.to_string().len() > most {
+        // A record that exceeds the limit of the state service would keep the job from ever
+        // being stored again.
+        let max_bytes = (HEADER_BYTES + BYTES_PER_TASK * self.part_size as f64) as usize;
+        if !self.holds.is_empty() && value.to_string().len() > max_bytes {
             value["holds"] = serde_json::to_value(self.holds.abbreviated()).unwrap_or_default();
         }
         value
     }
 
-    /// The same in the compact form. It has as much of the history as leaves it in
-    /// one value, or else in as many as it may have; with no room for that,
-    /// the reasons of holds are left out, and then where its tasks are.
+    /// Encodes one part in the compact format. The history is cut to fit into one value, or
+    /// else into as many values as the record may have. If that does not suffice, the
+    /// reasons of holds are left out, then the places of its tasks.
     pub fn encode_compact(&self, part: usize, room: RecordRoom) -> serde_json::Value {
         let mut tasks = self.task_record(part);
         let rest = || self.parts[part].rest.clone();
@@ -316,47 +313,47 @@
             tasks.forget_places();
             return serde_json::to_value(StoredPart::compact(&tasks, rest())).unwrap_or_default();
         }
-        let least = |tasks: &TaskRecord, holds: &Holds| {
+        let minimal = |tasks: &TaskRecord, holds: &Holds| {
             self.header(
                 StoredPart::compact(tasks, rest()),
                 holds.clone(),
-                LEAST_HISTORY,
+                MIN_HISTORY_BYTES,
             )
         };
         let mut holds = self.holds.clone();
-        let mut value = least(&tasks, &holds);
+        let mut value = minimal(&tasks, &holds);
         if !room.holds(&value) {
             holds = holds.abbreviated();
-            value = least(&tasks, &holds);
+            value = minimal(&tasks, &holds);
         }
         if !room.holds(&value) {
             tasks.forget_places();
-            value = least(&tasks, &holds);
+            value = minimal(&tasks, &holds);
         }
         let bytes = value["h"].to_string().len() + room.spare(&value);
-        if bytes > LEAST_HISTORY && self.history.entries().next().is_some() {
-            value["h"] = self.history.encode(bytes.min(MOST_HISTORY));
+        if bytes > MIN_HISTORY_BYTES && self.history.entries().next().is_some() {
+            value["h"] = self.history.encode(bytes.min(MAX_HISTORY_BYTES));
         }
         value
     }
 
-    /// As many values as the first record may ever take in the compact form, with all
+    /// Upper bound of the values that the first record needs in the compact format, with all
     /// its tasks started, failed before and held three times.
     pub fn max_values(&self, value_bytes: usize) -> usize {
         let (from, to) = self.part_range(0);
-        let text = "x".repeat(COMPACT_BASE + COMPACT_TASK_MOST * (to - from) as usize);
+        let text = "x".repeat(COMPACT_BASE_BYTES + COMPACT_TASK_MAX_BYTES * (to - from) as usize);
         let mut holds = Holds::default();
         for kind in [HoldKind::User, HoldKind::Operator, HoldKind::System] {
             holds.put(Hold {
                 kind,
                 by: "\u{1}".repeat(MAX_REASON_BYTES),
                 why: String::new(),
-                at: At(u64::MAX),
+                at: WallMillis(u64::MAX),
             });
         }
         let mut value = self.header(StoredPart::Compact(text), holds.abbreviated(), 0);
-        value["runtimes"] = vec![LONGEST_RUNTIME; MAX_RUNTIMES].into();
-        value["h"] = "x".repeat(COUNTS_MOST).into();
+        value["runtimes"] = vec![MAX_RUNTIME_S; MAX_RUNTIMES].into();
+        value["h"] = "x".repeat(MAX_COUNTS_BYTES).into();
         if !self.needs.is_empty() {
             value["ready_at"] = u64::MAX.into();
         }
@@ -381,11 +378,13 @@
         job.holds = h.holds;
         job.stored_holds = job.holds.clone();
         (job.conditions_met, job.conditions_unmeetable) = (h.met, h.never);
-        let history = h.history.and_then(|v| History::decode(At(h.at), &v));
-        job.history = history.unwrap_or_else(|| History::new(At(h.at)));
-        job.failed_before = job.history.count(What::Failed);
+        let history = h
+            .history
+            .and_then(|v| History::decode(WallMillis(h.at), &v));
+        job.history = history.unwrap_or_else(|| History::new(WallMillis(h.at)));
+        job.failed_before = job.history.count(JobEvent::Failed);
         job.unknown_fields = h.rest;
-        job.take_stored(0, h.first, now, wall)?;
+        job.load_part(0, h.first, now, wall)?;
         Some(job)
     }
 
@@ -400,24 +399,25 @@
         if part == 0 || part >= self.parts.len() {
             return None;
         }
-        self.take_stored(part, stored, now, wall)
+        self.load_part(part, stored, now, wall)
     }
 }
 
 /// Parts begin and end at whole words of the bit set.
 pub const MIN_PART_TASKS: u32 = 64;
-const MOST_PART: u32 = 512;
+const MAX_PART_TASKS: u32 = 512;
 
 fn whole_words(tasks: u32) -> u32 {
-    (tasks / MIN_PART_TASKS * MIN_PART_TASKS).clamp(MIN_PART_TASKS, MOST_PART)
+    (tasks / MIN_PART_TASKS * MIN_PART_TASKS).clamp(MIN_PART_TASKS, MAX_PART_TASKS)
 }
 
-/// How many tasks share a record, so that a full one stays under the limit.
+/// Number of tasks per record, such that a full record stays within the value limit.
 pub fn part_size(value_kb: f64) -> u32 {
-    whole_words(((value_kb * 1024.0 - HEADER) / PER_TASK).max(0.0) as u32)
+    whole_words(((value_kb * 1024.0 - HEADER_BYTES) / BYTES_PER_TASK).max(0.0) as u32)
 }
 
-/// The same for the compact form, so that a record mostly is one value.
+/// Number of tasks per record in the compact format, such that a record usually fits into
+/// one value.
 pub fn compact_part_size(value_bytes: usize) -> u32 {
-    whole_words((value_bytes.saturating_sub(COMPACT_BASE / 4) / COMPACT_TASK) as u32)
+    whole_words((value_bytes.saturating_sub(COMPACT_BASE_BYTES / 4) / COMPACT_TASK_BYTES) as u32)
 }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduler itself: no I/O, no clock, no threads. Whatever happens comes
-//! in as an event with its time; what is to be done goes out as effects.
+//! The scheduler as a state machine without I/O, clock or threads. Events enter with their
+//! time through [`Scheduler::handle`], which returns the effects to be carried out.
 
 mod admission;
 mod allowed_zones;
@@ -51,53 +51,54 @@
 use crate::wire::peer::{Answer, Ask};
 use crate::wire::user::JobState;
 use crate::wire::worker::{Orders, Report};
-use hookworks_job_lifecycle::RetryPolicy as RetryRule;
+use hookworks_job_lifecycle::RetryPolicy;
 use job::{Final, Job};
 use machine::{Life, Machine, Slot};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// What may happen to the scheduler.
+/// An input of the scheduler.
 #[derive(Debug)]
 pub enum Event {
     Ask(ReqId, Ask),
-    /// A worker's report by way of another controller.
+    /// A heartbeat that another controller forwarded.
     Relayed(ReqId, Label, Vec<u8>),
-    /// Controllers that can't be talked to at the moment.
+    /// Controllers that are currently unreachable.
     Unreachable(Vec<Label>),
-    /// A part of a job, or its final state, is in the store for certain.
+    /// A record is durably stored, up to this version.
     Stored(Key, u64),
-    /// The state service refuses to store anything of this job for now.
+    /// The state service currently refuses writes for this job.
     NotStored(JobId),
-    /// The store already holds a final state for a job that was to be new.
+    /// The store already holds a final state for a job that was taken for new.
     AlreadyFinal(JobId, Final),
-    /// A consistent read of a final state came back, or failed.
+    /// Result of a consistent read of a final state; `Err` if the read failed.
     FinalRead(JobId, Result<Option<Final>, ()>),
-    /// The same for the whole record, which somebody wants to see.
+    /// Result of a consistent read of the whole final record, for a request that shows the
+    /// job.
     RecordRead(ReqId, JobId, Result<Option<serde_json::Value>, ()>),
     Direct(CallId, Host, DirectResult),
     MachineTypes(Vec<Flavor>),
     Listed(Vec<Listed>),
     RentalResult(Hire, RentalResult),
     Released(Vec<Host>, bool),
-    /// Leadership is proven as of this moment, when the renewal was sent.
+    /// The leader lease was renewed; the time is when the renewal was sent.
     LeadershipConfirmed(Time),
     Tick(Wall),
-    /// Requests have waited here for so long that answers may come too late.
+    /// Requests have queued here for so long that their responses may arrive too late.
     Overloaded,
-    /// The moment that `wake_at` named.
+    /// The time returned by [`Scheduler::wake_at`] has come.
     Wake,
 }
 
 #[derive(Debug)]
 pub enum DirectResult {
     Done(Box<Report>),
-    /// Not executed: the token or the session was not right.
+    /// Not executed: the fencing token or the session did not match.
     Conflict(Box<Report>),
     /// The connection was refused, so nothing was sent.
     Refused,
-    /// It waited for too long here and was not sent: no word on the worker.
+    /// It was queued here for too long and not sent; this says nothing about the worker.
     Unsent,
-    /// May be executed at any later time.
+    /// The outcome is unknown; the command may still be executed at any later time.
     Unclear,
 }
 
@@ -105,11 +106,11 @@
 pub enum RentalResult {
     Ok(Vec<Host>),
     NoCapacity,
-    /// Not carried out; the same request may be sent again.
+    /// Not carried out; the same request may be retried.
     Busy,
-    /// May have been carried out; to be repeated under the same name.
+    /// The outcome is unknown; to be retried under the same idempotency name.
     Unclear,
-    /// Will never be carried out.
+    /// Rejected for good.
     Invalid,
 }
 
@@ -128,7 +129,7 @@
     Release(Vec<Host>),
 }
 
-/// What the scheduler is told once, at the start of a term.
+/// Settings of the scheduler, fixed for one leadership.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub workers: Workers,
@@ -136,26 +137,26 @@
     pub teams: Vec<crate::settings::TeamLimit>,
     pub objectives: Vec<crate::settings::Objective>,
     pub value_kb: f64,
-    /// The smallest limits that the state service is known to have at some time.
+    /// The smallest limits that the state service is announced to have at any time.
     pub min_limits: crate::settings::LimitValues,
-    /// Finished jobs read one by one for whoever wants to see them, a second.
+    /// Reads of finished jobs per second for requests that show one job.
     pub lookup_reads_per_s: f64,
     pub leader_lease: Span,
     pub pass_interval: Span,
     pub heartbeat_hold: Span,
-    /// When a zone counts as lost, and what follows.
+    /// When a zone counts as lost, and how the scheduler reacts.
     pub zones: hookworks_zones::Limits,
-    /// Verdicts on zones are acted on, not only shown.
+    /// Whether zone verdicts are acted on, or only shown.
     pub act_on_zones: bool,
-    /// Unfinished jobs; more are turned away.
+    /// Maximum number of unfinished jobs; further submissions are rejected.
     pub max_jobs: usize,
-    /// Final states kept at hand; older ones are read from the store.
+    /// Maximum number of final states cached in memory; older ones are read from the store.
     pub max_finals: usize,
-    /// Room for classes and teams that are hardly served.
+    /// Minimum share of resources for classes and teams that get hardly any.
     pub fairness: hookworks_fairness::FairnessPolicy,
-    /// How far the time of day may be off.
+    /// Maximum error of the wall clock.
     pub clock_error: Span,
-    /// How old the cloud's list of machines may be at most.
+    /// Maximum age of the cloud's list of machines.
     pub max_list_age: Span,
     /// The other controllers and their zones.
     pub controllers: BTreeMap<Label, Zone>,
@@ -163,7 +164,7 @@
 
 impl Config {
     pub fn from(s: &Settings) -> Config {
-        // Settings that can't be served were refused at start.
+        // Settings with invalid sizes were rejected at startup.
         let sizes = s.sizes().ok();
         Config {
             max_jobs: sizes.map_or(DEFAULT_MAX_JOBS, |s| s.jobs),
@@ -186,8 +187,8 @@
             controllers: s.platform.controllers(),
         }
     }
-    /// For this long after its last proof a leader may go on answering
-    /// reports: whatever it keeps alive is still gone `cancel_s` later.
+    /// How long after its last lease renewal a leader may still answer heartbeats: every
+    /// task that it keeps running this way has still ended `cancel_s` later.
     pub fn report_grace(&self) -> Span {
         let s = self.workers.cancel_s - self.workers.lease_s - 2.0;
         Span::secs(s).max(self.leader_lease).shrunk()
@@ -201,13 +202,13 @@
     pub machines: BTreeMap<Host, Machine>,
     pub machine_types: BTreeMap<Build, Flavor>,
     pub write_queue: WriteQueue,
-    /// The form in which records are written.
+    /// The format in which records are written.
     record_format: RecordFormat,
     teams: team::Teams,
-    /// Classes that want to start sooner than a machine can be rented.
+    /// Classes whose start target is shorter than the time to rent a machine.
     fast_start_classes: BTreeSet<Class>,
-    /// How often tasks of a class may fail.
-    retry_policies: BTreeMap<Class, RetryRule>,
+    /// Retry policy of each class.
+    retry_policies: BTreeMap<Class, RetryPolicy>,
     arrivals: headroom::RecentArrivals,
     fleet: fleet::Fleet,
     probes: catchup::Probes,
@@ -219,12 +220,12 @@
     dependencies: dependencies::Dependencies,
     inheritance: inheritance::InheritanceQueue,
     submission_lookups: referenced_jobs::Lookups,
-    /// When running tasks reach their limit.
+    /// When running tasks reach their time limit.
     time_limits: BTreeSet<(Time, TaskId)>,
     pending_final_reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
     record_reads_in_flight: usize,
     lookup_budget: Budget,
-    /// The same for polls of jobs that are over or unknown.
+    /// Budget for polls of jobs that are finished or unknown.
     poll_budget: Budget,
     lookup_counts: LookUpCounts,
     id_counter: u64,
@@ -232,53 +233,56 @@
     next_call: u64,
     leadership_confirmed: Time,
     leading_since: Time,
-    /// The latest tick, and the end of the latest pause in which this process stood
-    /// still: what was not heard meanwhile says nothing of others.
+    /// The latest tick, and the end of the latest pause of this process. Missing heartbeats
+    /// during such a pause are no evidence against workers or controllers.
     last_tick: Time,
     resumed_at: Time,
-    /// When requests were last found to have waited for too long.
+    /// When requests were last found to have queued for too long.
     overloaded_at: Time,
     wall: Wall,
-    /// Something has changed that the next pass over the jobs should see.
+    /// Something has changed that requires another placement pass.
     replan: bool,
-    /// Passes gather what happens meanwhile: no next one before this moment.
+    /// Earliest time of the next placement pass; passes are batched.
     next_pass_at: Time,
-    /// Nor before this one, however urgent: the rest has its share.
+    /// No placement pass before this time, however urgent, so that other work gets its
+    /// share.
     no_pass_before: Time,
     next_preemption_at: Time,
     next_summary_at: Time,
-    /// The job with which the next pass goes on.
+    /// The job at which the next placement pass resumes.
     resume_pass_at: Option<JobId>,
-    /// The last pass got no further than who is served ahead of that job.
+    /// The last pass ended within the jobs that are served ahead of `resume_pass_at`.
     pass_stalled: bool,
-    /// Machines judged for tasks since the beginning: how much work placing is.
+    /// Machines evaluated for tasks since the leadership began: a measure of placement work.
     machines_evaluated: std::cell::Cell<u64>,
     reports_held: u64,
     reports_refused: u64,
-    /// Jobs just taken; written after the next pass, along with what it starts.
+    /// Newly accepted jobs; written after the next pass, together with the starts of that
+    /// pass.
     newly_accepted: Vec<JobId>,
-    /// Machines with attempts whose `run` has not left yet.
+    /// Machines with attempts whose `run` command has not been sent yet.
     machines_with_unsent_runs: BTreeSet<Host>,
-    /// Machines for which something has been stored since commands last left.
+    /// Machines for which something has been stored since commands were last sent.
     machines_to_push: BTreeSet<Host>,
-    /// Reports whose answers wait for what is being stored.
+    /// Heartbeats whose response waits for a write to be stored.
     held_heartbeats: BTreeMap<Host, beats::Beat>,
-    /// Those that wait for their zone to be taken back on record.
+    /// Heartbeats that wait until the removal of their zone's fence is stored.
     fenced_heartbeats: BTreeMap<Host, beats::Beat>,
     effects: Vec<Effect>,
-    /// Jobs whose records can't be read, and whether what can be says that they
-    /// were cancelled. They are left alone, but known.
+    /// Jobs with unreadable records, and whether the readable part says that they were
+    /// cancelled. They are left untouched but stay known.
     unreadable: BTreeMap<JobId, JobState>,
 }
 
-/// Share of the state service's requests that look-ups may take: the rest is for
-/// what users and workers wait for.
+/// Share of the state service's request quota for look-ups; the rest is for requests of
+/// users and workers that must not wait.
 const LOOKUP_REQUEST_SHARE: f64 = 0.1;
-/// Ticks come four times a second; so long without any, this process stood still.
+/// Longest gap between ticks, which come four times a second; after a longer gap this
+/// process was paused.
 const MAX_TICK_GAP: Span = Span(2_000_000);
-/// Where sizes can't be told.
+/// Limit for jobs and cached final states where the settings give no valid sizes.
 const DEFAULT_MAX_JOBS: usize = 1000;
-/// How full the fleet is goes to the log so often.
+/// Interval of the log line about fleet utilization.
 const SUMMARY_INTERVAL: Span = Span(10_000_000);
 
 impl Scheduler {
@@ -347,23 +351,22 @@
         }
     }
 
-    /// The form in which records are written from now on. The compact one is never
-    /// given up again.
+    /// Sets the format of records written from now on. The compact format is never reverted.
     pub fn set_format(&mut self, format: RecordFormat) {
         self.record_format = self.record_format.max(format);
     }
 
-    /// Jobs that wait for others may be taken: every controller knows what their
-    /// records say.
+    /// Whether jobs with dependencies may be accepted: every controller can read their
+    /// records.
     pub fn accepts_dependencies(&self) -> bool {
         self.record_format == RecordFormat::Compact
     }
 
-    /// The only way in: an event at a time leads to effects.
+    /// Handles one event and returns the resulting effects. This is the only entry point.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         self.write_queue.now = now;
-        // One for a turn of the loop, not one for each of its messages: with a pass
-        // due again after each, a turn took 5.8 s, and reports waited for it.
+        // At most one placement pass per turn of the main loop, not one per message: with a
+        // pass due after each message, a turn took 5.8 s and heartbeats waited for it.
         let turn_ends = matches!(event, Event::Wake | Event::Tick(_));
         let may_pass = turn_ends || self.config.pass_interval == Span::ZERO;
         match event {
@@ -424,44 +427,45 @@
         self.next_pass_at.max(self.no_pass_before)
     }
 
-    /// No pass before this moment: the last one has taken so much that the rest is
-    /// to have its turn.
+    /// Allows no placement pass before `until`: the last one took so long that other work
+    /// must run first.
     pub fn defer_pass(&mut self, until: Time) {
         self.no_pass_before = until;
     }
 
-    /// When `Wake` is due, if there is anything for it to do: the next pass,
-    /// commands that may leave, answers that have waited.
+    /// When [`Event::Wake`] is due, if there is anything to do: the next pass, commands that
+    /// can be sent, or held heartbeats to be answered.
     pub fn wake_at(&self) -> Option<Time> {
         let pass = self.replan.then_some(self.pass_due());
         let ready = (!self.machines_to_push.is_empty()).then_some(Time::default());
-        let goes_on = self.dependencies.is_announcing() || !self.inheritance.is_empty();
-        let goes_on = goes_on.then_some(Time::default());
-        let due = [pass, ready, goes_on, self.held_until()];
+        let has_dependency_work = self.dependencies.is_announcing() || !self.inheritance.is_empty();
+        let has_dependency_work = has_dependency_work.then_some(Time::default());
+        let due = [pass, ready, has_dependency_work, self.held_until()];
         due.into_iter().flatten().min()
     }
 
-    /// Leadership is proven at this moment; anything new needs that.
+    /// Whether the leader lease is valid at `now`; every new action requires it.
     pub fn may_start(&self, now: Time) -> bool {
         now < self.leadership_valid_until()
     }
 
-    /// Until when the leadership is proven.
+    /// When the confirmed leader lease ends, with a safety margin.
     pub fn leadership_valid_until(&self) -> Time {
         self.leadership_confirmed + (self.config.leader_lease.shrunk() - Span::millis(50))
     }
 
-    /// Reports may be answered for a while after the last proof: in an outage of
-    /// the state service for all. Who hears no other controller either may be the
-    /// only one that has lost it, and its workers are served better elsewhere.
+    /// Heartbeats are answered for a grace period after the last lease renewal, so that an
+    /// outage of the state service affects no worker. A controller that reaches no other one
+    /// may be the only one cut off from the state service; its workers are better served by
+    /// another.
     pub fn may_report(&self, now: Time) -> bool {
         self.may_start(now)
             || now < self.leadership_confirmed + self.config.report_grace()
                 && !self.is_isolated(now)
     }
 
-    /// There are other controllers, and none of them can be talked to; unless it is
-    /// this one that is too busy to hear them.
+    /// There are other controllers and all are unreachable, while this one is not
+    /// overloaded.
     fn is_isolated(&self, now: Time) -> bool {
         let away = |l| self.fleet.unreachable_controllers.get(l);
         let lately = |l| away(l).is_some_and(|t| now - *t < Span::secs(1.0));
@@ -491,7 +495,7 @@
         let usable = |f: &Flavor| {
             let fine = f.cpus > 0.0 && f.gpus >= 0.0 && f.memory_gb >= 0.0;
             if !fine {
-                tracing::warn!(build = %f.build, "a machine type without room is ignored");
+                tracing::warn!(build = %f.build, "machine type ignored: negative capacity or no CPUs");
             }
             fine
         };
@@ -506,13 +510,13 @@
         self.replan = true;
     }
 
-    /// Takes over what earlier leaders stored; called before any event.
+    /// Loads the jobs stored by earlier leaders; called before any event.
     pub fn load(&mut self, now: Time, jobs: Vec<Job>, unreadable: BTreeMap<JobId, JobState>) {
         self.unreadable = unreadable;
         for mut job in jobs {
             if job.damaged {
-                // What the lost part had on machines is not known: it is over, by
-                // our word or with its lease, before anything of the job starts.
+                // Attempts in the unreadable part are unknown: they have ended, by command
+                // or by lease expiry, before anything of the job starts.
                 job.backoff_until =
                     self.latest_lease_renewal(now) + self.lease_bound() + self.lease_bound();
             }
@@ -536,8 +540,8 @@
                 if let Some(p) = &l.place {
                     (m.zone, m.build, m.spot) = (p.zone.clone(), p.build.clone(), p.spot);
                 }
-                // Earlier leaders may have answered its reports until now, and
-                // one that doesn't know of us yet may for some time to come.
+                // Earlier leaders may have answered its heartbeats until now, and one that
+                // has not noticed the new leadership may do so for some time.
                 m.answered = now.max(self.leading_since + self.config.report_grace());
                 self.fences.bound(m);
                 m.doubt = Some(token);
@@ -551,7 +555,7 @@
             }
             self.jobs.insert(id.clone(), job);
             self.finish_if_complete(&id);
-            // A cancelled job's tasks are to go; who told its user counts on it.
+            // Tasks of a cancelled job must end: the cancellation was confirmed to its user.
             if self.jobs.get(&id).is_some_and(|j| j.cancelled) {
                 self.stop_all(now, &id);
             }
@@ -575,9 +579,12 @@
     }
 
     fn tick(&mut self, now: Time) {
-        let pause = now - std::mem::replace(&mut self.last_tick, now);
-        if pause > MAX_TICK_GAP {
-            tracing::warn!(seconds = pause.as_secs(), "stood still");
+        let gap = now - std::mem::replace(&mut self.last_tick, now);
+        if gap > MAX_TICK_GAP {
+            tracing::warn!(
+                seconds = gap.as_secs(),
+                "process was paused: no tick for longer than the limit"
+            );
             self.resumed_at = now;
         }
         self.push_ready(now);
@@ -593,7 +600,7 @@
         self.read_parents(now);
         self.continue_lookups(now);
         self.enforce_time_limits(now);
-        // What waits for time alone, such as a back-off, is tried again.
+        // Jobs that wait only for time to pass, such as a backoff, are tried again.
         self.replan = true;
         if now >= self.next_summary_at {
             self.next_summary_at = now + SUMMARY_INTERVAL;
@@ -602,12 +609,12 @@
         }
     }
 
-    /// Reads of final states so far.
+    /// Counters of final-state reads since the leadership began.
     pub fn lookup_counts(&self) -> LookUpCounts {
         self.lookup_counts
     }
 
-    /// Machines judged for tasks so far, a measure of the work of placing.
+    /// Machines evaluated for tasks since the leadership began: a measure of placement work.
     pub fn machines_evaluated(&self) -> u64 {
         self.machines_evaluated.get()
     }
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -847,7 +847,7 @@
             JobId::from(format!("job-{digits}").as_str())
         };
         let needs: DependencyIds = (0..seed % 60).map(|_| name()).collect();
-        assert_eq!(Needs::decode(&needs.encode()), Some(needs));
+        assert_eq!(DependencyIds::decode(&needs.encode()), Some(needs));
     }
 }
 
@@ -866,6 +866,6 @@
     for wrong in [
         "x", "6:~", "2:yMgBk", "=12x", "40:A", "6:g", "6", "=", "-1:A",
     ] {
-        assert_eq!(Needs::decode(wrong), None, "{wrong}");
+        assert_eq!(DependencyIds::decode(wrong), None, "{wrong}");
     }
 }
--- a/tests/controller_requests.rs
+++ b/tests/controller_requests.rs
@@ -24,7 +24,7 @@
         first_request_id(Instance(i))..first_request_id(Instance(i)) + (u32::MAX as u64 - 1)
     };
     for (a, b) in [(0, 1), (7, 8), (u32::MAX as u64 - 1, u32::MAX as u64)] {
-        assert!(!of(a).contains(&first_request(Instance(b))));
-        assert!(!of(b).contains(&first_request(Instance(a))));
+        assert!(!of(a).contains(&first_request_id(Instance(b))));
+        assert!(!of(b).contains(&first_request_id(Instance(a))));
     }
 }
