--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a submission can be taken: what is refused, and as what.
+//! Admission control: which submissions are rejected, and with which status.
 
 use super::job::{Job, LATER_GROWTH_BYTES, MIN_PART_TASKS, compact_part_size, part_size};
 use crate::ids::Zone;
@@ -13,24 +13,24 @@
 use super::Scheduler;
 use super::dependency_ids::DependencyIds;
 
-/// The answer to a submission that names more unfinished jobs than its record holds.
+/// The response to a submission that names more unfinished jobs than its record can hold.
 pub(super) fn too_many_dependencies() -> Answer {
     let text = "Awaits: too many jobs that are not done yet to be stored with this one";
     Answer::later(text, 5)
 }
 
 impl Scheduler {
-    /// Why a job can never run, if so; `Err` when that can't be told yet.
+    /// Why a job can never run, if so; `Err` if that can't be decided yet.
     pub(super) fn unsatisfiable(&self, s: &JobSpec) -> Result<Option<String>, String> {
         let Some(limit) = self.teams.limit(&s.team) else {
             return Ok(Some(format!("Crew: no team {}", s.team)));
         };
         let need = Resources::of_task(s);
-        let at_once = match s.kind {
+        let concurrent_tasks = match s.kind {
             Kind::Array => 1,
             Kind::Gang | Kind::Service => s.tasks as i64,
         };
-        if let Some(part) = limit.first_lacking(&need.scaled(at_once)) {
+        if let Some(part) = limit.first_lacking(&need.scaled(concurrent_tasks)) {
             return Ok(Some(format!("{part}: more than the team's limit")));
         }
         if self.machine_types.is_empty() {
@@ -41,12 +41,12 @@
         if types.is_empty() {
             return Ok(Some("Builds: no such machine type".into()));
         }
-        let lacks: Vec<_> = types
+        let lacking: Vec<_> = types
             .iter()
             .map(|f| Resources::of_machine_type(f).first_lacking(&need))
             .collect();
-        if lacks.iter().all(Option::is_some) {
-            let part = lacks.into_iter().flatten().next().unwrap_or("Vcpus");
+        if lacking.iter().all(Option::is_some) {
+            let part = lacking.into_iter().flatten().next().unwrap_or("Vcpus");
             return Ok(Some(format!("{part}: more than any allowed machine has")));
         }
         let fitting = types
@@ -55,7 +55,7 @@
         let mut zones: Vec<Option<&Zone>> = vec![];
         for f in fitting {
             match f.zones.is_empty() {
-                // Not told: it could be any.
+                // No zones given: it could be any.
                 true => zones.extend([None, None]),
                 false => zones.extend(f.zones.iter().map(Some)),
             }
@@ -70,40 +70,40 @@
         }
         let distinct = zones.len() > 1 && zones.iter().any(|z| *z != zones[0] || z.is_none());
         let one = s.one_zone || s.zone.is_some() || !distinct;
-        if s.spread && one && at_once > 1 {
+        if s.spread && one && concurrent_tasks > 1 {
             return Ok(Some("Scatter: all tasks would be in one zone".into()));
         }
         Ok(None)
     }
 
     pub(super) fn new_job(&self, now: Time, spec: JobSpec) -> Job {
-        let usual = match self.record_format {
+        let part_tasks = match self.record_format {
             RecordFormat::Legacy => part_size(self.config.value_kb),
             RecordFormat::Compact => compact_part_size(self.smallest_value()),
         };
-        let of_size = |size| Job::new(spec.clone(), self.next_seq, now, self.wall, size);
-        let mut job = of_size(usual);
-        // Beside long names fewer tasks fit.
+        let with_part_size = |size| Job::new(spec.clone(), self.next_seq, now, self.wall, size);
+        let mut job = with_part_size(part_tasks);
+        // With long names in the record fewer tasks fit.
         while !self.fits_smallest(&job) && job.part_size > MIN_PART_TASKS {
-            job = of_size(job.part_size - MIN_PART_TASKS);
+            job = with_part_size(job.part_size - MIN_PART_TASKS);
         }
         job
     }
 
-    /// Its first record can be written under the smallest limits that are known to
-    /// come, whatever becomes of its tasks.
+    /// Whether its first record fits the smallest announced limits, whatever happens to its
+    /// tasks.
     fn fits_smallest(&self, job: &Job) -> bool {
         job.max_values(self.smallest_value()) <= self.config.min_limits.txn_ops
     }
 
-    /// Bytes of the smallest value that is known to come.
+    /// The smallest announced value limit, in bytes.
     fn smallest_value(&self) -> usize {
         let kb = self.config.value_kb.min(self.config.min_limits.value_kb);
         ((kb * 1024.0) as usize).saturating_sub(VALUE_MARGIN)
     }
 
-    /// The state service would not take the job's first record, now or under the
-    /// smaller limits of later.
+    /// Whether the job's first record exceeds the limits of the state service, current or
+    /// announced.
     pub(super) fn too_large(&self, job: &Job) -> bool {
         if !self.fits_smallest(job) {
             return true;
@@ -117,8 +117,8 @@
         first + size.min(job.spec.tasks) as usize * 42 > room
     }
 
-    /// Its first record would be small enough but for the names of jobs that are not
-    /// done. They become fewer with time, so it is no reason to refuse the job for good.
+    /// Whether its first record would fit but for the names of unfinished jobs. Their number
+    /// falls with time, so the job is not rejected for good.
     pub(super) fn has_too_many_dependencies(&self, job: &Job) -> bool {
         if job.needs.is_empty() || !self.too_large(job) {
             return false;
@@ -128,8 +128,8 @@
         !self.too_large(&without)
     }
 
-    /// What a submission gets that would be refused, now that nothing is known of
-    /// a job of that name.
+    /// The response to a submission that would be rejected, once it is known that no job of
+    /// that name exists.
     pub(super) fn refusal_answer(&self, now: Time, body: &[u8]) -> Answer {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
--- a/src/sched/lifecycle.rs
+++ b/src/sched/lifecycle.rs
@@ -1,5 +1,5 @@
-//! A job's life beyond placing: holds, limits of retries, what has happened and
-//! what was used. All of it is stored with the job's records, and told once it is.
+//! Holds, retry limits, time limits, history and resource usage of jobs. All of it is stored
+//! with the job's records and shown once it is stored.
 
 use super::dependencies::ParentOutcome;
 use super::job::{ActiveAttempt, Final, Job, Phase, ReplyKind};
@@ -11,20 +11,20 @@
 use crate::wire::peer::{Answer, Ask};
 use crate::wire::user::{HoldView, JobDetail, JobState, JobView, Kind, TaskSeconds};
 use hookworks_job_lifecycle::{
-    Failure, History, Hold, HoldKind, HoldRequest, Holds, JobEvent as What, ReleaseRequest,
-    RetryDecision, WallMillis as At,
+    Failure, History, Hold, HoldKind, HoldRequest, Holds, JobEvent, ReleaseRequest, RetryDecision,
+    WallMillis,
 };
 use hookworks_listing::Line;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Reads of finished jobs' records under way at a time.
-const MAX_RECORDS: usize = 64;
-/// Who puts the hold of a job that has failed too often.
-const LIMIT: &str = "retry-limit";
+/// Maximum reads of finished jobs' records in flight.
+const MAX_RECORD_READS: usize = 64;
+/// Author of the hold on a job that has exhausted its retries.
+const RETRY_LIMIT_AUTHOR: &str = "retry-limit";
 
 impl Scheduler {
-    /// Answers what can't be held or released, which is over; true if it did.
+    /// Answers a hold or release of a job that is not active. Returns true if it answered.
     fn refuse_unless_active(&mut self, now: Time, req: ReqId, id: &JobId, ask: &Ask) -> bool {
         if let Some(f) = self.finals.get(id) {
             let a = Answer::new(409, job_view_json(id, f.state, f.done, 0));
@@ -34,10 +34,13 @@
         } else if self.unreadable.contains_key(id) {
             self.answer(req, Answer::later("the job's record can't be read", 30));
         } else if !self.ancestors_known(id) {
-            self.answer(req, Answer::later("what it needs is being looked up", 1));
+            self.answer(
+                req,
+                Answer::later("the job's dependencies are being looked up", 1),
+            );
         } else if let Some(j) = self.jobs.get_mut(id) {
             if j.closing_state.is_some() {
-                // Told with its final state, once that is stored.
+                // Answered with the final state once that is stored.
                 j.waiters.push((u64::MAX, req, ReplyKind::Hold(false)));
             } else if j.cancelled && j.parts[0].stored_version >= j.cancel_version {
                 let a = Answer::new(409, job_view_json(id, JobState::Cancelled, j.done_count, 0));
@@ -67,7 +70,7 @@
             why: r.why,
             at: self.wall.into(),
         };
-        tracing::info!(job = %id, kind = ?hold.kind, by = %hold.by, stop = r.stop, "held");
+        tracing::info!(job = %id, kind = ?hold.kind, by = %hold.by, stop = r.stop, "job held");
         self.put_hold(now, &id, hold, Purpose::Now);
         self.answer_when_stored(req, &id, true);
         if r.stop {
@@ -75,52 +78,54 @@
         }
     }
 
-    /// The job starts nothing from now on; what is on its way is called back.
+    /// Puts a hold on the job: nothing more starts, and attempts that have not begun are
+    /// stopped.
     pub(super) fn put_hold(&mut self, now: Time, id: &JobId, hold: Hold, purpose: Purpose) {
         let wall = self.wall;
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
         if j.holds.put(hold) {
-            j.history.note(What::Held, wall.into());
+            j.history.note(JobEvent::Held, wall.into());
             j.holds_version = j.mark_changed(0, &mut self.write_queue, purpose);
         }
         self.stop_unstarted(now, id);
         self.replan = true;
     }
 
-    /// Ends what has not begun. A command that is under way may still start it;
-    /// then it is told to end as soon as it is seen.
+    /// Stops attempts that have not begun. A command in flight may still start one, which is
+    /// then stopped as soon as a heartbeat reports it.
     fn stop_unstarted(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
         let leeway = j.spec.save_s + 1.0;
-        let begun = |l: &ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
+        let has_begun = |l: &ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
         if j.spec.kind == Kind::Gang {
-            // It begins together or not at all.
-            if !j.gang_ran && !j.active.values().any(begun) {
+            // A gang begins as a whole or not at all.
+            if !j.gang_ran && !j.active.values().any(has_begun) {
                 self.stop_gang(now, id);
             }
             return;
         }
-        // What an earlier leader placed may run, unseen as yet.
-        let on_its_way =
+        // An attempt placed by an earlier leader may be running without having been reported
+        // yet.
+        let not_begun =
             |l: &ActiveAttempt| l.phase == Phase::Placed && l.stop.is_none() && !l.inherited;
-        let some = j.active.iter().filter(|(_, l)| on_its_way(l));
+        let some = j.active.iter().filter(|(_, l)| not_begun(l));
         let tasks: Vec<TaskIx> = some.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop(now, id, t, leeway);
         }
     }
 
-    /// What runs is told to save and end; a gang all at once.
+    /// Tells active attempts to save and end; a gang as a whole.
     fn stop_running(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
         if j.spec.kind == Kind::Gang {
             return self.stop_gang(now, id);
         }
         let leeway = j.spec.save_s + 1.0;
-        let goes_on = j.active.iter().filter(|(_, l)| l.stop.is_none());
-        let tasks: Vec<TaskIx> = goes_on.map(|(t, _)| *t).collect();
+        let not_stopping = j.active.iter().filter(|(_, l)| l.stop.is_none());
+        let tasks: Vec<TaskIx> = not_stopping.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop(now, id, t, leeway);
         }
@@ -138,7 +143,7 @@
             && r.kind == HoldKind::System
             && let Some(j) = self.jobs.get_mut(&id)
         {
-            // Whoever lets it go on wants it tried anew.
+            // Releasing the system hold starts the retries anew.
             for part in j.parts_with_failures() {
                 j.mark_changed(part, &mut self.write_queue, Purpose::Now);
             }
@@ -147,8 +152,8 @@
         self.answer_when_stored(req, &id, false);
     }
 
-    /// Answers once all that is known of the job's holds is stored; also where
-    /// nothing has changed, as what was asked first may not be stored yet.
+    /// Answers once all changes of the job are stored, also if this request changed nothing,
+    /// as an earlier one may not be stored yet.
     fn answer_when_stored(&mut self, req: ReqId, id: &JobId, held: bool) {
         let Some(j) = self.jobs.get_mut(id) else {
             return;
@@ -161,7 +166,7 @@
         self.answer(req, a);
     }
 
-    /// A hold, or a release, is stored.
+    /// The response to a hold or release that is stored.
     pub(super) fn hold_answer(&self, id: &JobId, held: bool) -> Answer {
         match self.jobs.get(id) {
             Some(j) if j.cancelled => Answer::later("the job is being cancelled", 1),
@@ -176,8 +181,8 @@
         }
     }
 
-    /// Nothing starts before the release is stored: a new leader would find
-    /// the job held, and tasks that began all the same. False: it was not held.
+    /// Removes a hold; false if there was none. Nothing starts before the release is stored:
+    /// otherwise a new leader could find the job held, with tasks that began all the same.
     fn remove_hold(&mut self, id: &JobId, kind: HoldKind, by: &str) -> bool {
         let wall = self.wall;
         let Some(j) = self.jobs.get_mut(id) else {
@@ -186,30 +191,30 @@
         if j.holds.release(kind).is_none() {
             return false;
         }
-        tracing::info!(job = %id, ?kind, by, "released");
-        j.history.note(What::Released, wall.into());
+        tracing::info!(job = %id, ?kind, by, "job hold released");
+        j.history.note(JobEvent::Released, wall.into());
         j.release_version = j.mark_changed(0, &mut self.write_queue, Purpose::Now);
         j.holds_version = j.release_version;
         self.replan = true;
         true
     }
 
-    /// An attempt ended without being done. What follows for the job is stored
-    /// along with that.
+    /// Records that an attempt ended without success. The consequences for the job are
+    /// stored with it.
     pub(super) fn note_failure(&mut self, now: Time, t: &TaskId, l: &ActiveAttempt, why: Failure) {
         let wall = self.wall;
-        let faulty = self.machines.get(&l.host).is_some_and(|m| m.quarantined);
+        let host_quarantined = self.machines.get(&l.host).is_some_and(|m| m.quarantined);
         let Some(j) = self.jobs.get_mut(&t.job) else {
             return;
         };
         let what = match why {
-            Failure::Error => What::Failed,
-            Failure::TimedOut => What::TimedOut,
-            Failure::Lost => What::Lost,
-            Failure::Stopped => What::Stopped,
+            Failure::Error => JobEvent::Failed,
+            Failure::TimedOut => JobEvent::TimedOut,
+            Failure::Lost => JobEvent::Lost,
+            Failure::Stopped => JobEvent::Stopped,
         };
         j.history.note(what, wall.into());
-        if why == Failure::Error && faulty || j.cancelled {
+        if why == Failure::Error && host_quarantined || j.cancelled {
             return;
         }
         let rule = self
@@ -227,11 +232,11 @@
             RetryDecision::Exhausted(n) => {
                 let hold = Hold {
                     kind: HoldKind::System,
-                    by: LIMIT.into(),
+                    by: RETRY_LIMIT_AUTHOR.into(),
                     why: format!("task {} failed {n} times, at last on {}", t.ix, l.host),
                     at: wall.into(),
                 };
-                tracing::info!(job = %t.job, why = %hold.why, "held at its limit");
+                tracing::info!(job = %t.job, why = %hold.why, "job held: retry limit reached");
                 let id = t.job.clone();
                 self.put_hold(now, &id, hold, Purpose::Start);
                 self.announce(&id, ParentOutcome::Failed);
@@ -239,10 +244,10 @@
         }
     }
 
-    /// A machine has turned out to be faulty: what failed there does not count,
-    /// and who was held for it goes on.
+    /// Discards failures on a machine that turned out to be faulty, and releases jobs that
+    /// were held only because of them.
     pub(super) fn discard_failures_on(&mut self, host: &Host) {
-        let mut free = vec![];
+        let mut releasable = vec![];
         for j in self.jobs.values_mut() {
             let parts = j.parts_with_failures();
             if !j.failure_counts.forgive(host.as_str()) {
@@ -257,18 +262,18 @@
                 .copied()
                 .unwrap_or_default();
             if j.failed_too_often() && !j.failure_counts.exhausted(&rule) {
-                free.push(j.id().clone());
+                releasable.push(j.id().clone());
             }
         }
-        for id in free {
-            tracing::info!(job = %id, %host, "its machine was faulty");
-            // The failures elsewhere stay counted.
+        for id in releasable {
+            tracing::info!(job = %id, %host, "job hold lifted: failures were caused by a host_quarantined machine");
+            // Failures on other machines stay counted.
             self.remove_hold(&id, HoldKind::System, "hookworks");
         }
     }
 
-    /// Lines of jobs that have changed since they were last asked for; `Err`:
-    /// it is over, with the state that it came to.
+    /// Lines of jobs that changed since the last call; `Err` for a finished job, with its
+    /// final state if that is cached.
     pub fn take_changed(&mut self) -> Vec<(JobId, Result<Line, Option<JobState>>)> {
         let changed = std::mem::take(&mut self.write_queue.changed);
         let mut lines = Vec::with_capacity(changed.len());
@@ -278,7 +283,7 @@
                 continue;
             }
             match self.jobs.get(&id) {
-                // What is not stored is not told: it could go back.
+                // Only stored state is shown: any other could be lost.
                 Some(j) if j.parts[0].stored_version == 0 => {}
                 Some(j) if j.cancelled && !j.cancellation_stored() => {}
                 Some(j) => lines.push((id, Ok(j.detail().line()))),
@@ -291,7 +296,8 @@
         lines
     }
 
-    /// What the whole record of a job says; of a finished one it is read.
+    /// Answers with all details of a job; the record of a finished one is read from the
+    /// store.
     pub(super) fn show_job(&mut self, now: Time, req: ReqId, id: JobId) {
         if !self.may_start(now) {
             return self.answer_unconfirmed(req);
@@ -300,7 +306,10 @@
             return self.answer(req, Answer::later("the job's record can't be read", 30));
         }
         if !self.ancestors_known(&id) {
-            return self.answer(req, Answer::later("what it needs is being looked up", 1));
+            return self.answer(
+                req,
+                Answer::later("the job's dependencies are being looked up", 1),
+            );
         }
         let open = |j: &Job| j.closing_state.is_none() || j.cancelled_with.is_some();
         let stored = |j: &Job| j.parts[0].stored_version > 0 && open(j);
@@ -313,7 +322,7 @@
             None if !JobId::well_formed(id.as_str()) => {
                 self.answer(req, Answer::error(404, "no such job"));
             }
-            None if self.record_reads_in_flight >= MAX_RECORDS
+            None if self.record_reads_in_flight >= MAX_RECORD_READS
                 || !self.lookup_budget.has(now, 1.0) =>
             {
                 self.answer(req, Answer::later("too many look-ups at a time", 1));
@@ -345,7 +354,7 @@
                 None => Answer::later("the job's record can't be read", 30),
             },
             Ok(None) if !self.may_start(now) => return self.answer_unconfirmed(req),
-            // It may have been accepted since the read was asked for.
+            // It may have been accepted since the read was sent.
             Ok(None) if self.jobs.contains_key(&id) || self.finals.contains_key(&id) => {
                 return self.show_job(now, req, id);
             }
@@ -356,7 +365,7 @@
 }
 
 impl Scheduler {
-    /// A task has begun to run; it may have a limit.
+    /// Schedules the time limit of a task that has begun to run, if it has one.
     pub(super) fn track_time_limit(&mut self, t: &TaskId, since: Time) {
         let limit = self.jobs.get(&t.job).and_then(|j| j.spec.limit_s);
         if let Some(s) = limit {
@@ -364,8 +373,8 @@
         }
     }
 
-    /// Those that have run for longer than they may are told to save and end,
-    /// and a while later to end at once.
+    /// Tells tasks that exceed their time limit to save and end, and some time later to end
+    /// at once.
     pub(super) fn enforce_time_limits(&mut self, now: Time) {
         while let Some((at, t)) = self.time_limits.first().cloned()
             && at <= now
@@ -382,7 +391,7 @@
             };
             let over = since + Span::secs(limit);
             if now < over {
-                // Another attempt by now.
+                // Meanwhile it is another attempt.
                 self.time_limits.insert((over, t));
                 continue;
             }
@@ -391,7 +400,7 @@
                 self.stop(now, &t.job, t.ix, 0.0);
                 continue;
             }
-            tracing::info!(task = %t, limit, "ran for longer than it may");
+            tracing::info!(task = %t, limit, "task exceeded its time limit");
             let again = now + Span::secs(saves + self.config.workers.report_s);
             if j.spec.kind == Kind::Gang {
                 self.stop_gang(now, &t.job);
@@ -412,11 +421,11 @@
         !self.holds.is_empty() || self.parts[0].stored_version < self.release_version
     }
 
-    /// Held by the scheduler, since a task has failed as often as it may.
+    /// Held by the scheduler because a task has exhausted its retries.
     pub(super) fn failed_too_often(&self) -> bool {
         self.holds
             .get(HoldKind::System)
-            .is_some_and(|h| h.by == LIMIT)
+            .is_some_and(|h| h.by == RETRY_LIMIT_AUTHOR)
     }
 
     fn parts_with_failures(&self) -> Vec<usize> {
@@ -427,14 +436,14 @@
         (0..self.parts.len()).filter(has).collect()
     }
 
-    /// A run of a task is over; what of it was of use.
+    /// Records the useful and the lost time of an attempt that has ended.
     pub(super) fn record_usage(&mut self, now: Time, l: &ActiveAttempt, done: bool, kept: bool) {
         let Some(since) = l.running_since else { return };
         let ran = (now - since).0 / 1000;
         let step = (self.spec.checkpoint_s * 1000.0) as u64;
         let useful = match self.spec.kind {
             _ if done || kept => ran,
-            // A replica was of use for as long as it ran.
+            // A replica is useful for as long as it runs.
             Kind::Service => ran,
             _ if step > 0 => ran / step * step,
             _ => 0,
@@ -451,7 +460,7 @@
         }
     }
 
-    /// All that is known of the job.
+    /// All details of the job.
     pub fn detail(&self) -> JobDetail {
         let detail = self.summary().detail(self.job_view(), &self.stored_holds);
         JobDetail {
@@ -461,9 +470,13 @@
         }
     }
 
-    /// For whoever asks: not all of them, if there are very many.
+    /// The first dependencies, at most `MAX_DEPENDENCIES_SHOWN`.
     fn shown_needs(&self) -> Vec<JobId> {
-        self.needs.iter().take(NEEDS_SHOWN).cloned().collect()
+        self.needs
+            .iter()
+            .take(MAX_DEPENDENCIES_SHOWN)
+            .cloned()
+            .collect()
     }
 
     fn summary(&self) -> JobSummary {
@@ -476,12 +489,12 @@
             submitted: self.submitted.0,
             ended: self.ended.map(|w| w.0),
             due: s.deadline_s.map(|d| self.submitted.0 + (d * 1000.0) as u64),
-            history: self.history.encode(FINAL_HISTORY),
+            history: self.history.encode(FINAL_HISTORY_BYTES),
             cancelled_with: self.cancelled_with.clone(),
         }
     }
 
-    /// The final record of a job that is over: its state, and its life.
+    /// The final record of a finished job: its state and its summary.
     pub fn final_record(&self, f: Final) -> Value {
         let facts = Some(self.summary());
         let record = FinalRecord { end: f, facts };
@@ -489,12 +502,12 @@
     }
 }
 
-/// Needed jobs that are told one by one.
-const NEEDS_SHOWN: usize = 100;
-/// Bytes for the history of a finished job.
-const FINAL_HISTORY: usize = 500;
+/// Maximum dependencies listed one by one.
+const MAX_DEPENDENCIES_SHOWN: usize = 100;
+/// Maximum bytes for the history of a finished job.
+const FINAL_HISTORY_BYTES: usize = 500;
 
-/// What stays of a job besides its state.
+/// What is kept of a finished job besides its state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct JobSummary {
     #[serde(rename = "c")]
@@ -503,7 +516,7 @@
     team: Team,
     #[serde(rename = "n")]
     tasks: u32,
-    /// CPUs, accelerators and memory of each task.
+    /// CPUs, accelerators and memory in GB of each task.
     #[serde(rename = "r")]
     takes: (f64, f64, f64),
     #[serde(rename = "at")]
@@ -514,7 +527,7 @@
     due: Option<u64>,
     #[serde(rename = "h")]
     history: Value,
-    /// The job that it needed and that was cancelled.
+    /// The dependency whose cancellation cancelled this job.
     #[serde(rename = "cw", default, skip_serializing_if = "Option::is_none")]
     cancelled_with: Option<JobId>,
 }
@@ -523,14 +536,14 @@
 struct FinalRecord {
     #[serde(flatten)]
     end: Final,
-    /// Of jobs that ended before there were histories there is none.
+    /// Absent for jobs that ended before histories were introduced.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     facts: Option<JobSummary>,
 }
 
 impl JobSummary {
     fn detail(&self, job: JobView, holds: &Holds) -> JobDetail {
-        let at = At(self.submitted);
+        let at = WallMillis(self.submitted);
         let h = History::decode(at, &self.history).unwrap_or_else(|| History::new(at));
         let of = |ms: u64| {
             let t = ms as f64 / 1000.0;
@@ -541,7 +554,7 @@
                 memory_gb: t * memory_gb,
             }
         };
-        let times = |w: &What| (*w, h.count(*w));
+        let event_count = |w: &JobEvent| (*w, h.count(*w));
         JobDetail {
             job,
             class: self.class.clone(),
@@ -555,7 +568,11 @@
             needs: vec![],
             needs_count: 0,
             cancelled_with: self.cancelled_with.clone(),
-            counts: What::ALL.iter().map(times).filter(|c| c.1 > 0).collect(),
+            counts: JobEvent::ALL
+                .iter()
+                .map(event_count)
+                .filter(|c| c.1 > 0)
+                .collect(),
             useful: of(h.usage().useful_ms),
             lost: of(h.usage().lost_ms),
             history: h.entries().copied().collect(),
@@ -563,7 +580,7 @@
     }
 }
 
-/// What the final record of a job tells; `None` if it can't be read.
+/// The details in the final record of a job; `None` if it can't be decoded.
 pub fn detail_of_record(id: &JobId, record: Value) -> Option<JobDetail> {
     let r: FinalRecord = serde_json::from_value(record).ok()?;
     let job = JobView {
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -1,4 +1,4 @@
-//! What operators see: the line of figures in the log, and the overview.
+//! Figures for operators: the periodic log line and the overview page.
 
 use super::Resources;
 use super::Scheduler;
@@ -8,10 +8,10 @@
 use crate::wire::user::Kind;
 use std::collections::BTreeMap;
 
-/// Waiting gangs that are told of one by one.
-const MOST_GANGS: usize = 20;
+/// Maximum waiting gangs listed one by one.
+const MAX_GANGS_SHOWN: usize = 20;
 
-fn room_view(capacity: &Resources, used: &Resources) -> serde_json::Value {
+fn resources_view(capacity: &Resources, used: &Resources) -> serde_json::Value {
     let one = |of: i64, n: i64| {
         let (of, n) = (of as f64 / 1000.0, n as f64 / 1000.0);
         serde_json::json!({"up": of, "used": n})
@@ -24,7 +24,7 @@
 }
 
 impl Scheduler {
-    /// How full the fleet is, for whoever reads the log.
+    /// Logs the utilization of the fleet.
     pub(super) fn log_summary(&self, now: Time) {
         let fresh = self.max_heartbeat_age();
         let (mut up, mut booting, mut spot) = (0, 0, 0);
@@ -48,8 +48,8 @@
         }
         for j in self.jobs.values() {
             pending += j.need.scaled(j.pending() as i64);
-            let begins = |l: &&job::ActiveAttempt| l.running_since.is_none();
-            let n = j.active.values().filter(begins).count();
+            let is_starting = |l: &&job::ActiveAttempt| l.running_since.is_none();
+            let n = j.active.values().filter(is_starting).count();
             starting += j.need.scaled(n as i64);
         }
         tracing::info!(
@@ -68,7 +68,7 @@
         );
     }
 
-    /// Numbers for operators.
+    /// The scheduler's part of the overview page, as JSON.
     pub fn overview(&self, now: Time) -> serde_json::Value {
         let mut by_class: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         for j in self.jobs.values() {
@@ -93,7 +93,7 @@
             "machines": self.machines.len(),
             "machines_up": machines_up,
             "zones": self.zones_overview(now),
-            "room": room_view(&capacity, &used),
+            "room": resources_view(&capacity, &used),
             "gangs_waiting": self.gangs_waiting(),
             "replicas_missing": self.replicas_missing(),
             "classes": by_class.into_iter().map(|(c, (p, l))|
@@ -133,10 +133,10 @@
             })
         };
         let gangs = self.jobs.values().filter(waits);
-        gangs.take(MOST_GANGS).map(one).collect()
+        gangs.take(MAX_GANGS_SHOWN).map(one).collect()
     }
 
-    /// Replicas of services that are not up, by class.
+    /// Number of service replicas that are not running, by class.
     fn replicas_missing(&self) -> BTreeMap<String, u32> {
         let mut missing = BTreeMap::new();
         let services = self.jobs.values().filter(|j| j.spec.kind == Kind::Service);
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -1,4 +1,4 @@
-//! Which records wait to be written, and what happens when they are.
+//! The queue of records to be written, and what follows once they are stored.
 
 use super::dependencies::ParentOutcome;
 use super::job::{Final, Job};
@@ -7,48 +7,48 @@
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
 use crate::wire::user::{JobState, Kind, Priority};
-use hookworks_fairness::JobEvent as What;
+use hookworks_fairness::JobEvent;
 use std::collections::{HashSet, VecDeque};
 
-/// A record of the store.
+/// A record in the state service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Key {
     Part(JobId, usize),
     Final(JobId),
-    /// Zones whose workers are not answered.
+    /// The fenced zones, whose workers get no response.
     Fences,
 }
 
-/// What a write is for, in the order in which the few writes there are go out.
+/// The purpose of a write, from the most to the least urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
-    /// A user waits for it, or a task that is to start quickly.
+    /// A user waits for it, or a task that must start quickly.
     Now,
-    /// Tasks are to start.
+    /// Tasks start once it is stored.
     Start,
-    /// A job is over.
+    /// A job has finished.
     End,
-    /// What tasks have come to; it can be written along with later changes.
+    /// Progress of tasks; can be batched with later changes.
     Progress,
 }
 
-const PURPOSES: [Purpose; 4] = [
+const ALL_PURPOSES: [Purpose; 4] = [
     Purpose::Now,
     Purpose::Start,
     Purpose::End,
     Purpose::Progress,
 ];
-/// Share of the write budget that must be left for each purpose.
-const RESERVE: [f64; 4] = [0.0, 0.25, 0.3, 0.5];
-/// Progress waits so long, since more of the same record may come; and so long where
-/// less than this share of the write budget is left.
-const GATHER: Span = Span(1_000_000);
-const GATHER_WHEN_SHORT: Span = Span(3_000_000);
-const SHORT: f64 = 0.8;
-/// The end of a job waits no longer than that for starts of others.
-const END_WITHIN: Span = Span(1_500_000);
+/// Share of the write budget that must be left for a write of each purpose to be sent.
+const MIN_BUDGET_LEFT: [f64; 4] = [0.0, 0.25, 0.3, 0.5];
+/// How long progress is batched, as more changes of the same record may come; and how long
+/// if less than the share `LOW_BUDGET` of the write budget is left.
+const BATCH_DELAY: Span = Span(1_000_000);
+const LOW_BUDGET_BATCH_DELAY: Span = Span(3_000_000);
+const LOW_BUDGET: f64 = 0.8;
+/// Maximum time that the end of a job waits behind starts of other jobs.
+const MAX_END_DELAY: Span = Span(1_500_000);
 
-/// A record that is to be written.
+/// A record that waits to be written.
 #[derive(Clone, Debug)]
 pub struct PendingWrite {
     pub job: JobId,
@@ -57,50 +57,52 @@
     since: Time,
 }
 
-/// Records to be written. A part may stand here for more than one purpose; it
-/// counts for the one that it names itself.
+/// Records that wait to be written. A part may be queued for more than one purpose; only the
+/// entry whose purpose the part itself names is valid.
 #[derive(Default)]
 pub struct WriteQueue {
     pub(super) now: Time,
     queues: [VecDeque<PendingWrite>; 4],
-    /// Jobs of which readers see something that is out of date.
+    /// Jobs whose published lines are out of date.
     pub(super) changed: HashSet<JobId>,
 }
 
 impl WriteQueue {
-    /// The next to be written, with this share of the write budget left.
+    /// Takes the next record to write, given the share of the write budget that is left.
     pub fn next(&mut self, now: Time, left: f64) -> Option<PendingWrite> {
-        // What a user or a quick start waits for passes even those: hundreds of jobs
-        // of one task that ended within a minute took all changes there were.
+        // Writes that a user or an urgent start waits for come before overdue ends: hundreds
+        // of single-task jobs that ended within a minute once used up the whole write
+        // budget.
         if let Some(d) = self.queues[Purpose::Now as usize].pop_front() {
             return Some(d);
         }
-        let old = |d: &PendingWrite| now - d.since > END_WITHIN;
+        let is_overdue = |d: &PendingWrite| now - d.since > MAX_END_DELAY;
         let end = Purpose::End as usize;
-        if self.queues[end].front().is_some_and(old) {
+        if self.queues[end].front().is_some_and(is_overdue) {
             return self.queues[end].pop_front();
         }
-        let gather = if left < SHORT {
-            GATHER_WHEN_SHORT
+        let batch_delay = if left < LOW_BUDGET {
+            LOW_BUDGET_BATCH_DELAY
         } else {
-            GATHER
+            BATCH_DELAY
         };
-        for p in PURPOSES {
+        for p in ALL_PURPOSES {
             let q = &mut self.queues[p as usize];
-            let gathers = |d: &PendingWrite| p == Purpose::Progress && now - d.since < gather;
-            if left >= RESERVE[p as usize] && q.front().is_some_and(|d| !gathers(d)) {
+            let is_batching =
+                |d: &PendingWrite| p == Purpose::Progress && now - d.since < batch_delay;
+            if left >= MIN_BUDGET_LEFT[p as usize] && q.front().is_some_and(|d| !is_batching(d)) {
                 return q.pop_front();
             }
         }
         None
     }
 
-    /// Whatever comes next, without regard to any budget.
+    /// Takes the next record regardless of any budget.
     pub fn pop(&mut self) -> Option<PendingWrite> {
         self.queues.iter_mut().find_map(|q| q.pop_front())
     }
 
-    /// Could not be written now; it keeps its place.
+    /// Returns a record that could not be written now to the front of its queue.
     pub fn push_front(&mut self, d: PendingWrite) {
         self.queues[d.purpose as usize].push_front(d);
     }
@@ -112,14 +114,14 @@
         self.len() == 0
     }
 
-    /// How many wait for each purpose, in their order.
+    /// Queue length of each purpose, in the order of [`Purpose`].
     pub fn lengths(&self) -> [usize; 4] {
         self.queues.each_ref().map(|q| q.len())
     }
 }
 
 impl Job {
-    /// Notes a change; answers the version that must be stored for it.
+    /// Records a change of a part. Returns the version that must be stored for it.
     pub fn mark_changed(&mut self, part: usize, dirty: &mut WriteQueue, purpose: Purpose) -> u64 {
         self.parts[part].version += 1;
         dirty.changed.insert(self.spec.id.clone());
@@ -127,8 +129,8 @@
         self.parts[part].version
     }
 
-    /// The part is to be written, as it will be by then. What waits for less
-    /// moves up: starts once waited behind the progress of all others.
+    /// Queues the part, which is encoded only when it is written. A part queued for a less
+    /// urgent purpose moves up: starts once waited behind the progress of all other jobs.
     pub fn enqueue_write(&mut self, part: usize, dirty: &mut WriteQueue, purpose: Purpose) {
         let p = &mut self.parts[part];
         if p.queued.is_none_or(|q| purpose < q) {
@@ -142,26 +144,26 @@
         }
     }
 
-    /// Takes the part out of the queue; false if this entry is out of date.
+    /// Removes the part from the queue; false if this entry is out of date.
     pub fn dequeue_write(&mut self, part: usize, purpose: Purpose) -> bool {
         let p = &mut self.parts[part];
-        let counts = p.queued == Some(purpose);
-        if counts {
+        let is_current = p.queued == Some(purpose);
+        if is_current {
             p.queued = None;
         }
-        counts
+        is_current
     }
 }
 
 impl Scheduler {
-    /// What has become of a task is to be written.
+    /// Queues the progress of a task to be written.
     pub(super) fn note_progress(&mut self, id: &JobId, t: TaskIx) {
         if let Some(j) = self.jobs.get_mut(id) {
             j.mark_changed(j.part_of(t), &mut self.write_queue, Purpose::Progress);
         }
     }
 
-    /// Once nothing of a job is left to run, its final state gets stored.
+    /// Queues the final state of a job once nothing of it is left to run.
     pub(super) fn finish_if_complete(&mut self, id: &JobId) {
         let Some(j) = self.jobs.get_mut(id) else {
             return;
@@ -170,7 +172,7 @@
             return;
         }
         if j.spec.kind == Kind::Gang && j.done_count > 0 {
-            // If one task of a gang is done, every one is.
+            // If one task of a gang is done, all are.
             for t in 0..j.spec.tasks {
                 j.set_done(TaskIx(t));
             }
@@ -183,13 +185,15 @@
             return;
         }
         j.ended = Some(self.wall);
-        let needed = !self.dependencies.children_of(id).is_empty();
+        let has_dependents = !self.dependencies.children_of(id).is_empty();
         let purpose = match j.closing_state {
-            // That it is cancelled with another is on record by that one.
+            // The cancelled dependency's record already implies this cancellation.
             _ if j.cancelled_with.is_some() => Purpose::Progress,
-            // Others start once this is stored.
-            Some(JobState::Done) if needed && j.priority() <= Priority::High => Purpose::Now,
-            Some(JobState::Done) if needed => Purpose::Start,
+            // Dependent jobs start once this is stored.
+            Some(JobState::Done) if has_dependents && j.priority() <= Priority::High => {
+                Purpose::Now
+            }
+            Some(JobState::Done) if has_dependents => Purpose::Start,
             _ => Purpose::End,
         };
         j.mark_changed(0, &mut self.write_queue, purpose);
@@ -203,14 +207,14 @@
         })
     }
 
-    /// A transaction with the job's final state leaves.
+    /// Counts a transaction with the job's final state that is being sent.
     pub fn final_write_sent(&mut self, id: &JobId) {
         if let Some(j) = self.jobs.get_mut(id) {
             j.unresolved_final_writes += 1;
         }
     }
 
-    /// One that was sent has not been carried out, and never will be.
+    /// Counts such a transaction that was not and never will be carried out.
     pub fn final_write_failed(&mut self, id: &JobId) {
         if let Some(j) = self.jobs.get_mut(id) {
             j.unresolved_final_writes = j.unresolved_final_writes.saturating_sub(1);
@@ -232,10 +236,10 @@
                     if ver >= j.holds_version {
                         j.stored_holds = j.holds.clone();
                     }
-                    let (ready, rest) = std::mem::take(&mut j.waiters)
+                    let (ready, waiting) = std::mem::take(&mut j.waiters)
                         .into_iter()
                         .partition(|w| w.0 <= ver);
-                    j.waiters = rest;
+                    j.waiters = waiting;
                     self.answer_waiters(now, &id, ready);
                 }
                 if cancelled_now {
@@ -255,15 +259,15 @@
                 self.cache_final(&id, f);
                 self.write_queue.changed.insert(id.clone());
                 let what = match f.state {
-                    JobState::Cancelled => What::Cancelled,
-                    _ => What::Done,
+                    JobState::Cancelled => JobEvent::Cancelled,
+                    _ => JobEvent::Done,
                 };
-                // What still needed others never counted as having come.
+                // A job that still had unmet dependencies was never counted as arrived.
                 if self.jobs.get(&id).is_some_and(|j| j.needs.is_empty()) {
                     self.record_job_event(now, &id, what);
                 }
                 if let Some(j) = self.jobs.remove(&id) {
-                    // Cancelled with one that it needs before its own first write.
+                    // Cancelled with a dependency before its own first write.
                     let new = j.cancelled_with.is_some();
                     self.answer_waiters_final(&id, j.waiters, f, new);
                 }
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Users need not wait for a state service that refuses: a retry is safe.
+    /// Answers users at once when the state service refuses writes: a retry is safe.
     pub(crate) fn not_stored(&mut self, id: &JobId) {
         let waiters = match self.jobs.get_mut(id) {
             Some(j) => std::mem::take(&mut j.waiters),
@@ -284,17 +288,17 @@
     }
 
     pub(super) fn already_final(&mut self, now: Time, id: JobId, f: Final) {
-        let mine = self.final_of(&id);
+        let own_final = self.final_of(&id);
         let Some(j) = self.jobs.get_mut(&id) else {
             return;
         };
-        if mine.is_some_and(|m| m.state == f.state) {
-            // Our own write, whose answer was lost.
+        if own_final.is_some_and(|m| m.state == f.state) {
+            // Our own write, whose response was lost.
             return self.stored(now, Key::Final(id), 0);
         }
-        // A very late retry of a job that is over: it never became live again.
+        // A very late retry of a finished job: it never became active again.
         let waiters = std::mem::take(&mut j.waiters);
-        // What was placed meanwhile never left: its record was not stored.
+        // Attempts placed meanwhile were never sent, as their record was not stored.
         self.stop_all(now, &id);
         if self.jobs.get(&id).is_some_and(|j| j.active.is_empty()) {
             self.jobs.remove(&id);
--- a/src/sched/referenced_jobs.rs
+++ b/src/sched/referenced_jobs.rs
@@ -1,8 +1,8 @@
-//! Looking up the jobs that a submission names, before it is taken.
+//! Look-up of the jobs that a submission names, before it is accepted.
 //!
-//! A job that this leader knows is live, over and at hand, or on record though its
-//! record can't be read. Any other is read: a consistent read of its final state says
-//! what became of it, or, as all live jobs were loaded, that it was never accepted.
+//! The leader knows jobs that are active, recently finished, or stored with an unreadable
+//! record. Any other is read from the store: a consistent read of its final state tells how
+//! it ended or, since all unfinished jobs were loaded, that it was never accepted.
 
 use super::job::Final;
 use super::{Effect, Scheduler};
@@ -14,66 +14,67 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Reads of other jobs' records under way for submissions.
+/// Maximum reads of other jobs' records in flight for submissions.
 const MAX_READS: usize = 64;
-/// The same for one submission that names more than that.
-const READS_OF_ONE: usize = 16;
-/// Such a submission is answered after so long; its user sends it again.
-const ANSWER_WITHIN: Span = Span(3_000_000);
-/// What was read for it is kept for so long, and for so many submissions.
-const KEPT_FOR: Span = Span(90_000_000);
-const KEPT: usize = 16;
+/// Maximum reads in flight for one submission that names more jobs than `MAX_READS`.
+const MAX_READS_PER_SUBMISSION: usize = 16;
+/// Such a submission is answered after this time; its user retries.
+const MAX_LOOKUP_TIME: Span = Span(3_000_000);
+/// How long its results are cached for the retry, and for how many submissions.
+const CACHE_TTL: Span = Span(90_000_000);
+const MAX_CACHED: usize = 16;
 
-/// What a record says of a job that is over: its end, and its team if that is told.
-type Found = HashMap<JobId, (Final, Option<String>)>;
+/// Results by job: its final state, and its team if the record contains it.
+type FoundJobs = HashMap<JobId, (Final, Option<String>)>;
 
-/// A submission that names jobs of which this leader does not know all.
+/// A submission that names jobs of which the leader does not know all.
 struct Lookup {
     spec: JobSpec,
     body: Vec<u8>,
     since: Time,
     to_read: BTreeSet<JobId>,
     reading: BTreeSet<JobId>,
-    found: Found,
-    /// It has its answer; only reads are still under way.
+    found: FoundJobs,
+    /// It has been answered; only reads are still in flight.
     answered: bool,
 }
 
-/// Look-ups under way, and what those found that took too long.
+/// Look-ups in flight, and the cached results of those that took too long.
 pub(super) struct Lookups {
-    under_way: BTreeMap<ReqId, Lookup>,
-    kept: BTreeMap<JobId, (Time, Found)>,
-    /// For submissions that name more jobs than may be read at once.
+    in_flight: BTreeMap<ReqId, Lookup>,
+    cached: BTreeMap<JobId, (Time, FoundJobs)>,
+    /// Budget of submissions that name more jobs than may be read at once.
     budget: Budget,
 }
 
 impl Lookups {
-    /// At most so many reads a second for large submissions.
+    /// Creates an empty set with at most `reads_per_s` reads per second for large
+    /// submissions.
     pub fn new(reads_per_s: f64) -> Lookups {
         Lookups {
-            under_way: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            cached: BTreeMap::new(),
             budget: Budget::new(reads_per_s, reads_per_s.max(1.0)),
         }
     }
 
-    /// Reads that are under way, or will be without regard to the budget.
+    /// Reads that are in flight or will be sent regardless of the budget.
     fn reads(&self) -> usize {
-        let of_one = |l: &Lookup| match l.is_large() {
+        let lookup_reads = |l: &Lookup| match l.is_large() {
             true => l.reading.len(),
             false => l.reading.len() + l.to_read.len(),
         };
-        self.under_way.values().map(of_one).sum()
+        self.in_flight.values().map(lookup_reads).sum()
     }
 
-    fn keep(&mut self, now: Time, id: &JobId, found: Found) {
-        self.kept.insert(id.clone(), (now, found));
-        while self.kept.len() > KEPT {
-            let oldest = self.kept.iter().min_by_key(|(_, (since, _))| *since);
+    fn cache(&mut self, now: Time, id: &JobId, found: FoundJobs) {
+        self.cached.insert(id.clone(), (now, found));
+        while self.cached.len() > MAX_CACHED {
+            let oldest = self.cached.iter().min_by_key(|(_, (since, _))| *since);
             let Some(id) = oldest.map(|(id, _)| id.clone()) else {
                 return;
             };
-            self.kept.remove(&id);
+            self.cached.remove(&id);
         }
     }
 }
@@ -85,8 +86,8 @@
 }
 
 impl Scheduler {
-    /// Looks at the jobs that a submission names. True: it is answered, or
-    /// waits for reads; false: go on with it.
+    /// Looks up the jobs that a submission names. Returns true if the submission is answered
+    /// or waits for reads, false if it can proceed.
     pub(super) fn look_up_referenced(
         &mut self,
         now: Time,
@@ -103,18 +104,18 @@
             return true;
         }
         if spec.needs.contains(&spec.id) {
-            // It is refused, unless it was accepted by a version that knew of no needs.
+            // Rejected, unless it was accepted by a version without dependencies.
             self.look_up_final(now, req, spec.id.clone(), Ask::Submit(body.to_vec()));
             return true;
         }
-        let found = self.submission_lookups.kept.remove(&spec.id);
+        let found = self.submission_lookups.cached.remove(&spec.id);
         let found = found.map(|(_, found)| found).unwrap_or_default();
         let mut to_read = self.unknown_names(spec);
         to_read.retain(|id| !found.contains_key(id));
         if to_read.is_empty() {
             return self.refuse_references(req, spec, &found);
         }
-        // Its own record, too: a repeated submission is never refused.
+        // Its own record is read as well: a repeated submission is never rejected.
         to_read.insert(spec.id.clone());
         let look_up = Lookup {
             spec: spec.clone(),
@@ -130,14 +131,14 @@
             self.answer(req, Answer::later("too many look-ups at a time", 1));
             return true;
         }
-        let all = &mut self.submission_lookups.under_way;
+        let all = &mut self.submission_lookups.in_flight;
         all.insert(req, look_up);
         self.read_referenced(now, req);
         true
     }
 
     fn unknown_names(&self, spec: &JobSpec) -> BTreeSet<JobId> {
-        // Of a job that is over its record says the team, which a condition asks for.
+        // Start conditions need the team of a finished job, which only its record contains.
         let conditions = spec.after.iter().map(|a| &a.job);
         let conditions = conditions.filter(|id| !self.jobs.contains_key(id));
         let needs = spec.needs.iter().filter(|id| !self.is_known(id));
@@ -150,19 +151,19 @@
             || self.unreadable.contains_key(id)
     }
 
-    /// Sends as many reads for a submission as may be under way.
+    /// Sends as many reads for a submission as may be in flight.
     fn read_referenced(&mut self, now: Time, req: ReqId) {
         let all = &mut self.submission_lookups;
         let reads = all.reads();
-        let Some(l) = all.under_way.get_mut(&req).filter(|l| !l.answered) else {
+        let Some(l) = all.in_flight.get_mut(&req).filter(|l| !l.answered) else {
             return;
         };
         let large = l.is_large();
-        let most = match large {
-            true => READS_OF_ONE.min(MAX_READS.saturating_sub(reads) + l.reading.len()),
+        let max_reads = match large {
+            true => MAX_READS_PER_SUBMISSION.min(MAX_READS.saturating_sub(reads) + l.reading.len()),
             false => MAX_READS,
         };
-        while l.reading.len() < most && (!large || all.budget.has(now, 1.0)) {
+        while l.reading.len() < max_reads && (!large || all.budget.has(now, 1.0)) {
             let Some(id) = l.to_read.pop_first() else {
                 return;
             };
@@ -174,7 +175,7 @@
         }
     }
 
-    /// A record that a submission waits for; true if it was one.
+    /// Handles a record that was read. Returns true if a submission waited for it.
     pub(super) fn referenced_read(
         &mut self,
         now: Time,
@@ -183,7 +184,7 @@
         r: &Result<Option<Value>, ()>,
     ) -> bool {
         let all = &mut self.submission_lookups;
-        let Some(l) = all.under_way.get_mut(&req) else {
+        let Some(l) = all.in_flight.get_mut(&req) else {
             return false;
         };
         l.reading.remove(id);
@@ -199,16 +200,16 @@
                     let team = v["j"]["t"].as_str().map(str::to_string);
                     l.found.insert(id.clone(), (f, team));
                 }
-                Err(_) => tracing::error!(job = %id, "a final record can't be read"),
+                Err(_) => tracing::error!(job = %id, "final record can't be decoded"),
             },
             Ok(None) => absent = *id != l.spec.id,
         }
         if absent {
-            // Nothing more is needed to refuse it; its own record is read first.
+            // This is enough to reject it; only its own record is read first.
             self.stop_reading(req);
         }
         self.read_referenced(now, req);
-        let all = &mut self.submission_lookups.under_way;
+        let all = &mut self.submission_lookups.in_flight;
         let over = |l: &Lookup| l.reading.is_empty() && (l.answered || l.to_read.is_empty());
         if all.get(&req).is_some_and(over)
             && let Some(l) = all.remove(&req)
@@ -219,7 +220,7 @@
     }
 
     fn stop_reading(&mut self, req: ReqId) {
-        let all = &mut self.submission_lookups.under_way;
+        let all = &mut self.submission_lookups.in_flight;
         if let Some(l) = all.get_mut(&req) {
             let own = l.to_read.take(&l.spec.id);
             l.to_read.clear();
@@ -227,20 +228,20 @@
         }
     }
 
-    /// All reads for a submission are over.
+    /// Continues or answers a submission whose reads have all finished.
     fn finish_lookup(&mut self, now: Time, req: ReqId, l: Lookup) {
         if l.answered {
-            return self.submission_lookups.keep(now, &l.spec.id, l.found);
+            return self.submission_lookups.cache(now, &l.spec.id, l.found);
         }
         if let Some((f, _)) = l.found.get(&l.spec.id) {
-            // It was over long ago.
+            // It finished long ago.
             let f = *f;
             self.cache_final(&l.spec.id, f);
             self.handle_request(now, req, Ask::Submit(l.body));
         } else if !self.may_start(now) {
             self.answer_unconfirmed(req);
         } else if self.jobs.contains_key(&l.spec.id) {
-            // Submitted meanwhile by way of another request.
+            // Submitted meanwhile by another request.
             self.handle_request(now, req, Ask::Submit(l.body));
         } else if !self.refuse_references(req, &l.spec, &l.found) {
             for (id, (f, _)) in &l.found {
@@ -253,31 +254,31 @@
         }
     }
 
-    /// Goes on with large submissions, and answers those that take too long.
+    /// Continues large submissions and answers those that take too long.
     pub(super) fn continue_lookups(&mut self, now: Time) {
         let all = &mut self.submission_lookups;
-        all.kept.retain(|_, (since, _)| now - *since < KEPT_FOR);
-        let open = all.under_way.iter().filter(|(_, l)| !l.answered);
+        all.cached.retain(|_, (since, _)| now - *since < CACHE_TTL);
+        let open = all.in_flight.iter().filter(|(_, l)| !l.answered);
         let requests: Vec<ReqId> = open.map(|(req, _)| *req).collect();
         for req in requests {
             self.read_referenced(now, req);
-            let all = &mut self.submission_lookups.under_way;
+            let all = &mut self.submission_lookups.in_flight;
             let Some(l) = all.get_mut(&req) else { continue };
-            if !l.is_large() || now - l.since < ANSWER_WITHIN {
+            if !l.is_large() || now - l.since < MAX_LOOKUP_TIME {
                 continue;
             }
             l.answered = true;
             let over = l.reading.is_empty();
             self.answer(req, Answer::later("the jobs named are being looked up", 1));
-            if over && let Some(l) = self.submission_lookups.under_way.remove(&req) {
+            if over && let Some(l) = self.submission_lookups.in_flight.remove(&req) {
                 self.finish_lookup(now, req, l);
             }
         }
     }
 
-    /// Answers what can't be taken; true if it did.
-    fn refuse_references(&mut self, req: ReqId, spec: &JobSpec, found: &Found) -> bool {
-        // What is not stored yet may never be; then this would wait for ever.
+    /// Rejects a submission whose named jobs don't allow it; true if it did.
+    fn refuse_references(&mut self, req: ReqId, spec: &JobSpec, found: &FoundJobs) -> bool {
+        // A job that is not stored yet may never be; then this one would wait forever.
         let names = spec.after.iter().map(|a| &a.job).chain(&spec.needs);
         let being_stored = |id: &JobId| {
             let j = self.jobs.get(id);
@@ -290,19 +291,22 @@
                 return true;
             }
         }
-        let refused = spec.after.iter().find_map(|a| self.refused(spec, a, found));
+        let condition_error = spec
+            .after
+            .iter()
+            .find_map(|a| self.condition_error(spec, a, found));
         let never = |id: &&JobId| !self.is_known(id) && !found.contains_key(*id);
         let unknown = spec.needs.iter().find(never);
         let unknown = unknown.map(|id| format!("Awaits: no job {id}"));
-        if let Some(text) = refused.or(unknown) {
+        if let Some(text) = condition_error.or(unknown) {
             self.answer(req, Answer::error(422, &text));
             return true;
         }
         false
     }
 
-    /// Why a condition is refused.
-    fn refused(&self, spec: &JobSpec, a: &After, found: &Found) -> Option<String> {
+    /// Why a start condition is rejected, if it is.
+    fn condition_error(&self, spec: &JobSpec, a: &After, found: &FoundJobs) -> Option<String> {
         let team = match (self.jobs.get(&a.job), found.get(&a.job)) {
             (Some(j), _) => Some(j.spec.team.to_string()),
             (None, Some((_, team))) => team.clone(),
@@ -313,7 +317,7 @@
             let text = format!("After.Each: {} is no array of {} tasks", a.job, spec.tasks);
             return Some(text);
         }
-        // The team of a job from before there were histories is not known.
+        // Records written before histories were introduced don't contain the team.
         if team.is_some_and(|t| t != spec.team.as_str()) {
             return Some(format!("After: {} is another team's", a.job));
         }
--- a/src/sched/requests.rs
+++ b/src/sched/requests.rs
@@ -1,4 +1,4 @@
-//! What users ask: submissions, polls and cancellations.
+//! Requests of users: submissions, polls and cancellations.
 
 use super::Scheduler;
 use super::admission::too_many_dependencies;
@@ -9,25 +9,25 @@
 use crate::time::{Span, Time};
 use crate::wire::peer::{Answer, Ask};
 use crate::wire::user::{JobSpec, JobState, JobView};
-use hookworks_fairness::JobEvent as What;
+use hookworks_fairness::JobEvent;
 
-/// Reads of final states that requests asked for, since the leadership began.
+/// Reads of final states on behalf of requests, since the leadership began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct LookUpCounts {
     /// Reads that were sent.
     pub sent: u64,
-    /// Reads without an answer of the state service.
+    /// Reads that got no response from the state service.
     pub failed: u64,
-    /// Requests refused as too many reads were under way.
+    /// Requests rejected because too many reads were in flight.
     pub too_many: u64,
-    /// Questions refused as their share of the state service's requests was used up.
+    /// Polls rejected because their share of the state service's request quota was used up.
     pub over_budget: u64,
 }
 
-/// A submission waits no longer than that for the next pass.
-const SOON: Span = Span(10_000);
-/// Reads of old final states under way at a time.
-const MAX_READS: usize = 64;
+/// Maximum delay of the next placement pass after a submission.
+const MAX_SUBMISSION_DELAY: Span = Span(10_000);
+/// Maximum reads of old final states in flight.
+const MAX_FINAL_READS: usize = 64;
 
 pub(super) fn job_view_json(id: &JobId, state: JobState, done: u32, running: u32) -> String {
     let v = JobView {
@@ -39,13 +39,13 @@
     serde_json::to_string(&v).unwrap_or_default()
 }
 
-fn final_answer(id: &JobId, f: Final) -> Answer {
+fn final_response(id: &JobId, f: Final) -> Answer {
     Answer::new(200, job_view_json(id, f.state, f.done, 0))
 }
 
-/// The answer for a final state that was read from the store.
+/// The response for a final state that was read from the store.
 pub fn answer_final(id: &JobId, f: Final) -> Answer {
-    final_answer(id, f)
+    final_response(id, f)
 }
 
 impl Scheduler {
@@ -60,7 +60,7 @@
             Ask::Cancel(id) => self.cancel(now, req, id.as_str().into()),
             Ask::Hold(id, body) => self.hold(now, req, id.as_str().into(), body),
             Ask::Release(id, body) => self.release(now, req, id.as_str().into(), body),
-            // Lists are made outside, from what is published.
+            // Lists are served elsewhere, from the published lines.
             Ask::List(_) | Ask::Events(_) => self.answer(req, Answer::error(404, "no such path")),
             Ask::Show(id) => self.show_job(now, req, id.as_str().into()),
         }
@@ -75,13 +75,13 @@
         let id = spec.id.clone();
         if let Some(f) = self.finals.get(&id) {
             let f = *f;
-            return self.answer(req, final_answer(&id, f));
+            return self.answer(req, final_response(&id, f));
         }
         if let Some(a) = self.cancelled_for_ever(&id) {
             return self.answer(req, a);
         }
         if let Some(state) = self.unreadable.get(&id).filter(|_| self.may_start(now)) {
-            // Accepted once, for certain.
+            // It was certainly accepted once.
             let a = Answer::new(200, job_view_json(&id, *state, 0, 0));
             return self.answer(req, a);
         }
@@ -105,15 +105,15 @@
         self.submit_resolved(now, req, spec, body);
     }
 
-    /// The jobs that it names are known.
+    /// Continues a submission once the jobs that it names are known.
     pub(super) fn submit_resolved(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
         let id = spec.id.clone();
-        // A repeated submission must never get 400 or 422, so what would be
-        // refused is only refused after a look at what is over already.
+        // A repeated submission must never get 400 or 422, so a submission that would be
+        // rejected is rejected only after reading whether the job has already finished.
         match self.unsatisfiable(&spec) {
             Err(e) => {
                 self.service_shares
-                    .record(now, &spec.class, &spec.team, What::Refused);
+                    .record(now, &spec.class, &spec.team, JobEvent::Refused);
                 return self.answer(req, Answer::later(&e, 1));
             }
             Ok(Some(_)) => return self.look_up_final(now, req, id, Ask::Submit(body)),
@@ -121,7 +121,7 @@
         }
         if self.jobs.len() >= self.config.max_jobs {
             self.service_shares
-                .record(now, &spec.class, &spec.team, What::Refused);
+                .record(now, &spec.class, &spec.team, JobEvent::Refused);
             return self.answer(req, Answer::later("too many unfinished jobs", 10));
         }
         let mut job = self.new_job(now, spec);
@@ -132,13 +132,12 @@
             return self.look_up_final(now, req, id, Ask::Submit(body));
         }
         self.next_seq += 1;
-        // Written after the next pass, so that one write holds the job and
-        // what it starts with.
+        // Written after the next pass, so that one write holds the job and its first starts.
         job.parts[0].version = 1;
         job.waiters.push((1, req, ReplyKind::Accept));
         self.newly_accepted.push(id.clone());
-        // Its user waits: the next pass comes soon.
-        self.next_pass_at = self.next_pass_at.min(now + SOON);
+        // Its user waits, so the next pass comes soon.
+        self.next_pass_at = self.next_pass_at.min(now + MAX_SUBMISSION_DELAY);
         let needs_none = job.needs.is_empty();
         self.jobs.insert(id.clone(), job);
         if needs_none {
@@ -150,29 +149,33 @@
 
     fn answer_active(&mut self, req: ReqId, id: &JobId) {
         if !self.ancestors_known(id) {
-            return self.answer(req, Answer::later("what it needs is being looked up", 1));
+            return self.answer(
+                req,
+                Answer::later("the job's dependencies are being looked up", 1),
+            );
         }
         if let Some(j) = self.jobs.get_mut(id) {
-            // Whoever reads the state service may have told the final state already:
-            // any other answer could be older. It is known in a moment.
+            // Readers of the state service may already have returned the final state, so any
+            // other response could be older. The outcome is known shortly.
             if j.unresolved_final_writes > 0 {
                 return j.waiters.push((u64::MAX, req, ReplyKind::Known));
             }
-            // What is not stored is not told: it could go back.
+            // Only stored state is returned: any other could be lost.
             if j.cancelled && j.parts[0].stored_version < j.cancel_version {
                 return self.answer(req, Answer::later("the job is being cancelled", 1));
             }
-            // Done is told only once it is stored as the final state.
+            // `done` is returned only once it is stored as the final state.
             let a = Answer::new(200, job_view_json(id, j.state(), j.done_count, j.running()));
             self.answer(req, a);
         }
     }
 
-    /// What is final is told by any leader; the rest needs proof.
-    fn answered_early(&mut self, now: Time, req: ReqId, id: &JobId) -> bool {
+    /// Answers requests for final states, which needs no valid lease, and rejects others
+    /// while the lease is not confirmed.
+    fn answer_final_or_unconfirmed(&mut self, now: Time, req: ReqId, id: &JobId) -> bool {
         if let Some(f) = self.finals.get(id) {
             let f = *f;
-            self.answer(req, final_answer(id, f));
+            self.answer(req, final_response(id, f));
         } else if let Some(a) = self.cancelled_for_ever(id) {
             self.answer(req, a);
         } else if !self.may_start(now) {
@@ -184,11 +187,11 @@
     }
 
     fn poll(&mut self, now: Time, req: ReqId, id: JobId) {
-        if self.answered_early(now, req, &id) {
+        if self.answer_final_or_unconfirmed(now, req, &id) {
             return;
         }
         if let Some(state) = self.unreadable.get(&id) {
-            // No user may conclude that it was forgotten.
+            // Any other response would let users conclude that the job was lost.
             let a = Answer::new(200, job_view_json(&id, *state, 0, 0));
             return self.answer(req, a);
         }
@@ -202,7 +205,7 @@
     }
 
     fn cancel(&mut self, now: Time, req: ReqId, id: JobId) {
-        if self.answered_early(now, req, &id) {
+        if self.answer_final_or_unconfirmed(now, req, &id) {
             return;
         }
         if let Some(state) = self.unreadable.get(&id) {
@@ -240,8 +243,7 @@
         }
     }
 
-    /// Everything of the job is to leave its machines; what never left here is
-    /// gone at once.
+    /// Stops all attempts of the job; those whose `run` was never sent end at once.
     pub(super) fn stop_all(&mut self, now: Time, id: &JobId) {
         let tasks: Vec<_> = match self.jobs.get(id) {
             Some(j) => j.active.keys().copied().collect(),
@@ -253,17 +255,18 @@
     }
 
     pub(super) fn look_up_final(&mut self, now: Time, req: ReqId, id: JobId, ask: Ask) {
-        // No job of another form can ever have been accepted.
+        // No job with a malformed id can ever have been accepted.
         if !JobId::well_formed(id.as_str()) {
             return self.answer(req, Answer::error(404, "no such job"));
         }
-        if self.pending_final_reads.len() >= MAX_READS {
+        if self.pending_final_reads.len() >= MAX_FINAL_READS {
             self.lookup_counts.too_many += 1;
             return self.answer(req, Answer::later("too many look-ups at a time", 1));
         }
         let first = !self.pending_final_reads.contains_key(&id);
-        // Questions take no more of the requests there are than their part, or all
-        // of them, renewals of the leadership among them, are refused for a while.
+        // Polls get a bounded share of the state service's request quota. Otherwise they
+        // could use up all of it, and every request would be refused for a while, lease
+        // renewals among them.
         if first && matches!(ask, Ask::Poll(_)) {
             if !self.poll_budget.has(now, 1.0) {
                 self.lookup_counts.over_budget += 1;
@@ -284,7 +287,7 @@
     pub(super) fn final_read(&mut self, now: Time, id: JobId, r: Result<Option<Final>, ()>) {
         let asked = self.pending_final_reads.remove(&id).unwrap_or_default();
         self.lookup_counts.failed += r.is_err() as u64;
-        // A slow read says nothing of what has come to its end since it was sent.
+        // A slow read says nothing about jobs that have finished since it was sent.
         let r = match self.finals.get(&id) {
             Some(f) => Ok(Some(*f)),
             None => r,
@@ -303,7 +306,7 @@
                 (Ok(Some(f)), Ask::Hold(..) | Ask::Release(..)) => {
                     Answer::new(409, job_view_json(&id, f.state, f.done, 0))
                 }
-                (Ok(Some(f)), _) => final_answer(&id, *f),
+                (Ok(Some(f)), _) => final_response(&id, *f),
                 (Ok(None), _) if !self.may_start(now) => {
                     self.answer_unconfirmed(req);
                     continue;
@@ -325,8 +328,8 @@
         ready: Vec<(u64, ReqId, ReplyKind)>,
     ) {
         for (_, req, what) in ready {
-            // Cancelled is for ever. What else is stored may be out of date: a leader
-            // that stood still once said queued of a job that was done by then.
+            // A cancellation is final. Any other stored state may be out of date: a leader
+            // that had been paused once answered `queued` for a job that was done by then.
             if what != ReplyKind::Cancel && !self.may_start(now) {
                 self.answer_unconfirmed(req);
                 continue;
@@ -351,7 +354,7 @@
         }
     }
 
-    /// `new`: the job was not known to anybody before this write.
+    /// `new`: nobody knew the job before this write.
     pub(super) fn answer_waiters_final(
         &mut self,
         id: &JobId,
@@ -360,7 +363,7 @@
         new: bool,
     ) {
         for (_, req, what) in waiters {
-            let mut a = final_answer(id, f);
+            let mut a = final_response(id, f);
             match what {
                 ReplyKind::Hold(_) => a.status = 409,
                 ReplyKind::Accept if new => a.status = 201,
