--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -5,6 +5,7 @@
 use crate::sched::RentalResult;
 use crate::sched::Resources;
 use crate::sched::Scheduler;
+use crate::sched::machine::MachineState;
 
 /// A kind of machine that was refused is not asked for again so soon.
 pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
@@ -178,7 +179,7 @@
 
     fn request_machines(&mut self, now: Time, kind: MachineKind, machines: f64) {
         // A zone that comes back is rented in by degrees.
-        let open = self.zone_monitor.open(now, &kind.zone);
+        let open = self.zone_monitor.usable_share(now, &kind.zone);
         let max = (MAX_MACHINES_PER_REQUEST as f64 * open).ceil() as u32;
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
         self.fleet.last_request_number += 1;
@@ -215,7 +216,7 @@
         let mut all: BTreeMap<MachineKind, ExpectedCapacity> = BTreeMap::new();
         for request in self.fleet.requests.values() {
             let hire = &request.hire;
-            if self.zone_monitor.silent(&hire.zone) {
+            if self.zone_monitor.is_silent(&hire.zone) {
                 continue;
             }
             let coming = all.entry(MachineKind::of_request(hire)).or_default();
@@ -224,7 +225,7 @@
         }
         for machine in self.machines.values() {
             // Nothing can be counted on in a zone that is silent.
-            if self.zone_monitor.silent(&machine.zone) {
+            if self.zone_monitor.is_silent(&machine.zone) {
                 continue;
             }
             let of_machine = self.expected_on_machine(now, machine);
@@ -238,22 +239,22 @@
     }
 
     fn expected_on_machine(&self, now: Time, machine: &Machine) -> ExpectedCapacity {
-        match machine.life {
-            Life::Booting => ExpectedCapacity {
+        match machine.state {
+            MachineState::Booting => ExpectedCapacity {
                 machines: 1.0,
                 empty_machines: 1.0,
             },
-            Life::Up if machine.shut => ExpectedCapacity {
+            MachineState::Up if machine.closed => ExpectedCapacity {
                 machines: machine
                     .free()
                     .at_least_zero()
                     .dominant_share_of(&machine.capacity),
-                empty_machines: machine.slots.is_empty() as u8 as f64,
+                empty_machines: machine.allocations.is_empty() as u8 as f64,
             },
-            Life::Up if machine.notice_until.is_none() && machine.capacity.cpu > 0 => {
+            MachineState::Up if machine.spot_notice_until.is_none() && machine.capacity.cpu > 0 => {
                 self.freed_soon(now, machine)
             }
-            Life::Up | Life::Leaving { .. } => ExpectedCapacity::default(),
+            MachineState::Up | MachineState::Leaving { .. } => ExpectedCapacity::default(),
         }
     }
 
@@ -262,14 +263,14 @@
         let soon = Span::secs(self.boot_s(&machine.build) * self.config.tuning.wait_share);
         let mut freed = Resources::default();
         let mut staying = 0;
-        for slot in machine.slots.values() {
+        for slot in machine.allocations.values() {
             if slot.ends_within(now, soon) {
                 freed += slot.need;
             } else {
                 staying += 1;
             }
         }
-        let empties = staying == 0 && !machine.slots.is_empty();
+        let empties = staying == 0 && !machine.allocations.is_empty();
         ExpectedCapacity {
             machines: freed.dominant_share_of(&machine.capacity),
             empty_machines: empties as u8 as f64,
@@ -325,7 +326,7 @@
         for zone in flavor
             .zones
             .iter()
-            .filter(|zone| !self.zone_monitor.silent(zone))
+            .filter(|zone| !self.zone_monitor.is_silent(zone))
         {
             let spot = flavor.spot_price.map(|price| (true, price));
             for (spot, price) in spot.into_iter().chain([(false, flavor.price)]) {
@@ -344,7 +345,7 @@
 
     fn machines_by_zone(&self) -> BTreeMap<Zone, usize> {
         let mut machines = BTreeMap::new();
-        for machine in self.machines.values().filter(|machine| !machine.shut) {
+        for machine in self.machines.values().filter(|machine| !machine.closed) {
             *machines.entry(machine.zone.clone()).or_default() += 1;
         }
         machines
@@ -459,15 +460,15 @@
             let (build, zone) = (hire.build.clone(), hire.zone.clone());
             let mut machine = Machine::new(host, build, zone, hire.spot, now, token);
             if let Some(flavor) = flavor {
-                machine.set_flavor(flavor);
+                machine.set_machine_type(flavor);
             }
             machine
         });
         // Nobody else has ever told it anything. It may have reported before
         // this answer came; nothing was placed there until now.
-        self.replan |= machine.reported && !machine.certain;
-        machine.certain = true;
-        machine.in_term = true;
+        self.replan |= machine.has_reported && !machine.existence_confirmed;
+        machine.existence_confirmed = true;
+        machine.session_confirmed = true;
     }
 }
 
--- a/src/sched/lifecycle.rs
+++ b/src/sched/lifecycle.rs
@@ -113,7 +113,7 @@
         let some = j.active.iter().filter(|(_, l)| not_begun(l));
         let tasks: Vec<TaskIx> = some.map(|(t, _)| *t).collect();
         for t in tasks {
-            self.stop(now, id, t, leeway);
+            self.stop_attempt(now, id, t, leeway);
         }
     }
 
@@ -127,7 +127,7 @@
         let not_stopping = j.active.iter().filter(|(_, l)| l.stop.is_none());
         let tasks: Vec<TaskIx> = not_stopping.map(|(t, _)| *t).collect();
         for t in tasks {
-            self.stop(now, id, t, leeway);
+            self.stop_attempt(now, id, t, leeway);
         }
     }
 
@@ -397,7 +397,7 @@
             }
             let saves = j.spec.save_s + 1.0;
             if l.timed_out {
-                self.stop(now, &t.job, t.ix, 0.0);
+                self.stop_attempt(now, &t.job, t.ix, 0.0);
                 continue;
             }
             tracing::info!(task = %t, limit, "task exceeded its time limit");
@@ -405,9 +405,9 @@
             if j.spec.kind == Kind::Gang {
                 self.stop_gang(now, &t.job);
             } else {
-                self.stop(now, &t.job, t.ix, saves);
+                self.stop_attempt(now, &t.job, t.ix, saves);
             }
-            if let Some(l) = self.live_mut(&t) {
+            if let Some(l) = self.active_attempt_mut(&t) {
                 l.timed_out = true;
                 self.time_limits.insert((again, t));
             }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -4,19 +4,14 @@
 mod admission;
 mod allowed_zones;
 pub mod attempt_places;
-mod audit;
-mod beats;
-mod catchup;
 mod dependencies;
 pub mod dependency_ids;
-mod direct;
 mod estimate;
 mod fair_share;
 mod fences;
 mod fleet;
 mod gang;
 mod headroom;
-mod hearing;
 mod inheritance;
 pub mod job;
 mod lifecycle;
@@ -27,7 +22,6 @@
 mod preempt;
 mod records;
 mod referenced_jobs;
-mod report;
 mod requests;
 mod resources;
 mod team;
@@ -53,8 +47,14 @@
 use crate::wire::worker::{Orders, Report};
 use hookworks_job_lifecycle::RetryPolicy;
 use job::{Final, Job};
-use machine::{Life, Machine, Slot};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+mod consistency;
+mod direct_calls;
+mod heartbeats;
+mod reachability;
+mod recovery;
+mod report_reconciliation;
+use machine::{Allocation, Machine, MachineState};
 
 /// An input of the scheduler.
 #[derive(Debug)]
@@ -211,9 +211,9 @@
     retry_policies: BTreeMap<Class, RetryPolicy>,
     arrivals: headroom::RecentArrivals,
     fleet: fleet::Fleet,
-    probes: catchup::Probes,
+    probes: recovery::Probes,
     service_shares: fair_share::FairnessState,
-    zone_monitor: zones::Watch,
+    zone_monitor: zones::ZoneMonitor,
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
     finals_order: VecDeque<JobId>,
@@ -265,9 +265,9 @@
     /// Machines for which something has been stored since commands were last sent.
     machines_to_push: BTreeSet<Host>,
     /// Heartbeats whose response waits for a write to be stored.
-    held_heartbeats: BTreeMap<Host, beats::Beat>,
+    held_heartbeats: BTreeMap<Host, heartbeats::PendingHeartbeat>,
     /// Heartbeats that wait until the removal of their zone's fence is stored.
-    fenced_heartbeats: BTreeMap<Host, beats::Beat>,
+    fenced_heartbeats: BTreeMap<Host, heartbeats::PendingHeartbeat>,
     effects: Vec<Effect>,
     /// Jobs with unreadable records, and whether the readable part says that they were
     /// cancelled. They are left untouched but stay known.
@@ -306,7 +306,7 @@
             fleet: fleet::Fleet::new(epoch),
             probes: Default::default(),
             service_shares: fair_share::FairnessState::new(cfg.fairness),
-            zone_monitor: zones::Watch::new(&cfg, now),
+            zone_monitor: zones::ZoneMonitor::new(&cfg, now),
             fences: Default::default(),
             config: cfg,
             epoch,
@@ -371,7 +371,7 @@
         let may_pass = turn_ends || self.config.pass_interval == Span::ZERO;
         match event {
             Event::Ask(req, ask) => self.handle_request(now, req, ask),
-            Event::Relayed(req, by, body) => self.beat(now, req, &body, Some(by)),
+            Event::Relayed(req, by, body) => self.handle_heartbeat(now, req, &body, Some(by)),
             Event::Unreachable(away) => {
                 for l in away {
                     self.fleet.unreachable_controllers.insert(l, now);
@@ -382,7 +382,7 @@
             Event::AlreadyFinal(job, f) => self.already_final(now, job, f),
             Event::FinalRead(job, r) => self.final_read(now, job, r),
             Event::RecordRead(req, job, r) => self.record_read(now, req, job, r),
-            Event::Direct(call, host, r) => self.direct_result(now, call, host, r),
+            Event::Direct(call, host, r) => self.handle_call_result(now, call, host, r),
             Event::MachineTypes(f) => self.set_machine_types(f),
             Event::Listed(l) => self.machines_listed(now, l),
             Event::RentalResult(h, r) => self.rental_answered(now, h, r),
@@ -392,8 +392,8 @@
             }
             Event::Overloaded => self.overloaded_at = now,
             Event::Wake => {
-                self.push_ready(now);
-                self.answer_held(now, false);
+                self.send_ready_commands(now);
+                self.answer_held_heartbeats(now, false);
             }
             Event::Tick(wall) => {
                 self.wall = wall;
@@ -415,10 +415,10 @@
                     j.enqueue_write(0, &mut self.write_queue, Purpose::Now);
                 }
             }
-            self.answer_held(now, true);
+            self.answer_held_heartbeats(now, true);
         }
         if self.config.pass_interval == Span::ZERO {
-            self.push_ready(now);
+            self.send_ready_commands(now);
         }
         std::mem::take(&mut self.effects)
     }
@@ -440,7 +440,7 @@
         let ready = (!self.machines_to_push.is_empty()).then_some(Time::default());
         let has_dependency_work = self.dependencies.is_announcing() || !self.inheritance.is_empty();
         let has_dependency_work = has_dependency_work.then_some(Time::default());
-        let due = [pass, ready, has_dependency_work, self.held_until()];
+        let due = [pass, ready, has_dependency_work, self.next_held_deadline()];
         due.into_iter().flatten().min()
     }
 
@@ -470,7 +470,7 @@
         let away = |l| self.fleet.unreachable_controllers.get(l);
         let lately = |l| away(l).is_some_and(|t| now - *t < Span::secs(1.0));
         let others = &self.config.controllers;
-        !others.is_empty() && self.keeps_up(now) && others.keys().all(lately)
+        !others.is_empty() && self.answers_are_timely(now) && others.keys().all(lately)
     }
 
     fn next_token(&mut self) -> Token {
@@ -504,7 +504,7 @@
         self.update_quick_classes();
         for m in self.machines.values_mut() {
             if let Some(f) = self.machine_types.get(&m.build) {
-                m.set_flavor(f);
+                m.set_machine_type(f);
             }
         }
         self.replan = true;
@@ -524,7 +524,7 @@
             let id = job.id().clone();
             let estimate = estimate::of(&job);
             for (t, l) in &job.active {
-                let slot = Slot {
+                let slot = Allocation {
                     need: job.need,
                     start: l.placed,
                     estimate,
@@ -536,21 +536,21 @@
                     let b = Build::from("");
                     Machine::new(l.host.clone(), b, "".into(), false, now, token)
                 });
-                m.life = Life::Up;
+                m.state = MachineState::Up;
                 if let Some(p) = &l.place {
                     (m.zone, m.build, m.spot) = (p.zone.clone(), p.build.clone(), p.spot);
                 }
                 // Earlier leaders may have answered its heartbeats until now, and one that
                 // has not noticed the new leadership may do so for some time.
-                m.answered = now.max(self.leading_since + self.config.report_grace());
-                self.fences.bound(m);
-                m.doubt = Some(token);
+                m.last_renewal = now.max(self.leading_since + self.config.report_grace());
+                self.fences.bound_machine_times(m);
+                m.unconfirmed_token = Some(token);
                 m.used += job.need;
                 let task = TaskId {
                     job: id.clone(),
                     ix: *t,
                 };
-                m.slots.insert(task, slot);
+                m.allocations.insert(task, slot);
                 self.teams.add(&job.spec.team, &job.need);
             }
             self.jobs.insert(id.clone(), job);
@@ -587,15 +587,15 @@
             );
             self.resumed_at = now;
         }
-        self.push_ready(now);
-        self.answer_held(now, false);
-        self.answer_at_fence(now);
+        self.send_ready_commands(now);
+        self.answer_held_heartbeats(now, false);
+        self.answer_fenced_heartbeats(now);
         self.watch_machines(now);
         self.update_waiting_since(now);
         self.probe(now);
-        self.tell_progress(now);
+        self.log_recovery_progress(now);
         self.plan_fleet(now);
-        self.push_all(now);
+        self.retry_unsent_commands(now);
         self.update_fairness(now);
         self.read_parents(now);
         self.continue_lookups(now);
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -15,7 +15,7 @@
 use super::fleet::Shortage;
 use super::headroom::FreeCapacity;
 use super::job::{ActiveAttempt, Job, Phase};
-use super::machine::{ENDLESS, Machine, Slot};
+use super::machine::{Allocation, ENDLESS, Machine};
 use super::order::{Order, Turn};
 use super::records::Purpose;
 use crate::ids::{Attempt, Host, JobId, TaskId, TaskIx, Team};
@@ -105,7 +105,7 @@
         }
         for m in self.machines.values_mut() {
             let kept = held.contains(&m.host);
-            m.kept_since = kept.then(|| m.kept_since.unwrap_or(now));
+            m.reserved_for_gangs_since = kept.then(|| m.reserved_for_gangs_since.unwrap_or(now));
         }
         if now >= self.next_preemption_at {
             self.next_preemption_at = now + PREEMPTION_INTERVAL;
@@ -223,7 +223,7 @@
         let spare = self.free_above_headroom(now);
         let mut best: Option<(Score, &Machine)> = None;
         for m in self.machines.values() {
-            if !m.open(now, fresh) {
+            if !m.accepts_tasks(now, fresh) {
                 continue;
             }
             if !view.may_use(&spare, m.spot, 0) {
@@ -232,7 +232,7 @@
             if !zones.contains(&m.zone) {
                 continue;
             }
-            let (free, span) = (m.free(), m.remaining(now));
+            let (free, span) = (m.free(), m.remaining_range(now));
             let kept = held.contains(&m.host);
             let c = Candidate {
                 machine: m,
@@ -299,14 +299,14 @@
         if let Some(m) = self.machines.get_mut(host) {
             holds_image = m.has_image(&j.spec.image);
             m.used += j.need;
-            let slot = Slot {
+            let slot = Allocation {
                 need: j.need,
                 start: now,
                 estimate: est,
                 endless: est == ENDLESS,
                 image: j.spec.image.clone(),
             };
-            m.slots.insert(task_id(id, ix), slot);
+            m.allocations.insert(task_id(id, ix), slot);
         }
         self.machines_with_unsent_runs.insert(host.clone());
         tracing::debug!(job = %id, class = %j.spec.class, task = %ix, %host, holds_image, "placed");
@@ -459,7 +459,11 @@
 fn candidates<'a>(sched: &'a Scheduler, now: Time, held: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
     let fresh = sched.max_heartbeat_age();
     let mut candidates = vec![];
-    for machine in sched.machines.values().filter(|m| m.open(now, fresh)) {
+    for machine in sched
+        .machines
+        .values()
+        .filter(|m| m.accepts_tasks(now, fresh))
+    {
         let (free, kept) = (machine.free(), held.contains(&machine.host));
         if free.cpu <= 0 || kept && !machine.reservation_expired(now) {
             continue;
@@ -467,7 +471,7 @@
         candidates.push(Candidate {
             machine,
             free,
-            remaining: machine.remaining(now),
+            remaining: machine.remaining_range(now),
             reserved: kept,
         });
     }
--- a/src/sched/requests.rs
+++ b/src/sched/requests.rs
@@ -51,7 +51,7 @@
 impl Scheduler {
     pub(super) fn handle_request(&mut self, now: Time, req: ReqId, ask: Ask) {
         match ask {
-            Ask::Report(body) => self.beat(now, req, &body, None),
+            Ask::Report(body) => self.handle_heartbeat(now, req, &body, None),
             Ask::Submit(body) => match JobSpec::parse(&body) {
                 Ok(spec) => self.submit(now, req, spec, body),
                 Err(e) => self.answer(req, Answer::error(400, &e)),
@@ -250,7 +250,7 @@
             None => return,
         };
         for t in tasks {
-            self.stop(now, id, t, 0.0);
+            self.stop_attempt(now, id, t, 0.0);
         }
     }
 
