--- a/src/sched/consistency.rs
+++ b/src/sched/consistency.rs
@@ -1,5 +1,7 @@
-use super::Resources;
-use super::Scheduler;
+//! Consistency check: compares incrementally maintained totals with totals computed
+//! from scratch.
+
+use super::{Resources, Scheduler};
 use crate::ids::Team;
 use std::collections::BTreeMap;
 
