--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -70,9 +70,9 @@
 name!(/// A zone of the cloud.
     Zone);
 name!(/// A machine type.
-    Build);
+    MachineTypeId);
 name!(/// A controller.
-    Label);
+    ControllerId);
 name!(/// An image that a task needs on its machine.
     Image);
 
@@ -91,11 +91,11 @@
 number!(/// Orders the reports of one session.
     Seq, u64);
 number!(/// Revision of a stored key; 0 means that it does not exist.
-    Stamp, u64);
+    Revision, u64);
 number!(/// Number of a task within its job.
-    TaskIx, u32);
+    TaskIndex, u32);
 number!(/// A request of a user or worker that awaits its answer.
-    ReqId, u64);
+    RequestId, u64);
 number!(/// A transaction under way.
     TxnId, u64);
 number!(/// A direct call to a worker under way.
@@ -103,7 +103,7 @@
 
 impl JobId {
     /// Users name jobs `job-` and digits, always.
-    pub fn well_formed(s: &str) -> bool {
+    pub fn is_well_formed(s: &str) -> bool {
         s.len() <= 64
             && s.strip_prefix("job-")
                 .is_some_and(|d| !d.is_empty() && d.bytes().all(|b| b.is_ascii_digit()))
@@ -111,12 +111,12 @@
 }
 
 /// How many tokens and attempts one term of leadership may hand out.
-const PER_EPOCH: u64 = 1 << 24;
+const NUMBERS_PER_EPOCH: u64 = 1 << 24;
 
 impl Epoch {
     /// The first number of this term; later terms only have larger ones.
     pub fn base(self) -> u64 {
-        self.0 * PER_EPOCH
+        self.0 * NUMBERS_PER_EPOCH
     }
 }
 
@@ -126,12 +126,12 @@
     /// Its job.
     pub job: JobId,
     /// Its number within the job.
-    pub ix: TaskIx,
+    pub index: TaskIndex,
 }
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.job, self.ix)
+        write!(f, "{}/{}", self.job, self.index)
     }
 }
 
@@ -152,9 +152,9 @@
         let s = String::deserialize(d)?;
         let parsed = s
             .rsplit_once('/')
-            .and_then(|(j, n)| Some((JobId::from(j), TaskIx(n.parse().ok()?))));
+            .and_then(|(j, n)| Some((JobId::from(j), TaskIndex(n.parse().ok()?))));
         match parsed {
-            Some((job, ix)) => Ok(TaskId { job, ix }),
+            Some((job, ix)) => Ok(TaskId { job, index: ix }),
             None => Err(serde::de::Error::custom("not a task name")),
         }
     }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -13,7 +13,7 @@
 
 /// Milliseconds of the time of day, for what must outlive a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Wall(pub u64);
+pub struct WallTime(pub u64);
 
 impl Span {
     /// No time at all.
--- a/crates/job-lifecycle/src/lib.rs
+++ b/crates/job-lifecycle/src/lib.rs
@@ -26,8 +26,8 @@
 #[serde(transparent)]
 pub struct WallMillis(pub u64);
 
-impl From<hookworks_base::time::Wall> for WallMillis {
-    fn from(w: hookworks_base::time::Wall) -> WallMillis {
+impl From<hookworks_base::time::WallTime> for WallMillis {
+    fn from(w: hookworks_base::time::WallTime) -> WallMillis {
         WallMillis(w.0)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -14,7 +14,7 @@
 //! be taken for proof: who leads is decided in the state service, and a controller
 //! that is suspected may well be alive.
 
-use hookworks_base::ids::{ControllerVersion, Epoch, Instance, Label};
+use hookworks_base::ids::{ControllerId, ControllerVersion, Epoch, Instance};
 use hookworks_base::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -32,9 +32,9 @@
     /// Which process it is; none in versions that don't report it.
     pub instance: Option<Instance>,
     /// The controllers that it hears.
-    pub live_peers: Vec<Label>,
+    pub live_peers: Vec<ControllerId>,
     /// The leader, as far as it knows.
-    pub leader: Option<(Label, Epoch)>,
+    pub leader: Option<(ControllerId, Epoch)>,
     /// How many workers report to it.
     pub workers: u32,
     /// How many workers it can hold.
@@ -78,27 +78,27 @@
 /// What is known of the other controllers.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    me: Label,
-    others: Vec<Label>,
+    me: ControllerId,
+    others: Vec<ControllerId>,
     /// Not heard for longer, a controller is suspected to have failed.
     suspect_after: Span,
-    pings: BTreeMap<Label, LastPing>,
-    replaced: BTreeMap<Label, VecDeque<Instance>>,
+    pings: BTreeMap<ControllerId, LastPing>,
+    replaced: BTreeMap<ControllerId, VecDeque<Instance>>,
     /// The latest process of each label; kept while it is suspected.
-    latest: BTreeMap<Label, Instance>,
+    latest: BTreeMap<ControllerId, Instance>,
     /// The link by which that process was heard first.
-    first_links: BTreeMap<Label, LinkId>,
+    first_links: BTreeMap<ControllerId, LinkId>,
     /// The version of the latest process of each label; kept while it is suspected.
-    versions: BTreeMap<Label, ReportedVersion>,
+    versions: BTreeMap<ControllerId, ReportedVersion>,
     /// The last epoch that a replaced process of the label led.
-    ended_epochs: BTreeMap<Label, Epoch>,
+    ended_epochs: BTreeMap<ControllerId, Epoch>,
     /// The leader, as far as this controller itself knows.
-    leader: Option<(Label, Epoch)>,
+    leader: Option<(ControllerId, Epoch)>,
 }
 
 impl Membership {
     /// Nothing is known of the others yet.
-    pub fn new(me: Label, others: Vec<Label>, suspect_after: Span) -> Membership {
+    pub fn new(me: ControllerId, others: Vec<ControllerId>, suspect_after: Span) -> Membership {
         Membership {
             me,
             others,
@@ -114,11 +114,11 @@
     }
 
     /// All other controllers, in touch or not.
-    pub fn others(&self) -> impl Iterator<Item = &Label> {
+    pub fn others(&self) -> impl Iterator<Item = &ControllerId> {
         self.others.iter()
     }
 
-    fn live_status(&self, now: Time, l: &Label) -> Option<&PeerStatus> {
+    fn live_status(&self, now: Time, l: &ControllerId) -> Option<&PeerStatus> {
         let ping = self.pings.get(l)?;
         (now - ping.at < self.suspect_after).then_some(&ping.status)
     }
@@ -127,7 +127,7 @@
     pub fn record_ping(
         &mut self,
         now: Time,
-        from: &Label,
+        from: &ControllerId,
         link: LinkId,
         status: PeerStatus,
     ) -> PingOutcome {
@@ -181,13 +181,13 @@
 
     /// Whether this link was accepted before the latest process of the label was heard:
     /// then another process on it is an earlier one, whose ping was read later.
-    fn is_older(&self, label: &Label, link: LinkId) -> bool {
+    fn is_older(&self, label: &ControllerId, link: LinkId) -> bool {
         self.first_links
             .get(label)
             .is_some_and(|first| link < *first)
     }
 
-    fn remember_replaced(&mut self, label: &Label, instance: Option<Instance>) {
+    fn remember_replaced(&mut self, label: &ControllerId, instance: Option<Instance>) {
         let replaced = self.replaced.entry(label.clone()).or_default();
         replaced.extend(instance);
         while replaced.len() > MAX_REPLACED {
@@ -196,18 +196,18 @@
     }
 
     /// The latest process of that label, if it reports its instance.
-    pub fn latest_instance(&self, label: &Label) -> Option<Instance> {
+    pub fn latest_instance(&self, label: &ControllerId) -> Option<Instance> {
         self.latest.get(label).copied()
     }
 
     /// Whether that process is known to have been replaced by a later one.
-    pub fn is_replaced(&self, label: &Label, instance: Instance) -> bool {
+    pub fn is_replaced(&self, label: &ControllerId, instance: Instance) -> bool {
         let replaced = self.replaced.get(label);
         replaced.is_some_and(|r| r.contains(&instance))
     }
 
     /// The process of this label has been replaced: the epoch that it led is over.
-    fn end_epoch_of(&mut self, label: &Label) {
+    fn end_epoch_of(&mut self, label: &ControllerId) {
         let named = self.pings.values();
         let led = named
             .filter_map(|ping| ping.status.leader.as_ref())
@@ -224,7 +224,7 @@
     /// The latest process of this label says what it leads itself. Its epoch may have
     /// been heard of before the process was, and been taken for one of the process
     /// before. Epochs before the one that it claims are over.
-    fn accept_claim(&mut self, from: &Label, status: &PeerStatus) {
+    fn accept_claim(&mut self, from: &ControllerId, status: &PeerStatus) {
         let claimed = status.leader.as_ref().filter(|l| l.0 == *from);
         let Some(Epoch(claimed)) = claimed.map(|l| l.1) else {
             return;
@@ -238,7 +238,7 @@
 
     /// A link has been closed. Returns the controller that was last heard by it, which
     /// is not in touch any more.
-    pub fn link_closed(&mut self, link: LinkId) -> Option<Label> {
+    pub fn link_closed(&mut self, link: LinkId) -> Option<ControllerId> {
         let label = self
             .pings
             .iter()
@@ -250,23 +250,23 @@
     }
 
     /// The leader, as far as this controller itself knows; true if that has changed.
-    pub fn set_leader(&mut self, l: Option<(Label, Epoch)>) -> bool {
+    pub fn set_leader(&mut self, l: Option<(ControllerId, Epoch)>) -> bool {
         let new = self.leader != l;
         self.leader = l;
         new
     }
 
     /// The leader that this controller names to the others.
-    pub fn announced_leader(&self) -> Option<(Label, Epoch)> {
+    pub fn announced_leader(&self) -> Option<(ControllerId, Epoch)> {
         self.leader.clone().filter(|l| self.may_lead(l))
     }
 
-    fn may_lead(&self, (label, epoch): &(Label, Epoch)) -> bool {
+    fn may_lead(&self, (label, epoch): &(ControllerId, Epoch)) -> bool {
         self.ended_epochs.get(label).is_none_or(|e| epoch > e)
     }
 
     /// The leader of the largest epoch that any controller in touch names.
-    pub fn latest_leader(&self, now: Time) -> Option<(Label, Epoch)> {
+    pub fn latest_leader(&self, now: Time) -> Option<(ControllerId, Epoch)> {
         let live = self.others.iter().filter_map(|l| self.live_status(now, l));
         live.filter_map(|status| status.leader.clone())
             .chain(self.leader.clone())
@@ -275,13 +275,13 @@
     }
 
     /// The controllers that this one hears.
-    pub fn live_peers(&self, now: Time) -> impl Iterator<Item = &Label> {
-        let in_touch = move |l: &&Label| self.live_status(now, l).is_some();
+    pub fn live_peers(&self, now: Time) -> impl Iterator<Item = &ControllerId> {
+        let in_touch = move |l: &&ControllerId| self.live_status(now, l).is_some();
         self.others.iter().filter(in_touch)
     }
 
     /// Both controllers hear each other.
-    pub fn reachable(&self, now: Time, l: &Label) -> bool {
+    pub fn reachable(&self, now: Time, l: &ControllerId) -> bool {
         let status = self.live_status(now, l);
         status.is_some_and(|s| s.live_peers.contains(&self.me))
     }
@@ -292,19 +292,19 @@
     }
 
     /// Controllers that can't be reached directly.
-    pub fn unreachable(&self, now: Time) -> Vec<Label> {
-        let away = |l: &&Label| !self.reachable(now, l);
+    pub fn unreachable(&self, now: Time) -> Vec<ControllerId> {
+        let away = |l: &&ControllerId| !self.reachable(now, l);
         self.others.iter().filter(away).cloned().collect()
     }
 
     /// The controller through which `to` can be reached, if any; `to` itself where the
     /// direct way is open.
-    pub fn route(&self, now: Time, to: &Label) -> Option<&Label> {
+    pub fn route(&self, now: Time, to: &ControllerId) -> Option<&ControllerId> {
         let direct = self.others.iter().find(|l| *l == to);
         if let Some(l) = direct.filter(|l| self.reachable(now, l)) {
             return Some(l);
         }
-        let knows = |l: &Label| {
+        let knows = |l: &ControllerId| {
             self.live_status(now, l)
                 .is_some_and(|s| s.live_peers.contains(to))
         };
@@ -314,12 +314,12 @@
     }
 
     /// The latest status of a controller that is reachable.
-    pub fn status(&self, now: Time, l: &Label) -> Option<&PeerStatus> {
+    pub fn status(&self, now: Time, l: &ControllerId) -> Option<&PeerStatus> {
         self.live_status(now, l).filter(|_| self.reachable(now, l))
     }
 
     /// The version of each controller that was ever heard, in touch or not.
-    pub fn versions(&self) -> impl Iterator<Item = (&Label, ReportedVersion)> {
+    pub fn versions(&self) -> impl Iterator<Item = (&ControllerId, ReportedVersion)> {
         self.versions
             .iter()
             .map(|(label, reported)| (label, *reported))
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,13 +1,13 @@
 //! Membership, against pings and closed links in all orders.
 
-use hookworks_base::ids::{Epoch, Instance, Label};
+use hookworks_base::ids::{ControllerId, Epoch, Instance};
 use hookworks_base::time::{Span, Time};
 use hookworks_membership::{LinkId, Membership, PeerStatus, PingOutcome};
 
 const SUSPECT_AFTER: Span = Span(1_700_000);
 
-fn label(s: &str) -> Label {
-    Label::from(s)
+fn label(s: &str) -> ControllerId {
+    ControllerId::from(s)
 }
 
 fn members() -> Membership {
--- a/crates/scale/src/judge.rs
+++ b/crates/scale/src/judge.rs
@@ -149,7 +149,7 @@
     /// The task has completed before; its result is kept.
     pub fn is_done(&self, task: &TaskId) -> bool {
         let record = self.jobs.get(&task.job);
-        record.is_some_and(|r| r.done.contains(&task.ix.0))
+        record.is_some_and(|r| r.done.contains(&task.index.0))
     }
 
     /// How long after its submission the job's first task started.
@@ -214,7 +214,7 @@
             return;
         };
         if done {
-            record.task_done(now, task.ix.0);
+            record.task_done(now, task.index.0);
         }
         if let Some(used) = self.used.get_mut(&record.plan.spec.team) {
             *used -= record.plan.spec.cpus;
--- a/crates/scale/src/judge/dependencies.rs
+++ b/crates/scale/src/judge/dependencies.rs
@@ -11,7 +11,7 @@
     /// A task has started: all that its job needs must be done.
     pub(super) fn check_needs(&mut self, now: Instant, task: &TaskId, plan: &Plan) {
         let is_done = |need: &&JobId| self.jobs.get(*need).is_some_and(|r| r.is_done());
-        let unmet = plan.spec.needs.iter().find(|need| !is_done(need));
+        let unmet = plan.spec.dependencies.iter().find(|need| !is_done(need));
         if let Some(need) = unmet {
             let what = format!("{task} started before {need} was done");
             self.record_breach(Rule::TooEarly, now, what);
@@ -28,7 +28,7 @@
             let accepted = self.jobs.get(need).and_then(|r| r.accepted);
             accepted.is_some_and(|at| at <= asked)
         };
-        let needs = &record.plan.spec.needs;
+        let needs = &record.plan.spec.dependencies;
         if !needs.is_empty() && needs.iter().all(was_accepted) {
             let what = format!("{job} is refused, and all that it needs was accepted");
             self.record_breach(Rule::Forgotten, now, what);
@@ -72,7 +72,7 @@
                 continue;
             };
             let open = |need: &&JobId| !self.was_told_done(need);
-            for need in record.plan.spec.needs.iter().filter(open) {
+            for need in record.plan.spec.dependencies.iter().filter(open) {
                 if seen.insert(need) {
                     to_visit.push(need);
                 }
--- a/crates/scale/src/layout.rs
+++ b/crates/scale/src/layout.rs
@@ -4,7 +4,7 @@
 //! known by controller.
 
 use crate::options::RunOptions;
-use hookworks::ids::{Host, Label, Zone};
+use hookworks::ids::{ControllerId, Host, Zone};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -82,8 +82,8 @@
     }
 
     /// The label of a controller.
-    pub fn label(&self, number: usize) -> Label {
-        Label::from(format!("controller-{number}").as_str())
+    pub fn label(&self, number: usize) -> ControllerId {
+        ControllerId::from(format!("controller-{number}").as_str())
     }
 
     /// The name of a machine.
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -3,8 +3,10 @@
 
 use crate::judge::Judge;
 use crate::options::RunOptions;
-use hookworks::ids::{Attempt, Build, Host, Image, Seq, Session, TaskId, Token, Zone};
-use hookworks::wire::worker::{Cause, Order, Orders, Report, ReportAnswer, TaskReport, TaskState};
+use hookworks::ids::{Attempt, Host, Image, MachineTypeId, Seq, Session, TaskId, Token, Zone};
+use hookworks::wire::worker::{
+    Cause, Command, Commands, Report, ReportResponse, TaskReport, TaskState,
+};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
@@ -32,7 +34,7 @@
     /// The address.
     pub address: String,
     /// Its type.
-    pub build: Build,
+    pub build: MachineTypeId,
     /// The zone of this number.
     pub zone: Zone,
     /// The number of its zone.
@@ -168,22 +170,22 @@
 
     /// The answer to a report. One of an earlier session, or with a lower token,
     /// is dropped.
-    pub fn answered(&mut self, context: &mut Context, to: InFlight, answer: &ReportAnswer) {
+    pub fn answered(&mut self, context: &mut Context, to: InFlight, answer: &ReportResponse) {
         if to.session != self.session || answer.token < self.token {
             return;
         }
         self.answered = self.answered.max(to.sent);
         self.see_token(answer.token);
-        self.execute(context, &answer.orders);
+        self.execute(context, &answer.commands);
     }
 
     /// Commands that came straight; false: nothing was carried out.
-    pub fn commanded(&mut self, context: &mut Context, orders: &Orders) -> bool {
+    pub fn commanded(&mut self, context: &mut Context, orders: &Commands) -> bool {
         if orders.session != self.session || orders.token < self.token {
             return false;
         }
         self.see_token(orders.token);
-        self.execute(context, &orders.orders);
+        self.execute(context, &orders.commands);
         true
     }
 
@@ -194,12 +196,12 @@
         }
     }
 
-    fn execute(&mut self, context: &mut Context, orders: &[Order]) {
+    fn execute(&mut self, context: &mut Context, orders: &[Command]) {
         for order in orders {
             match order {
-                Order::Run { task, attempt } => self.run(context, task, *attempt),
-                Order::Kill { task, attempt, .. } => self.kill(context, task, *attempt),
-                Order::Clear { task, attempt } => self.clear(task, *attempt),
+                Command::Run { task, attempt } => self.run(context, task, *attempt),
+                Command::Kill { task, attempt, .. } => self.kill(context, task, *attempt),
+                Command::Clear { task, attempt } => self.clear(task, *attempt),
             }
         }
     }
@@ -248,7 +250,7 @@
         held: &mut AssignedTask,
     ) -> Result<(), Cause> {
         let plan = context.judge.plan(&task.job).ok_or(Cause::Unknown)?;
-        if task.ix.0 >= plan.spec.tasks {
+        if task.index.0 >= plan.spec.tasks {
             return Err(Cause::Unknown);
         }
         let here = |t: &&AssignedTask| t.report.state != TaskState::Ended;
--- a/crates/scale/src/pipeline.rs
+++ b/crates/scale/src/pipeline.rs
@@ -59,7 +59,7 @@
             let needs = needs.collect();
             let draft = draft(rng, shape, first_number + jobs.len());
             let mut plan = draft.draw(rng, options.teams, 0.0, shape.run_s);
-            plan.spec.needs = needs;
+            plan.spec.dependencies = needs;
             jobs.push(plan);
         }
         before = from..jobs.len();
@@ -128,7 +128,9 @@
 fn longest_way_s(jobs: &[Plan]) -> f64 {
     let mut ends: Vec<(&JobId, f64)> = vec![];
     for job in jobs {
-        let needed = ends.iter().filter(|(id, _)| job.spec.needs.contains(id));
+        let needed = ends
+            .iter()
+            .filter(|(id, _)| job.spec.dependencies.contains(id));
         let start = needed.map(|(_, end)| *end).fold(0.0, f64::max);
         ends.push((&job.spec.id, start + job.run.as_secs_f64()));
     }
--- a/crates/scale/src/pipeline/progress.rs
+++ b/crates/scale/src/pipeline/progress.rs
@@ -45,7 +45,7 @@
         !is_held_back
             && plan
                 .spec
-                .needs
+                .dependencies
                 .iter()
                 .all(|need| self.accepted.contains(need))
     }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -31,7 +31,7 @@
 const HEALTHY_WITHIN: Duration = Duration::from_secs(20);
 const SAMPLE_EVERY: Duration = Duration::from_secs(1);
 pub(crate) const TURN: Duration = Duration::from_millis(20);
-const LEADER_KEY: &str = hookworks::store::LEADER;
+const LEADER_KEY: &str = hookworks::store::LEADER_KEY;
 
 /// Why a run gave no figures.
 #[derive(Debug, thiserror::Error)]
--- a/crates/scale/src/standin/cloud.rs
+++ b/crates/scale/src/standin/cloud.rs
@@ -4,10 +4,12 @@
 use crate::http::{Request, Response};
 use crate::layout::Layout;
 use crate::machine::{FETCH_GB_PER_S, Place};
-use hookworks::ids::{Build, Host, Zone};
+use hookworks::ids::{Host, MachineTypeId, Zone};
 use hookworks::store::budget::Budget;
 use hookworks::time::Clock;
-use hookworks::wire::cloud::{Flavor, Flavors, Hire, HostList, Hosts, Listed};
+use hookworks::wire::cloud::{
+    HostList, Hosts, ListedHost, MachineType, MachineTypes, RentalRequest,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Bound;
 use std::sync::{Mutex, MutexGuard};
@@ -57,7 +59,7 @@
     Place {
         host: layout.host(number),
         address: layout.worker(number).to_string(),
-        build: Build::from(BUILD),
+        build: MachineTypeId::from(BUILD),
         zone: layout.zone(zone_number),
         zone_number,
         spot: false,
@@ -163,12 +165,12 @@
         }
     }
 
-    fn flavors(&self) -> Flavors {
+    fn flavors(&self) -> MachineTypes {
         let zones: Vec<Zone> = (0..self.layout.zones)
             .map(|z| self.layout.zone(z))
             .collect();
-        let one = Flavor {
-            build: Build::from(BUILD),
+        let one = MachineType {
+            build: MachineTypeId::from(BUILD),
             cpus: MACHINE_CPUS,
             gpus: 0.0,
             memory_gb: MEMORY_GB,
@@ -179,7 +181,7 @@
             boot_s: BOOT.as_secs_f64(),
             zones,
         };
-        Flavors { builds: vec![one] }
+        MachineTypes { builds: vec![one] }
     }
 
     fn list(&self, r: &Request) -> HostList {
@@ -192,13 +194,13 @@
         let fleet = self.fleet();
         let from = (Bound::Excluded(after.unwrap_or(0)), Bound::Unbounded);
         let shown = fleet.machines.range(from).filter(|(_, e)| e.is_listed(now));
-        let mut hosts: Vec<Listed> = shown.take(most + 1).map(|(_, e)| e.listed(now)).collect();
+        let mut hosts: Vec<ListedHost> = shown.take(most + 1).map(|(_, e)| e.listed(now)).collect();
         let more = hosts.len() > most;
         hosts.truncate(most);
         HostList { hosts, more }
     }
 
-    fn hire(&self, h: &Hire) -> Response {
+    fn hire(&self, h: &RentalRequest) -> Response {
         let zone = (0..self.layout.zones).find(|z| self.layout.zone(*z) == h.zone);
         let Some(zone) = zone.filter(|_| h.build.as_str() == BUILD && h.count <= MOST_AT_ONCE)
         else {
@@ -269,7 +271,7 @@
         known && self.released.is_none_or(|t| now < t + LIST_LAG)
     }
 
-    fn listed(&self, now: Instant) -> Listed {
+    fn listed(&self, now: Instant) -> ListedHost {
         let status = match (self.is_up, self.ended) {
             (_, Some(t)) if t + SEEMS_UP <= now => "failed",
             (true, _) => "running",
@@ -278,7 +280,7 @@
         let held = self
             .rented
             .map_or(HELD, |t| now.saturating_duration_since(t));
-        Listed {
+        ListedHost {
             host: self.place.host.clone(),
             addr: Some(self.place.address.clone()),
             build: self.place.build.clone(),
--- a/crates/scale/src/standin/commands.rs
+++ b/crates/scale/src/standin/commands.rs
@@ -6,7 +6,7 @@
 use crate::counters::Counterpart;
 use crate::http::{Request, Response, parse_request};
 use crate::machine::Context;
-use hookworks::wire::worker::Orders;
+use hookworks::wire::worker::Commands;
 use mio::net::TcpStream;
 use std::time::{Duration, Instant};
 
@@ -68,7 +68,7 @@
     match (r.method.as_str(), r.path.as_str()) {
         ("GET", "/show") => Response::json(200, &worker.machine.report()),
         ("POST", "/orders") => {
-            let Ok(orders) = serde_json::from_slice::<Orders>(&r.body) else {
+            let Ok(orders) = serde_json::from_slice::<Commands>(&r.body) else {
                 return Response::error(400, "malformed");
             };
             let mut judge = shared.judge();
--- a/crates/scale/src/standin/reports.rs
+++ b/crates/scale/src/standin/reports.rs
@@ -7,7 +7,7 @@
 use crate::http::{Response, encode_request, parse_response};
 use crate::interference::TroubleKind;
 use crate::machine::{Context, InFlight, Machine};
-use hookworks::wire::worker::{Orders, Redirect, Report, ReportAnswer};
+use hookworks::wire::worker::{Commands, Redirect, Report, ReportResponse};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 use std::sync::atomic::Ordering;
@@ -110,7 +110,7 @@
         self.late_commands = later;
         let due: Vec<(Instant, Vec<u8>)> = due;
         for (_, body) in due {
-            let Ok(orders) = serde_json::from_slice::<Orders>(&body) else {
+            let Ok(orders) = serde_json::from_slice::<Commands>(&body) else {
                 continue;
             };
             let mut judge = shared.judge();
@@ -251,7 +251,7 @@
     }
 
     fn heartbeat_answered(&mut self, shared: &Shared, sent: InFlight, response: &Response) {
-        let Ok(answer) = serde_json::from_slice::<ReportAnswer>(&response.body) else {
+        let Ok(answer) = serde_json::from_slice::<ReportResponse>(&response.body) else {
             return;
         };
         let mut judge = shared.judge();
--- a/crates/scale/src/standin/state.rs
+++ b/crates/scale/src/standin/state.rs
@@ -6,10 +6,10 @@
 
 use crate::counters::Counters;
 use crate::http::{Request, Response};
-use hookworks::ids::Stamp;
+use hookworks::ids::Revision;
 use hookworks::store::budget::Budget;
 use hookworks::time::Clock;
-use hookworks::wire::state::{Applied, Change, Failed, Item, Lease, LeaseRequest, Page, Txn};
+use hookworks::wire::state::{Change, Item, Lease, LeaseRequest, Page, Txn, TxnApplied, TxnFailed};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::Bound;
@@ -331,14 +331,14 @@
         if txn.changes.iter().any(no_lease) {
             return Response::error(400, "no such lease");
         }
-        let stamp_of = |key: &str| self.items.get(key).map_or(Stamp(0), |i| i.stamp);
+        let stamp_of = |key: &str| self.items.get(key).map_or(Revision(0), |i| i.revision);
         let differs = txn
             .conditions
             .iter()
-            .filter(|c| stamp_of(&c.key) != c.stamp);
+            .filter(|c| stamp_of(&c.key) != c.revision);
         let failed: Vec<String> = differs.map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
-            return Response::json(409, &Failed { failed });
+            return Response::json(409, &TxnFailed { failed });
         }
         if !txn.changes.is_empty() {
             self.revision += 1;
@@ -346,19 +346,19 @@
         for change in &txn.changes {
             self.change(change);
         }
-        let revision = Stamp(self.revision);
-        Response::json(200, &Applied { revision })
+        let revision = Revision(self.revision);
+        Response::json(200, &TxnApplied { revision })
     }
 
     fn change(&mut self, change: &Change) {
-        let stamp = Stamp(self.revision);
+        let stamp = Revision(self.revision);
         match change.clone() {
             Change::Put { key, value, lease } => {
                 self.remember(key.clone(), Some(value.clone()));
                 let item = Item {
                     key: key.clone(),
                     value,
-                    stamp,
+                    revision: stamp,
                     lease,
                 };
                 self.items.insert(key, item);
--- a/crates/scale/src/standin/users.rs
+++ b/crates/scale/src/standin/users.rs
@@ -227,7 +227,7 @@
         }
         let next = self.pipelines().accepted(&request.plan.spec.id);
         self.submit_now(next);
-        if !request.plan.spec.needs.is_empty() {
+        if !request.plan.spec.dependencies.is_empty() {
             self.count_needs(caller, &request.plan);
         }
     }
@@ -248,7 +248,7 @@
     fn submit_stray(&self, caller: &mut Caller, plan: &Plan, number: u64) {
         let mut stray = plan.clone();
         stray.spec.id = JobId::from(format!("job-8{number:08}").as_str());
-        stray.spec.needs = vec![stray_job(number)];
+        stray.spec.dependencies = vec![stray_job(number)];
         let asked = Instant::now();
         let body = stray.submission();
         let exchange = caller.call(&self.shared, "POST", "/v2/runs", &body, SUBMIT_TIMEOUT);
--- a/crates/scale/src/workload.rs
+++ b/crates/scale/src/workload.rs
@@ -2,7 +2,7 @@
 
 use crate::options::RunOptions;
 use hookworks::ids::{JobId, Team};
-use hookworks::wire::user::{JobSpec, Kind, Priority};
+use hookworks::wire::user::{JobKind, JobSpec, Priority};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -74,7 +74,7 @@
             id: self.id,
             class: self.class.into(),
             team: team(rng.random_range(0..teams)),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             priority: self.priority,
             tasks: self.tasks,
             cpus: TASK_CPUS,
@@ -92,8 +92,8 @@
             save_s: 0.0,
             deadline_s: self.deadline_s,
             limit_s: None,
-            after: vec![],
-            needs: vec![],
+            start_conditions: vec![],
+            dependencies: vec![],
         };
         Plan {
             spec,
--- a/crates/scale/tests/dependencies.rs
+++ b/crates/scale/tests/dependencies.rs
@@ -2,9 +2,9 @@
 //! controllers, into a record that is otherwise in order, and is noticed.
 
 use clap::Parser;
-use hookworks::ids::{Attempt, Host, JobId, Session, TaskId, TaskIx, Token, Zone};
+use hookworks::ids::{Attempt, Host, JobId, Session, TaskId, TaskIndex, Token, Zone};
 use hookworks::wire::user::JobState;
-use hookworks::wire::worker::{Order, Orders};
+use hookworks::wire::worker::{Command, Commands};
 use hookworks_scale::judge::{Answer, Judge, Rule};
 use hookworks_scale::layout::Layout;
 use hookworks_scale::machine::{Context, Heartbeat, Machine};
@@ -66,7 +66,10 @@
 
     fn task(&self, number: usize) -> TaskId {
         let job = self.job(number);
-        TaskId { job, ix: TaskIx(0) }
+        TaskId {
+            job,
+            index: TaskIndex(0),
+        }
     }
 
     fn told(&mut self, second: u64, number: usize, state: JobState) {
@@ -148,14 +151,14 @@
     };
     let place = place(&Layout::new(&options()), 1, 0);
     let mut machine = Machine::new(place, heartbeat, s.start, s.start);
-    let run = Order::Run {
+    let run = Command::Run {
         task: s.task(LAST),
         attempt: Attempt(1),
     };
-    let orders = Orders {
+    let orders = Commands {
         token: Token(1),
         session: Session(1),
-        orders: vec![run],
+        commands: vec![run],
     };
     let mut context = Context {
         now: s.start,
@@ -212,13 +215,13 @@
     s.runs(1, FIRST);
     let mut plan = s.pipeline.jobs[LAST].clone();
     plan.spec.id = JobId::from("job-777");
-    plan.spec.needs.push(JobId::from("job-888"));
-    let needed = plan.spec.needs.clone();
+    plan.spec.dependencies.push(JobId::from("job-888"));
+    let needed = plan.spec.dependencies.clone();
     for (needs, expected) in [
         (needed.clone(), vec![]),
         (needed[..1].to_vec(), vec![Rule::Forgotten]),
     ] {
-        plan.spec.needs = needs;
+        plan.spec.dependencies = needs;
         let at = s.at(20);
         s.judge.submitted(at, Arc::new(plan.clone()));
         s.judge.answered(at, at, &plan.spec.id, Answer::Refused);
--- a/crates/scale/tests/judge.rs
+++ b/crates/scale/tests/judge.rs
@@ -2,7 +2,7 @@
 //! the record in order is not.
 
 use clap::Parser;
-use hookworks::ids::{Host, JobId, TaskId, TaskIx, Team, Zone};
+use hookworks::ids::{Host, JobId, TaskId, TaskIndex, Team, Zone};
 use hookworks::wire::user::JobState;
 use hookworks_scale::judge::{Answer, Judge, Rule};
 use hookworks_scale::options::RunOptions;
@@ -52,7 +52,7 @@
     fn task(&self, number: u32) -> TaskId {
         TaskId {
             job: self.job.clone(),
-            ix: TaskIx(number),
+            index: TaskIndex(number),
         }
     }
 
--- a/crates/scale/tests/machine.rs
+++ b/crates/scale/tests/machine.rs
@@ -1,8 +1,8 @@
 //! A hollow worker does what the protocol says a worker does.
 
 use clap::Parser;
-use hookworks::ids::{Attempt, JobId, Session, TaskId, TaskIx, Token};
-use hookworks::wire::worker::{Cause, Order, Orders, Report, ReportAnswer, TaskState};
+use hookworks::ids::{Attempt, JobId, Session, TaskId, TaskIndex, Token};
+use hookworks::wire::worker::{Cause, Command, Commands, Report, ReportResponse, TaskState};
 use hookworks_scale::judge::Judge;
 use hookworks_scale::layout::Layout;
 use hookworks_scale::machine::{Context, Heartbeat, Machine};
@@ -47,12 +47,12 @@
         }
     }
 
-    fn order(&mut self, second: u64, token: u64, orders: Vec<Order>) -> bool {
+    fn order(&mut self, second: u64, token: u64, orders: Vec<Command>) -> bool {
         let now = self.start + Duration::from_secs(second);
-        let orders = Orders {
+        let orders = Commands {
             token: Token(token),
             session: Session(1),
-            orders,
+            commands: orders,
         };
         let mut context = Context {
             now,
@@ -61,8 +61,8 @@
         self.machine.commanded(&mut context, &orders)
     }
 
-    fn run(&self, number: u32) -> Order {
-        Order::Run {
+    fn run(&self, number: u32) -> Command {
+        Command::Run {
             task: self.task(number),
             attempt: Attempt(1),
         }
@@ -71,7 +71,7 @@
     fn task(&self, number: u32) -> TaskId {
         TaskId {
             job: self.job.clone(),
-            ix: TaskIx(number),
+            index: TaskIndex(number),
         }
     }
 
@@ -95,7 +95,7 @@
     let ended = s.at(15);
     assert_eq!(ended.tasks.len(), 1);
     assert_eq!(ended.tasks[0].cause, Some(Cause::Done));
-    let clear = Order::Clear {
+    let clear = Command::Clear {
         task: s.task(0),
         attempt: Attempt(1),
     };
@@ -111,12 +111,12 @@
     assert_eq!(s.at(0).tasks[8].cause, Some(Cause::NoRoom));
     let task = TaskId {
         job: JobId::from("job-99"),
-        ix: TaskIx(0),
+        index: TaskIndex(0),
     };
     s.order(
         0,
         1,
-        vec![Order::Run {
+        vec![Command::Run {
             task,
             attempt: Attempt(1),
         }],
@@ -133,9 +133,9 @@
     let (_, sent) = s
         .machine
         .begin_report(s.start + Duration::from_secs(20), 0.5);
-    let old = ReportAnswer {
+    let old = ReportResponse {
         token: Token(6),
-        orders: vec![s.run(1)],
+        commands: vec![s.run(1)],
     };
     let now = s.start + Duration::from_secs(20);
     s.machine.answered(
--- a/crates/scale/tests/pipelines.rs
+++ b/crates/scale/tests/pipelines.rs
@@ -35,8 +35,13 @@
         assert_eq!(pipeline.jobs.len(), 1 + 3 * 4 + 1);
         let mut before = HashSet::new();
         for (number, plan) in pipeline.jobs.iter().enumerate() {
-            assert_eq!(plan.spec.needs.is_empty(), number == 0);
-            assert!(plan.spec.needs.iter().all(|need| before.contains(need)));
+            assert_eq!(plan.spec.dependencies.is_empty(), number == 0);
+            assert!(
+                plan.spec
+                    .dependencies
+                    .iter()
+                    .all(|need| before.contains(need))
+            );
             assert!(seen.insert(plan.spec.id.clone()), "an id comes twice");
             before.insert(plan.spec.id.clone());
             let is_last = number + 1 == pipeline.jobs.len();
@@ -44,7 +49,7 @@
             let needed = pipeline
                 .jobs
                 .iter()
-                .any(|p| p.spec.needs.contains(&plan.spec.id));
+                .any(|p| p.spec.dependencies.contains(&plan.spec.id));
             assert!(needed || is_last);
         }
     }
@@ -58,7 +63,7 @@
     let (options, all) = drawn("--pipelines 1");
     let plan = &all[0].jobs[1];
     let body: serde_json::Value = serde_json::from_slice(&plan.submission()).unwrap();
-    assert_eq!(body["Awaits"], serde_json::json!(plan.spec.needs));
+    assert_eq!(body["Awaits"], serde_json::json!(plan.spec.dependencies));
     assert_eq!(body["Id"], serde_json::json!(plan.spec.id));
     let (without, none) = drawn("");
     assert!(none.is_empty());
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,10 +1,10 @@
 //! The HTTP side: what users, workers and operators may ask for. Connections
 //! and their bounds are the affair of `hookworks-http-server`.
 
-use crate::ids::Label;
+use crate::ids::ControllerId;
 use crate::settings::Settings;
-use crate::time::wall;
-use crate::wire::peer::{Answer, Ask};
+use crate::time::wall_time_now;
+use crate::wire::peer::{Answer, Request};
 use crate::wire::worker::Redirect;
 use arc_swap::ArcSwapOption;
 use hookworks_http_server::{
@@ -19,19 +19,19 @@
 
 /// What arrives at the main loop.
 pub enum Incoming {
-    Ask(Reply, Ask),
+    Ask(Reply, Request),
     Overview(Reply),
 }
 
 /// A controller that has room for more workers.
 #[derive(Debug)]
 pub struct Elsewhere {
-    label: Label,
+    label: ControllerId,
     room: AtomicUsize,
 }
 
 impl Elsewhere {
-    pub fn new(label: Label, room: usize) -> Elsewhere {
+    pub fn new(label: ControllerId, room: usize) -> Elsewhere {
         Elsewhere {
             label,
             room: AtomicUsize::new(room),
@@ -76,7 +76,7 @@
     pub fn page(&self, q: &Query) -> Option<Answer> {
         let p = self.jobs.load();
         let p = p.as_ref().filter(|p| Instant::now() < p.until)?;
-        Some(Answer::new(200, rows(&p.jobs.page(q, wall().0))))
+        Some(Answer::new(200, rows(&p.jobs.page(q, wall_time_now().0))))
     }
 }
 
@@ -101,7 +101,7 @@
 }
 
 /// Sends a worker to that controller, or on to the next one it knows.
-pub fn redirect(leader: Option<Label>) -> Answer {
+pub fn redirect(leader: Option<ControllerId>) -> Answer {
     let body = serde_json::to_string(&Redirect { leader }).unwrap_or_default();
     Answer::new(421, body)
 }
@@ -217,18 +217,18 @@
 
     fn handle(&self, wanted: Wanted, body: Vec<u8>, reply: Reply) {
         let ask = match wanted {
-            Wanted::Submit => Ask::Submit(body),
-            Wanted::Report => Ask::Report(body),
-            Wanted::Poll(id) => Ask::Poll(id),
-            Wanted::Cancel(id) => Ask::Cancel(id),
-            Wanted::Hold(id) => Ask::Hold(id, body),
-            Wanted::Release(id) => Ask::Release(id, body),
-            Wanted::Show(id) => Ask::Show(id),
+            Wanted::Submit => Request::Submit(body),
+            Wanted::Report => Request::Report(body),
+            Wanted::Poll(id) => Request::Poll(id),
+            Wanted::Cancel(id) => Request::Cancel(id),
+            Wanted::Hold(id) => Request::Hold(id, body),
+            Wanted::Release(id) => Request::Release(id, body),
+            Wanted::Show(id) => Request::Show(id),
             Wanted::Events(query) => match since(&query) {
                 Err(e) => return reply.answer(Answer::error(400, &e)),
                 Ok(mark) => match self.notice.changes(mark) {
                     Some(a) => return reply.answer(a),
-                    None => Ask::Events(query),
+                    None => Request::Events(query),
                 },
             },
             Wanted::List(query) => match Query::parse(&query) {
@@ -237,7 +237,7 @@
                 // does not hear of it.
                 Ok(q) => match self.notice.page(&q).filter(|_| q.wants_unfinished()) {
                     Some(a) => return reply.answer(a),
-                    None => Ask::List(query),
+                    None => Request::List(query),
                 },
             },
             Wanted::Overview => {
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,17 +1,17 @@
 //! The command-line client's requests.
 
-use crate::store::client::{agent, finish};
+use crate::store::client::{http_agent, read_response};
 use std::time::Duration;
 
 /// Sends one request to a controller; the error is one line for the user.
 fn call(method: &str, addr: &str, path: &str, body: Option<&[u8]>) -> Result<String, String> {
-    let agent = agent(Duration::from_secs(6), 1);
+    let agent = http_agent(Duration::from_secs(6), 1);
     let url = format!("http://{addr}{path}");
     let r = match (method, body) {
         ("GET", _) => agent.get(&url).call(),
         (_, b) => agent.post(&url).send(b.unwrap_or(b"")),
     };
-    let Some((status, body)) = finish(r) else {
+    let Some((status, body)) = read_response(r) else {
         return Err(format!("{addr}: no answer"));
     };
     let text = String::from_utf8_lossy(&body).into_owned();
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -2,8 +2,8 @@
 
 use crate::ids::Host;
 use crate::sched::HireResult;
-use crate::store::client::{agent, finish};
-use crate::wire::cloud::{Flavor, Flavors, Hire, HostList, Hosts};
+use crate::store::client::{http_agent, read_response};
+use crate::wire::cloud::{HostList, Hosts, MachineType, MachineTypes, RentalRequest};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
     /// For the cloud at that address. Nothing is sent yet.
     pub fn new(addr: SocketAddr) -> CloudClient {
         CloudClient {
-            agent: agent(REQUEST_TIMEOUT, MAX_IDLE_CONNECTIONS),
+            agent: http_agent(REQUEST_TIMEOUT, MAX_IDLE_CONNECTIONS),
             base: format!("http://{addr}"),
         }
     }
 
     /// The machine types, or none if the request failed.
-    pub fn flavors(&self) -> Option<Vec<Flavor>> {
-        let flavors: Flavors = self.get("/flavors")?;
+    pub fn flavors(&self) -> Option<Vec<MachineType>> {
+        let flavors: MachineTypes = self.get("/flavors")?;
         Some(flavors.builds)
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Rents machines; idempotent by the name of the request.
-    pub fn rent(&self, request: &Hire) -> HireResult {
+    pub fn rent(&self, request: &RentalRequest) -> HireResult {
         match self.post("/hosts", request) {
             Some((200, body)) => match serde_json::from_slice::<Hosts>(&body) {
                 Ok(rented) => HireResult::Ok(rented.hosts),
@@ -70,7 +70,7 @@
 
     fn get<T: DeserializeOwned>(&self, path: &str) -> Option<T> {
         let url = format!("{}{path}", self.base);
-        let (status, body) = finish(self.agent.get(url).call())?;
+        let (status, body) = read_response(self.agent.get(url).call())?;
         if status != 200 {
             return None;
         }
@@ -81,6 +81,6 @@
         let body = serde_json::to_vec(body).ok()?;
         let request = self.agent.post(format!("{}{path}", self.base));
         let request = request.header("Content-Type", "application/json");
-        finish(request.send(&body[..]))
+        read_response(request.send(&body[..]))
     }
 }
--- a/src/election.rs
+++ b/src/election.rs
@@ -4,9 +4,9 @@
 //! not wait for that lease to expire: it revokes it and campaigns at once. Why
 //! that is safe, and when it is not done: docs/notes/quick-restarts.md.
 
-use crate::ids::{Epoch, Instance, Label, Stamp};
-use crate::store::client::{Outcome, ReadError, State};
-use crate::store::{EPOCH, LEADER};
+use crate::ids::{ControllerId, Epoch, Instance, Revision};
+use crate::store::client::{ReadError, StateStore, TxnOutcome};
+use crate::store::{EPOCH_KEY, LEADER_KEY};
 use crate::time::{Span, Time};
 use crate::wire::state::{Change, Condition, Item, Txn};
 use serde::{Deserialize, Serialize};
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Which controller leads.
-    pub label: Label,
+    pub label: ControllerId,
     /// The number of its leadership.
     pub epoch: Epoch,
     /// Tells its process from an earlier one of the same label.
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// The label of this controller.
-    pub label: Label,
+    pub label: ControllerId,
     /// This process of it.
     pub instance: Instance,
     /// Where it listens for the other controllers, if that is known.
@@ -119,7 +119,7 @@
         /// The number of the new leadership.
         epoch: Epoch,
         /// The revision of the leader's key, the condition of all later writes.
-        stamp: Stamp,
+        stamp: Revision,
         /// The leadership is proven as of this time.
         proven: Time,
     },
@@ -145,7 +145,7 @@
     unavailable: bool,
 }
 
-impl<S: State> Elector<S> {
+impl<S: StateStore> Elector<S> {
     /// Starts as a follower; leases are asked for with `lease_duration`.
     pub fn new(state: S, candidate: Candidate, lease_duration: Span) -> Self {
         Elector {
@@ -204,7 +204,7 @@
     }
 
     fn follow(&mut self, now: impl Fn() -> Time) -> Result<ElectionOutcome, ReadError> {
-        match self.state.get(LEADER)? {
+        match self.state.get(LEADER_KEY)? {
             Some(held) => self.follow_or_replace(held, now),
             None => self.campaign(now),
         }
@@ -232,13 +232,13 @@
     fn campaign(&mut self, now: impl Fn() -> Time) -> Result<ElectionOutcome, ReadError> {
         let sent = now();
         let lease = self.state.grant(self.lease_duration.0 / 1000)?;
-        let last_epoch = self.state.get(EPOCH)?;
+        let last_epoch = self.state.get(EPOCH_KEY)?;
         let record = self.candidate.record(next_epoch(last_epoch.as_ref()));
         let txn = campaign_txn(&record, last_epoch.as_ref(), lease);
         match self.state.txn(&txn) {
-            Outcome::Ok(stamp) => Ok(self.elected(lease, record.epoch, stamp, sent)),
-            Outcome::Unclear => Ok(self.read_back(lease, &record, sent)),
-            Outcome::Conflict(_) => {
+            TxnOutcome::Ok(stamp) => Ok(self.elected(lease, record.epoch, stamp, sent)),
+            TxnOutcome::Unknown => Ok(self.read_back(lease, &record, sent)),
+            TxnOutcome::Conflict(_) => {
                 self.state.revoke(lease);
                 Ok(ElectionOutcome::Following(None))
             }
@@ -249,17 +249,23 @@
 
     /// The answer to the campaign was lost, perhaps after it was carried out.
     fn read_back(&mut self, lease: u64, record: &LeaderRecord, sent: Time) -> ElectionOutcome {
-        if let Ok(Some(held)) = self.state.get(LEADER)
+        if let Ok(Some(held)) = self.state.get(LEADER_KEY)
             && serde_json::from_value(held.value).is_ok_and(|r: LeaderRecord| r == *record)
         {
-            return self.elected(lease, record.epoch, held.stamp, sent);
+            return self.elected(lease, record.epoch, held.revision, sent);
         }
         // If the campaign is still carried out, the key goes with this lease.
         self.state.revoke(lease);
         ElectionOutcome::Unavailable
     }
 
-    fn elected(&mut self, lease: u64, epoch: Epoch, stamp: Stamp, proven: Time) -> ElectionOutcome {
+    fn elected(
+        &mut self,
+        lease: u64,
+        epoch: Epoch,
+        stamp: Revision,
+        proven: Time,
+    ) -> ElectionOutcome {
         self.lease = Some(lease);
         self.fast_polls_left = 0;
         ElectionOutcome::Elected {
@@ -286,7 +292,7 @@
 fn campaign_txn(record: &LeaderRecord, last_epoch: Option<&Item>, lease: u64) -> Txn {
     let unchanged = |key: &str, stamp| Condition {
         key: key.into(),
-        stamp,
+        revision: stamp,
     };
     let put = |key: &str, value: Value, lease| Change::Put {
         key: key.into(),
@@ -294,12 +300,15 @@
         lease,
     };
     let leader = serde_json::to_value(record).unwrap_or_default();
-    let epoch_stamp = last_epoch.map_or(Stamp(0), |item| item.stamp);
+    let epoch_stamp = last_epoch.map_or(Revision(0), |item| item.revision);
     Txn {
-        conditions: vec![unchanged(LEADER, Stamp(0)), unchanged(EPOCH, epoch_stamp)],
+        conditions: vec![
+            unchanged(LEADER_KEY, Revision(0)),
+            unchanged(EPOCH_KEY, epoch_stamp),
+        ],
         changes: vec![
-            put(LEADER, leader, Some(lease)),
-            put(EPOCH, record.epoch.0.into(), None),
+            put(LEADER_KEY, leader, Some(lease)),
+            put(EPOCH_KEY, record.epoch.0.into(), None),
         ],
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -160,13 +160,13 @@
                     }
                 );
             }
-            let z = s.sizes().map_err(|_| ExitCode::from(2))?;
+            let z = s.capacity_limits().map_err(|_| ExitCode::from(2))?;
             let [c, j, f, m] = z.bytes.map(|n| n / 1_000_000);
             println!(
                 "sizes: {} machines with no other controller left, limited by {}; {} of them can keep a connection open",
-                z.alone.most,
-                z.alone.limited_by,
-                z.machines.min(z.alone.most)
+                z.single_controller.max_machines,
+                z.single_controller.limited_by,
+                z.worker_connections.min(z.single_controller.max_machines)
             );
             println!(
                 "  {} unfinished jobs, {} final states at hand, {} open requests, {} messages",
--- a/src/node/asks.rs
+++ b/src/node/asks.rs
@@ -6,18 +6,18 @@
 use super::threads::state_service::StateRequest;
 use super::{Node, Origin, Pending, Role};
 use crate::api::redirect;
-use crate::ids::{Epoch, Label, ReqId};
+use crate::ids::{ControllerId, Epoch, RequestId};
 use crate::sched::Event;
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask, PeerMsg};
+use crate::wire::peer::{Answer, PeerMessage, Request};
 use hookworks_listing::{Query, since};
 
 /// A leader that is gone is no longer named by the state service after so long.
 const LOST_AFTER: Span = Span(2_600_000);
 
 impl Node {
-    pub(super) fn new_req(&mut self, since: Time, origin: Origin, ask: &Ask) -> ReqId {
-        let req = ReqId(self.next_req);
+    pub(super) fn new_req(&mut self, since: Time, origin: Origin, ask: &Request) -> RequestId {
+        let req = RequestId(self.next_req);
         self.next_req += 1;
         self.pending.insert(
             req,
@@ -33,7 +33,7 @@
         req
     }
 
-    pub(super) fn ask_from_peer(&mut self, now: Time, since: Time, origin: Origin, ask: Ask) {
+    pub(super) fn ask_from_peer(&mut self, now: Time, since: Time, origin: Origin, ask: Request) {
         let full = self.pending.len() >= self.sizes.requests;
         let req = self.new_req(since, origin, &ask);
         if is_expired(&ask, now - since) {
@@ -48,7 +48,7 @@
         if let Role::Leader(t) = &self.role {
             let epoch = t.epoch;
             let event = match (&self.pending.get(&req).map(|p| &p.origin), ask) {
-                (Some(Origin::Peer { from, .. }), Ask::Report(body)) => {
+                (Some(Origin::Peer { from, .. }), Request::Report(body)) => {
                     Event::Relayed(req, from.clone(), body)
                 }
                 (_, ask) => Event::Ask(req, ask),
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn ask(&mut self, now: Time, since: Time, origin: Origin, ask: Ask) {
+    pub(super) fn ask(&mut self, now: Time, since: Time, origin: Origin, ask: Request) {
         let full = self.pending.len() >= self.sizes.requests;
         let req = self.new_req(since, origin, &ask);
         if self.stopping.is_some() {
@@ -71,7 +71,7 @@
         if full {
             return self.answer(now, req, Answer::later("too many requests", 2));
         }
-        if let Ask::Report(body) = &ask
+        if let Request::Report(body) = &ask
             && let Some(other) = self.redirect_target(now, body)
         {
             return self.answer(now, req, redirect(Some(other)));
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(super) fn lead_ask(&mut self, now: Time, req: ReqId, ask: Ask) {
+    pub(super) fn lead_ask(&mut self, now: Time, req: RequestId, ask: Request) {
         if let Role::Leader(t) = &mut self.role {
             let epoch = t.epoch;
             self.event(now, epoch, Event::Ask(req, ask));
@@ -102,14 +102,14 @@
     }
 
     /// Pages are made by a thread of their own.
-    fn list(&mut self, now: Time, req: ReqId, wanted: Wanted) {
+    fn list(&mut self, now: Time, req: RequestId, wanted: Wanted) {
         if self.lists.try_send((req, wanted)).is_err() {
             self.answer(now, req, Answer::later("too many lists at a time", 1));
         }
     }
 
     /// A follower passes everything on to the leader.
-    pub(super) fn pass_on(&mut self, now: Time, req: ReqId, ask: Ask) {
+    pub(super) fn pass_on(&mut self, now: Time, req: RequestId, ask: Request) {
         let leader = self.known_leader(&ask);
         match follow::route(&ask, leader) {
             Route::PassOn(leader, epoch) => self.pass_on_to(req, ask, leader, epoch),
@@ -118,46 +118,46 @@
     }
 
     /// Who leads elsewhere, as far as is known here, and whether this may go there.
-    fn known_leader(&mut self, ask: &Ask) -> Option<KnownLeader> {
+    fn known_leader(&mut self, ask: &Request) -> Option<KnownLeader> {
         let me = &self.settings.platform.label;
         let (label, epoch) = self.peers.best_leader().filter(|l| l.0 != *me)?;
         Some(KnownLeader {
             reachable: self.peers.reachable(&label),
-            understands: self.understands(&label, ask.needs()),
+            understands: self.understands(&label, ask.min_version()),
             label,
             epoch,
         })
     }
 
-    fn pass_on_to(&mut self, req: ReqId, ask: Ask, leader: Label, epoch: Epoch) {
-        let msg = PeerMsg::Ask {
+    fn pass_on_to(&mut self, req: RequestId, ask: Request, leader: ControllerId, epoch: Epoch) {
+        let msg = PeerMessage::Request {
             id: req.0,
             from: self.settings.platform.label.to_string(),
             to: leader.to_string(),
-            ask: ask.clone(),
+            request: ask.clone(),
         };
         self.tell(leader.clone(), msg);
         if let Some(p) = self.pending.get_mut(&req) {
             p.with = Some((leader, epoch));
             p.report = match ask {
-                Ask::Report(body) => Some(body),
+                Request::Report(body) => Some(body),
                 _ => None,
             };
         }
     }
 
     /// Leaves at the end of this turn of the loop, with all that goes there.
-    fn tell(&mut self, to: Label, msg: PeerMsg) {
+    fn tell(&mut self, to: ControllerId, msg: PeerMessage) {
         self.outbox.entry(to).or_default().push(msg);
     }
 
     pub(super) fn send_outbox(&mut self, now: Time) {
         for (to, msgs) in std::mem::take(&mut self.outbox) {
-            let asked = |m: &PeerMsg| match m {
-                PeerMsg::Ask { id, .. } => Some(ReqId(*id)),
+            let asked = |m: &PeerMessage| match m {
+                PeerMessage::Request { id, .. } => Some(RequestId(*id)),
                 _ => None,
             };
-            let asks: Vec<ReqId> = msgs.iter().filter_map(asked).collect();
+            let asks: Vec<RequestId> = msgs.iter().filter_map(asked).collect();
             if !self.peers.send(&to, msgs) {
                 for req in asks {
                     self.answer(now, req, Answer::later("the leader is out of reach", 1));
@@ -169,7 +169,7 @@
     /// What was passed on finds no way there any more. A report goes to the next
     /// leader as soon as there is one: workers that were sent to a leader that
     /// had lost the network came back too late, and were taken for lost.
-    pub(super) fn look_elsewhere(&mut self, now: Time, req: ReqId) {
+    pub(super) fn look_elsewhere(&mut self, now: Time, req: RequestId) {
         let Some(p) = self.pending.get_mut(&req) else {
             return;
         };
@@ -178,7 +178,7 @@
         let patient = now - p.since < LOST_AFTER;
         match p.report.take() {
             Some(body) if changed => match self.role {
-                Role::Follower => self.pass_on(now, req, Ask::Report(body)),
+                Role::Follower => self.pass_on(now, req, Request::Report(body)),
                 _ => self.give_up(now, req, "the leader has changed"),
             },
             Some(body) if patient => p.report = Some(body),
@@ -193,7 +193,7 @@
     /// No answer will come. If the state service says that the same one still
     /// leads, a worker may well have a way of its own there, and takes that
     /// sooner than it tries one controller after another.
-    pub(super) fn give_up(&mut self, now: Time, req: ReqId, why: &str) {
+    pub(super) fn give_up(&mut self, now: Time, req: RequestId, why: &str) {
         let p = self.pending.get(&req).filter(|p| p.report.is_some());
         let seen = self.seen.as_ref().map(|l| l.label.clone());
         let answer = match p
@@ -208,7 +208,7 @@
     }
 
     /// Carries out what was decided about a request that goes to no leader.
-    fn without_leader(&mut self, now: Time, req: ReqId, ask: Ask, route: Route) {
+    fn without_leader(&mut self, now: Time, req: RequestId, ask: Request, route: Route) {
         match (route, ask) {
             (Route::Answer(a), _) => self.answer(now, req, a),
             (Route::ReadFinal(id), _) => {
@@ -220,7 +220,7 @@
                 self.looks.take(now, 1.0);
                 let _ = self.store.send(StateRequest::LookUpFinal(req, id));
             }
-            (_, Ask::Report(body)) => {
+            (_, Request::Report(body)) => {
                 // Known from the state service, but not to be reached from
                 // here: the worker may well have a way of its own.
                 let leader = self.seen.as_ref().map(|l| l.label.clone());
@@ -236,7 +236,7 @@
         }
     }
 
-    pub(super) fn answer(&mut self, now: Time, req: ReqId, mut answer: Answer) {
+    pub(super) fn answer(&mut self, now: Time, req: RequestId, mut answer: Answer) {
         let Some(p) = self.pending.remove(&req) else {
             return;
         };
@@ -268,7 +268,7 @@
             Origin::Http(reply) => reply.answer(answer),
             Origin::Peer { from, id } => {
                 let to = from.to_string();
-                self.tell(from, PeerMsg::Tell { id, to, answer });
+                self.tell(from, PeerMessage::Response { id, to, answer });
             }
         }
     }
@@ -276,21 +276,21 @@
 
 /// The leader that was asked has begun another term since: it does not know of
 /// the request any more.
-pub fn replaced(asked: &(Label, Epoch), now: Option<&(Label, Epoch)>) -> bool {
+pub fn replaced(asked: &(ControllerId, Epoch), now: Option<&(ControllerId, Epoch)>) -> bool {
     now.is_some_and(|(label, epoch)| *label == asked.0 && *epoch > asked.1)
 }
 
 /// What somebody wants to read, if that is all; it was checked where it came in.
-fn read_only(ask: &Ask) -> Option<Wanted> {
+fn read_only(ask: &Request) -> Option<Wanted> {
     match ask {
-        Ask::List(query) => Query::parse(query).ok().map(Wanted::Page),
-        Ask::Events(query) => since(query).ok().map(Wanted::Changes),
+        Request::List(query) => Query::parse(query).ok().map(Wanted::Page),
+        Request::Events(query) => since(query).ok().map(Wanted::Changes),
         _ => None,
     }
 }
 
 /// Whoever asked has given up: an answer would come too late, so that none is worked out.
-pub fn is_expired(ask: &Ask, waited: Span) -> bool {
+pub fn is_expired(ask: &Request, waited: Span) -> bool {
     waited > limit_of(ask)
 }
 
@@ -299,10 +299,14 @@
 }
 
 /// How long an asker waits, less some for the way back.
-pub(super) fn limit_of(ask: &Ask) -> Span {
+pub(super) fn limit_of(ask: &Request) -> Span {
     match ask {
-        Ask::Poll(_) | Ask::Show(_) | Ask::List(_) | Ask::Events(_) => Span::millis(1600),
-        Ask::Report(_) => Span::millis(3500),
-        Ask::Submit(_) | Ask::Cancel(_) | Ask::Hold(..) | Ask::Release(..) => Span::millis(4200),
+        Request::Poll(_) | Request::Show(_) | Request::List(_) | Request::Events(_) => {
+            Span::millis(1600)
+        }
+        Request::Report(_) => Span::millis(3500),
+        Request::Submit(_) | Request::Cancel(_) | Request::Hold(..) | Request::Release(..) => {
+            Span::millis(4200)
+        }
     }
 }
--- a/src/node/balance.rs
+++ b/src/node/balance.rs
@@ -6,7 +6,7 @@
 
 use super::{Node, Role};
 use crate::api::Elsewhere;
-use crate::ids::{Host, Label};
+use crate::ids::{ControllerId, Host};
 use crate::peer::Load;
 use crate::time::{Span, Time};
 use serde::Deserialize;
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct ControllerLoad {
     /// Which controller.
-    pub label: Label,
+    pub label: ControllerId,
     /// How many workers report to it.
     pub workers: u32,
     /// How many it can be given.
@@ -123,7 +123,7 @@
     }
 
     /// Notes a heartbeat; answers to which controller its worker is redirected, if any.
-    pub fn redirect_target(&mut self, now: Time, host: &Host) -> Option<Label> {
+    pub fn redirect_target(&mut self, now: Time, host: &Host) -> Option<ControllerId> {
         self.last_reports.insert(host.clone(), now);
         let shares = shares(self.workers_of_all(), &self.capacities());
         let tolerated = shares[0] * SHARE_TOLERANCE + EXCESS_TOLERANCE;
@@ -152,7 +152,7 @@
     }
 
     /// The other controller with the largest part of its share free, if any is.
-    fn least_loaded(&self, shares: &[f64]) -> Option<Label> {
+    fn least_loaded(&self, shares: &[f64]) -> Option<ControllerId> {
         let loads = self.others.iter().zip(shares);
         let free = loads.map(|(o, share)| (o, 1.0 - o.workers as f64 / share.max(1.0)));
         let (other, free) = free.max_by(|a, b| a.1.total_cmp(&b.1))?;
@@ -170,7 +170,7 @@
 
 impl Node {
     /// Where the sender of this heartbeat had better report, if not here.
-    pub(super) fn redirect_target(&mut self, now: Time, report: &[u8]) -> Option<Label> {
+    pub(super) fn redirect_target(&mut self, now: Time, report: &[u8]) -> Option<ControllerId> {
         if matches!(self.role, Role::Loading(_)) {
             return None;
         }
@@ -185,7 +185,7 @@
             Role::Leader(_) => Some(own_label.clone()),
             _ => self.peers.best_leader().map(|(label, _)| label),
         };
-        let capacity = |label: &Label, max_workers| {
+        let capacity = |label: &ControllerId, max_workers| {
             let leads = leader.as_ref() == Some(label);
             Capacity {
                 weight: if leads { LEADER_WEIGHT } else { 1.0 },
--- a/src/node/follow.rs
+++ b/src/node/follow.rs
@@ -1,16 +1,16 @@
 //! What a controller that does not lead makes of a request. No I/O: the main loop
 //! carries out what is decided here, and so does the tests' world.
 
-use crate::ids::{Epoch, JobId, Label};
+use crate::ids::{ControllerId, Epoch, JobId};
 use crate::sched::answer_final;
 use crate::sched::job::Final;
-use crate::wire::peer::{Answer, Ask};
+use crate::wire::peer::{Answer, Request};
 use crate::wire::user::JobSpec;
 
 /// The latest leader that this controller has heard of, other than itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownLeader {
-    pub label: Label,
+    pub label: ControllerId,
     pub epoch: Epoch,
     /// There is a way, directly or through the third controller.
     pub reachable: bool,
@@ -22,7 +22,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Route {
     /// To that leader, in that epoch.
-    PassOn(Label, Epoch),
+    PassOn(ControllerId, Epoch),
     /// No leader is in reach. A final state may be told by anyone who reads it.
     ReadFinal(JobId),
     /// No leader is in reach for a worker's heartbeat.
@@ -32,8 +32,8 @@
 
 /// Decides where a request goes. A follower tells nothing by itself but what is
 /// malformed, whoever leads, and final states.
-pub fn route(ask: &Ask, leader: Option<KnownLeader>) -> Route {
-    if let Ask::Submit(body) = ask
+pub fn route(ask: &Request, leader: Option<KnownLeader>) -> Route {
+    if let Request::Submit(body) = ask
         && let Err(e) = JobSpec::parse(body)
     {
         return Route::Answer(Answer::error(400, &e));
@@ -46,10 +46,10 @@
 }
 
 /// What follows if no leader is in reach.
-fn without_leader(ask: &Ask) -> Route {
+fn without_leader(ask: &Request) -> Route {
     match ask {
-        Ask::Poll(id) if JobId::well_formed(id) => Route::ReadFinal(id.as_str().into()),
-        Ask::Report(_) => Route::NoLeaderForReport,
+        Request::Poll(id) if JobId::is_well_formed(id) => Route::ReadFinal(id.as_str().into()),
+        Request::Report(_) => Route::NoLeaderForReport,
         _ => Route::Answer(no_leader()),
     }
 }
--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -138,7 +138,7 @@
             "messages_waiting": self.waiting,
             "most": { "requests": self.sizes.requests, "messages": self.sizes.inbox,
                 "jobs": self.sizes.jobs, "final_states": self.sizes.finals,
-                "machines_alone": self.sizes.machines },
+                "machines_alone": self.sizes.worker_connections },
             "connections": self.server.metrics(),
             "workers_reporting_here": self.worker_balance.reporting(),
             "calls_waiting": {
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -5,11 +5,11 @@
 use super::threads::election::ElectionCommand;
 use super::{Node, Role, Term};
 use crate::election::{ElectionOutcome, LeaderRecord};
-use crate::ids::{Epoch, Label, ReqId, Stamp};
+use crate::ids::{ControllerId, Epoch, RequestId, Revision};
 use crate::sched::{Config, Event, Sched};
 use crate::store::commit::Committer;
-use crate::time::{Span, Time, wall};
-use crate::versions::Switch;
+use crate::time::{Span, Time, wall_time_now};
+use crate::versions::FormatSwitch;
 use crate::wire::peer::Answer;
 use hookworks_listing::Board;
 use std::sync::atomic::Ordering;
@@ -80,7 +80,7 @@
     }
 
     /// Loads what is stored; the leadership begins when that is done.
-    fn elected(&mut self, epoch: Epoch, stamp: Stamp, proven: Time) {
+    fn elected(&mut self, epoch: Epoch, stamp: Revision, proven: Time) {
         tracing::info!(%epoch, "elected");
         self.proven = proven;
         self.role = Role::Loading(epoch);
@@ -107,7 +107,7 @@
         self.term.store(0, Ordering::SeqCst);
         self.peers.set_leader(None);
         self.notice.jobs.store(None);
-        let open: Vec<ReqId> = self.pending.keys().copied().collect();
+        let open: Vec<RequestId> = self.pending.keys().copied().collect();
         for req in open {
             self.answer(now, req, Answer::later("the leader has changed", 1));
         }
@@ -137,21 +137,21 @@
     /// Scheduler and group commit of a new leadership, with what was loaded.
     fn new_term(&self, now: Time, loaded: Loaded) -> Term {
         let epoch = loaded.epoch;
-        let switch = Switch::new(loaded.stamp, loaded.record_format());
+        let switch = FormatSwitch::new(loaded.stamp, loaded.record_format());
         let limits = &self.settings.platform.params.state;
         let mut commit = Committer::new(loaded.stamp, limits);
         for (key, stamp) in loaded.stamps {
-            commit.know(key, stamp);
+            commit.record_revision(key, stamp);
         }
         for (key, stamp) in loaded.litter {
-            commit.add_litter(key, stamp);
+            commit.add_garbage(key, stamp);
         }
         let config = Config::from(&self.settings);
-        let mut sched = Sched::new(config, epoch, self.proven, now, wall());
+        let mut sched = Sched::new(config, epoch, self.proven, now, wall_time_now());
         let token = epoch.base();
         tracing::info!(%epoch, token, jobs = loaded.jobs.len(), "leading");
         // The time of day first: no suspension between the two makes it too late.
-        let (time_of_day, at) = (wall(), self.clock.now());
+        let (time_of_day, at) = (wall_time_now(), self.clock.now());
         if let Some(fences) = loaded.fences {
             sched.take_fences(at, time_of_day, fences);
         }
@@ -167,11 +167,11 @@
 
     /// A controller has ended, or its link: nothing that it was asked will be
     /// answered, and if it led, another controller may before long.
-    pub(super) fn peer_gone(&mut self, now: Time, label: &Label) {
-        let asked = |leader: &Option<(Label, Epoch)>| {
+    pub(super) fn peer_gone(&mut self, now: Time, label: &ControllerId) {
+        let asked = |leader: &Option<(ControllerId, Epoch)>| {
             leader.as_ref().is_some_and(|(asked, _)| asked == label)
         };
-        let lost: Vec<ReqId> = self
+        let lost: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| asked(&pending.with))
--- a/src/node/lists.rs
+++ b/src/node/lists.rs
@@ -2,12 +2,12 @@
 
 use super::{Msg, spawn};
 use crate::api::Notice;
-use crate::ids::{JobId, ReqId};
+use crate::ids::{JobId, RequestId};
 use crate::sched::detail_of_record;
 use crate::settings::Settings;
 use crate::store::budget::Budget;
-use crate::store::client::State;
-use crate::store::{FINALS, StateClient, final_key};
+use crate::store::client::StateStore;
+use crate::store::{FINALS_PREFIX, StateClient, final_key};
 use crate::time::Clock;
 use crate::wire::peer::Answer;
 use crossbeam_channel::{Sender, bounded};
@@ -35,8 +35,8 @@
     clock: Clock,
     notice: Arc<Notice>,
     inbox: Sender<Msg>,
-) -> Sender<(ReqId, Wanted)> {
-    let (tx, rx) = bounded::<(ReqId, Wanted)>(MAX_LISTS);
+) -> Sender<(RequestId, Wanted)> {
+    let (tx, rx) = bounded::<(RequestId, Wanted)>(MAX_LISTS);
     let state = StateClient::new(
         settings.platform.services.state,
         Duration::from_millis(1200),
@@ -61,7 +61,7 @@
 
 /// A page of finished jobs. It may hold few or none though more follow: one
 /// list reads so much at a time and no more.
-pub fn finished(state: &impl State, budget: &mut Budget, clock: Clock, q: &Query) -> Answer {
+pub fn finished(state: &impl StateStore, budget: &mut Budget, clock: Clock, q: &Query) -> Answer {
     let mut page = Page::default();
     let mut after = match &q.after {
         Some(Position::Finished(id)) if !id.is_empty() => Some(final_key(&id.as_str().into())),
@@ -75,7 +75,7 @@
             break;
         }
         budget.take(clock.now(), 1.0);
-        let Ok(read) = state.page(FINALS, after.as_deref(), 200) else {
+        let Ok(read) = state.page(FINALS_PREFIX, after.as_deref(), 200) else {
             return Answer::later("the state service does not answer", 1);
         };
         let end = !read.more;
@@ -83,9 +83,9 @@
             if page.jobs.len() == q.page {
                 break;
             }
-            let id = JobId::from(i.key.trim_start_matches(FINALS));
+            let id = JobId::from(i.key.trim_start_matches(FINALS_PREFIX));
             after = Some(i.key);
-            let line = detail_of_record(&id, i.value).map(|d| d.line());
+            let line = detail_of_record(&id, i.value).map(|d| d.into_line());
             page.jobs.extend(line.filter(|l| l.matches(q)));
         }
         if end && page.jobs.len() < q.page {
@@ -96,7 +96,7 @@
             break;
         }
     }
-    let id = |key: String| Position::Finished(key.trim_start_matches(FINALS).to_string());
+    let id = |key: String| Position::Finished(key.trim_start_matches(FINALS_PREFIX).to_string());
     page.next = after.map(id);
     Answer::new(200, rows(&page))
 }
--- a/src/node/load.rs
+++ b/src/node/load.rs
@@ -1,14 +1,17 @@
 //! Taking over: everything unfinished is read from the store.
 
 use super::{Msg, spawn};
-use crate::ids::{Epoch, JobId, Stamp};
+use crate::ids::{Epoch, JobId, Revision};
 use crate::sched::FenceRecord;
 use crate::sched::job::Job;
 use crate::settings::Settings;
-use crate::store::client::{ReadError, State};
+use crate::store::client::{ReadError, StateStore};
 use crate::store::pieces::Pieces;
-use crate::store::{FENCES, FORMAT, FormatRecord, LIVE, PARTS, PIECES, RecordFormat, StateClient};
-use crate::time::{Clock, Time, Wall, wall};
+use crate::store::{
+    FENCES_KEY, FORMAT_KEY, FormatRecord, PARTS_PREFIX, PIECES_PREFIX, RecordFormat, StateClient,
+    UNFINISHED_PREFIX,
+};
+use crate::time::{Clock, Time, WallTime, wall_time_now};
 use crate::wire::state::Item;
 use crate::wire::user::JobState;
 use crossbeam_channel::Sender;
@@ -20,10 +23,10 @@
 
 pub struct Loaded {
     pub epoch: Epoch,
-    pub stamp: Stamp,
+    pub stamp: Revision,
     pub jobs: Vec<Job>,
-    pub stamps: Vec<(String, Stamp)>,
-    pub litter: Vec<(String, Stamp)>,
+    pub stamps: Vec<(String, Revision)>,
+    pub litter: Vec<(String, Revision)>,
     pub unreadable: BTreeMap<JobId, JobState>,
     /// Zones that earlier terms did not answer.
     pub fences: Option<FenceRecord>,
@@ -39,7 +42,7 @@
 }
 
 /// Reads in a thread of its own, so that the leadership is kept up meanwhile.
-pub fn start(settings: &Settings, clock: Clock, inbox: Sender<Msg>, epoch: Epoch, stamp: Stamp) {
+pub fn start(settings: &Settings, clock: Clock, inbox: Sender<Msg>, epoch: Epoch, stamp: Revision) {
     let addr = settings.platform.services.state;
     spawn("load", move || {
         let state = StateClient::new(addr, Duration::from_secs(4));
@@ -47,7 +50,7 @@
         let began = clock.now();
         for attempt in 0u64.. {
             let sent = clock.now();
-            let loaded = load(&state, epoch, stamp, sent, wall());
+            let loaded = load(&state, epoch, stamp, sent, wall_time_now());
             let (now, attempts) = (clock.now(), attempt + 1);
             let ms = (now - sent).0 / 1000;
             match loaded {
@@ -66,7 +69,7 @@
     });
 }
 
-fn all(state: &impl State, prefix: &str) -> Result<Vec<Item>, ReadError> {
+fn all(state: &impl StateStore, prefix: &str) -> Result<Vec<Item>, ReadError> {
     let mut items: Vec<Item> = vec![];
     loop {
         let after = items.last().map(|i| i.key.clone());
@@ -80,11 +83,11 @@
 }
 
 pub fn load(
-    state: &impl State,
+    state: &impl StateStore,
     epoch: Epoch,
-    stamp: Stamp,
+    stamp: Revision,
     now: Time,
-    wall: Wall,
+    wall: WallTime,
 ) -> Result<Loaded, ReadError> {
     let mut jobs = BTreeMap::new();
     let mut l = Loaded {
@@ -97,13 +100,13 @@
         fences: None,
         format: None,
     };
-    let pieces = Pieces::new(all(state, PIECES)?);
-    for i in all(state, LIVE)? {
-        let id = JobId::from(i.key.trim_start_matches(LIVE));
+    let pieces = Pieces::new(all(state, PIECES_PREFIX)?);
+    for i in all(state, UNFINISHED_PREFIX)? {
+        let id = JobId::from(i.key.trim_start_matches(UNFINISHED_PREFIX));
         let whole = pieces.join(&id, 0, &i);
         match whole.and_then(|v| Job::decode(&v, now, wall)) {
             Some(j) if *j.id() == id => {
-                l.stamps.push((i.key, i.stamp));
+                l.stamps.push((i.key, i.revision));
                 jobs.insert(id, j);
             }
             _ => {
@@ -112,8 +115,8 @@
             }
         }
     }
-    for i in all(state, PARTS)? {
-        let name = i.key.trim_start_matches(PARTS);
+    for i in all(state, PARTS_PREFIX)? {
+        let name = i.key.trim_start_matches(PARTS_PREFIX);
         let Some((id, part)) = name.rsplit_once('/') else {
             continue;
         };
@@ -122,7 +125,7 @@
             continue;
         }
         let Some(j) = jobs.get_mut(&id) else {
-            l.litter.push((i.key, i.stamp));
+            l.litter.push((i.key, i.revision));
             continue;
         };
         let part = part.parse().ok();
@@ -132,16 +135,16 @@
             tracing::error!(key = %i.key, "a record can't be read; its tasks start anew later");
             j.damaged = true;
         }
-        l.stamps.push((i.key, i.stamp));
+        l.stamps.push((i.key, i.revision));
     }
-    let (stamps, litter) = pieces.sort(|id| jobs.contains_key(id), &l.unreadable);
+    let (stamps, litter) = pieces.partition(|id| jobs.contains_key(id), &l.unreadable);
     l.stamps.extend(stamps);
     l.litter.extend(litter);
-    if let Some(i) = state.get(FENCES)? {
+    if let Some(i) = state.get(FENCES_KEY)? {
         l.fences = serde_json::from_value(i.value).ok();
-        l.stamps.push((i.key, i.stamp));
+        l.stamps.push((i.key, i.revision));
     }
-    l.format = state.get(FORMAT)?.map(|i| FormatRecord::read(&i.value));
+    l.format = state.get(FORMAT_KEY)?.map(|i| FormatRecord::read(&i.value));
     for (_, mut j) in jobs {
         // What is loaded is stored: versions go on from 1.
         for p in &mut j.parts {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -17,19 +17,19 @@
 
 use crate::api::{self, Incoming, Notice, Published};
 use crate::election::{BoundAddress, Candidate, ElectionOutcome, LeaderRecord};
-use crate::ids::{Epoch, Instance, JobId, Label, ReqId, TxnId};
+use crate::ids::{ControllerId, Epoch, Instance, JobId, RequestId, TxnId};
 use crate::peer::{FromPeers, Own, Peers};
 use crate::sched::job::Final;
 use crate::sched::{Effect, Event, Sched};
-use crate::settings::{Settings, Sizes};
+use crate::settings::{CapacityLimits, Settings};
 use crate::store::budget::Budget;
 use crate::store::client::ReadError;
 use crate::store::commit::{Committer, Step};
-use crate::store::{Outcome, final_key};
-use crate::time::{Clock, Span, Time, wall};
-use crate::versions::Switch;
-use crate::wire::cloud::Flavor;
-use crate::wire::peer::{Answer, Ask, PeerMsg};
+use crate::store::{TxnOutcome, final_key};
+use crate::time::{Clock, Span, Time, wall_time_now};
+use crate::versions::FormatSwitch;
+use crate::wire::cloud::MachineType;
+use crate::wire::peer::{Answer, PeerMessage, Request};
 use crate::wire::state::Item;
 use balance::WorkerBalance;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, select_biased};
@@ -97,11 +97,11 @@
     /// A worker's heartbeat, from here or passed on by another controller.
     fn is_heartbeat(&self) -> bool {
         let (Msg::Http(Incoming::Ask(_, ask))
-        | Msg::Peer(FromPeers::Msg(_, PeerMsg::Ask { ask, .. }))) = self
+        | Msg::Peer(FromPeers::Msg(_, PeerMessage::Request { request: ask, .. }))) = self
         else {
             return false;
         };
-        matches!(ask, Ask::Report(_))
+        matches!(ask, Request::Report(_))
     }
 }
 
@@ -111,24 +111,24 @@
     Peer(FromPeers),
     Loaded(Box<Loaded>),
     /// Machine types, which every controller keeps at hand.
-    Flavors(Vec<Flavor>),
+    Flavors(Vec<MachineType>),
     /// The process is to end in good order.
     Stop,
     /// An event of a term; those of earlier terms are dropped.
     Event(Epoch, Event),
-    Txn(Epoch, TxnId, Outcome),
+    Txn(Epoch, TxnId, TxnOutcome),
     ReadBack(Epoch, String, Result<Option<Item>, ReadError>),
     /// A page of jobs is ready.
-    Listed(ReqId, Answer),
+    Listed(RequestId, Answer),
     /// A look-up of a final state without a leader.
-    Look(ReqId, JobId, Result<Option<Final>, ()>),
+    Look(RequestId, JobId, Result<Option<Final>, ()>),
     /// Versions of controllers, and the switch to compact records.
     Upgrade(upgrade::UpgradeNews),
 }
 
 enum Origin {
     Http(Reply),
-    Peer { from: Label, id: u64 },
+    Peer { from: ControllerId, id: u64 },
 }
 
 struct Pending {
@@ -140,7 +140,7 @@
     /// comes before the answer.
     report: Option<Vec<u8>>,
     /// The leader that it was passed on to, and its term.
-    with: Option<(Label, Epoch)>,
+    with: Option<(ControllerId, Epoch)>,
 }
 
 enum Role {
@@ -155,7 +155,7 @@
     commit: Committer,
     /// What readers are shown of the unfinished jobs.
     board: Board,
-    switch: Switch,
+    switch: FormatSwitch,
 }
 
 struct Node {
@@ -173,17 +173,17 @@
     store: Sender<StateRequest>,
     cloud: Sender<CloudRequest>,
     agents: Sender<DirectCall>,
-    lists: Sender<(ReqId, lists::Wanted)>,
+    lists: Sender<(RequestId, lists::Wanted)>,
     inbox: Sender<Msg>,
-    pending: HashMap<ReqId, Pending>,
+    pending: HashMap<RequestId, Pending>,
     next_req: u64,
-    sizes: Sizes,
+    sizes: CapacityLimits,
     /// Look-ups of final states without a leader.
     looks: Budget,
     worker_balance: WorkerBalance,
     /// What goes to other controllers at the end of this turn.
-    outbox: HashMap<Label, Vec<PeerMsg>>,
-    flavors: Vec<Flavor>,
+    outbox: HashMap<ControllerId, Vec<PeerMessage>>,
+    flavors: Vec<MachineType>,
     latency: Histogram<u64>,
     request_log: RequestLog,
     invariants: Invariants,
@@ -207,7 +207,7 @@
 /// Runs a controller until the process ends.
 pub fn serve(settings: Settings) -> std::io::Result<()> {
     let clock = Clock::start();
-    let sizes = settings.sizes().map_err(std::io::Error::other)?;
+    let sizes = settings.capacity_limits().map_err(std::io::Error::other)?;
     let (senders, received) = inbox::inbox::<Msg>(sizes.inbox);
     let inbox = senders.others.clone();
     let p = &settings.platform;
@@ -383,7 +383,7 @@
         match m {
             Msg::Http(Incoming::Ask(reply, ask)) => {
                 // From when it was here, not from when it had waited its turn.
-                let since = self.clock.at(reply.asked()).min(now);
+                let since = self.clock.time_at(reply.asked()).min(now);
                 self.behind |= now - since > BEHIND_AFTER;
                 self.ask(now, since, Origin::Http(reply), ask);
             }
@@ -392,16 +392,24 @@
                 reply.answer(Answer::new(200, body));
             }
             Msg::Peer(FromPeers::Gone(label)) => self.peer_gone(now, &label),
-            Msg::Peer(FromPeers::Msg(since, PeerMsg::Ask { id, from, ask, .. })) => {
-                let from = Label::from(from.as_str());
+            Msg::Peer(FromPeers::Msg(
+                since,
+                PeerMessage::Request {
+                    id,
+                    from,
+                    request: ask,
+                    ..
+                },
+            )) => {
+                let from = ControllerId::from(from.as_str());
                 let origin = Origin::Peer { from, id };
                 self.behind |= now - since > BEHIND_AFTER;
                 self.ask_from_peer(now, since, origin, ask);
             }
-            Msg::Peer(FromPeers::Msg(_, PeerMsg::Tell { id, answer, .. })) => {
-                self.answer(now, ReqId(id), answer);
+            Msg::Peer(FromPeers::Msg(_, PeerMessage::Response { id, answer, .. })) => {
+                self.answer(now, RequestId(id), answer);
             }
-            Msg::Peer(FromPeers::Msg(_, PeerMsg::Ping { .. })) => {}
+            Msg::Peer(FromPeers::Msg(_, PeerMessage::Ping { .. })) => {}
             Msg::Loaded(l) => self.loaded(now, *l),
             Msg::Flavors(f) => {
                 self.flavors = f.clone();
@@ -413,13 +421,13 @@
             Msg::Event(epoch, e) => self.event(now, epoch, e),
             Msg::Txn(epoch, id, outcome) => {
                 if let Some(t) = self.term(epoch) {
-                    let (events, steps) = t.commit.finished(now, id, outcome, &mut t.sched);
+                    let (events, steps) = t.commit.handle_outcome(now, id, outcome, &mut t.sched);
                     self.after_commit(now, events, steps);
                 }
             }
             Msg::ReadBack(epoch, key, r) => {
                 if let Some(t) = self.term(epoch) {
-                    let (events, steps) = t.commit.read_back(key, r, &mut t.sched);
+                    let (events, steps) = t.commit.handle_read(key, r, &mut t.sched);
                     self.after_commit(now, events, steps);
                 }
             }
@@ -511,14 +519,14 @@
         let Role::Leader(t) = &mut self.role else {
             return;
         };
-        while let Some((id, txn)) = t.commit.next(now, &mut t.sched) {
+        while let Some((id, txn)) = t.commit.next_txn(now, &mut t.sched) {
             let _ = self.store.send(StateRequest::Commit(t.epoch, id, txn));
         }
     }
 
     /// Shows readers what has changed, as long as the leadership is proven.
     fn publish(&mut self, now: Time) {
-        let at = wall().0;
+        let at = wall_time_now().0;
         let published = match &mut self.role {
             Role::Leader(t) => {
                 for (id, line) in t.sched.take_changed() {
@@ -533,7 +541,7 @@
                 let until = t.sched.proven_until();
                 (now < until).then(|| Published {
                     jobs: t.board.publish(),
-                    until: self.clock.moment(until),
+                    until: self.clock.instant_at(until),
                 })
             }
             _ => None,
@@ -557,9 +565,9 @@
             if std::mem::take(&mut self.behind) {
                 self.event(now, epoch, Event::Behind);
             }
-            self.event_with_pass(now, epoch, Event::Tick(wall()));
+            self.event_with_pass(now, epoch, Event::Tick(wall_time_now()));
         }
-        let late: Vec<ReqId> = self
+        let late: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, p)| now - p.since > p.limit)
@@ -571,7 +579,7 @@
         // What was passed to a leader that has fallen silent is not waited for, nor
         // what an earlier process of the one there is now was asked.
         let best = self.peers.best_leader();
-        let lost: Vec<ReqId> = self
+        let lost: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, p)| {
--- a/src/node/request_log.rs
+++ b/src/node/request_log.rs
@@ -2,7 +2,7 @@
 //! request and reason. A summary goes to the log at a fixed interval.
 
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask};
+use crate::wire::peer::{Answer, Request};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -29,12 +29,12 @@
     Other,
 }
 
-impl From<&Ask> for RequestKind {
-    fn from(ask: &Ask) -> RequestKind {
+impl From<&Request> for RequestKind {
+    fn from(ask: &Request) -> RequestKind {
         match ask {
-            Ask::Poll(_) => RequestKind::Question,
-            Ask::Submit(_) => RequestKind::Submission,
-            Ask::Report(_) => RequestKind::Heartbeat,
+            Request::Poll(_) => RequestKind::Question,
+            Request::Submit(_) => RequestKind::Submission,
+            Request::Report(_) => RequestKind::Heartbeat,
             _ => RequestKind::Other,
         }
     }
--- a/src/node/threads/cloud.rs
+++ b/src/node/threads/cloud.rs
@@ -8,7 +8,7 @@
 use crate::settings::Settings;
 use crate::store::budget::Budget;
 use crate::time::{Clock, Span, Time};
-use crate::wire::cloud::Hire;
+use crate::wire::cloud::RentalRequest;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, unbounded};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -32,7 +32,7 @@
 /// What the main loop wants done; requests of an earlier leadership are dropped.
 pub enum CloudRequest {
     /// Rents a machine.
-    Rent(Epoch, Hire),
+    Rent(Epoch, RentalRequest),
     /// Returns machines.
     Return(Epoch, Vec<Host>),
     /// A new leader wants to know the machines and their types at once.
--- a/src/node/threads/direct_calls.rs
+++ b/src/node/threads/direct_calls.rs
@@ -4,7 +4,7 @@
 use crate::node::{Msg, spawn};
 use crate::sched::{DirectResult, Event};
 use crate::time::{Clock, Span, Time};
-use crate::wire::worker::Orders;
+use crate::wire::worker::Commands;
 use crate::worker_client::WorkerClient;
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     /// Where the worker listens.
     pub addr: String,
     /// What it is to do.
-    pub orders: Orders,
+    pub orders: Commands,
 }
 
 /// Starts the threads; they end with the sender.
--- a/src/node/threads/state_service.rs
+++ b/src/node/threads/state_service.rs
@@ -1,12 +1,12 @@
 //! Reads and transactions of the state service, several at a time.
 
-use crate::ids::{Epoch, JobId, ReqId, TxnId};
+use crate::ids::{Epoch, JobId, RequestId, TxnId};
 use crate::node::{Msg, final_of, key_of_final, spawn};
 use crate::sched::Event;
 use crate::sched::job::Final;
 use crate::settings::Settings;
 use crate::store::StateClient;
-use crate::store::client::State;
+use crate::store::client::StateStore;
 use crate::wire::state::{Item, Txn};
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use std::time::Duration;
@@ -28,9 +28,9 @@
     /// Reads the final state of a job that the leader does not have in memory.
     ReadFinal(Epoch, JobId),
     /// Reads the whole record of a finished job, for the leader's answer.
-    ReadRecord(Epoch, ReqId, JobId),
+    ReadRecord(Epoch, RequestId, JobId),
     /// Reads a final state for a poll while no leader is in reach.
-    LookUpFinal(ReqId, JobId),
+    LookUpFinal(RequestId, JobId),
 }
 
 /// Starts the threads; they end with the sender.
--- a/src/node/upgrade.rs
+++ b/src/node/upgrade.rs
@@ -3,13 +3,13 @@
 
 use super::leadership::LeadershipEnd;
 use super::{Msg, Node, Role, spawn};
-use crate::ids::{ControllerVersion, Epoch, Instance, Label};
+use crate::ids::{ControllerId, ControllerVersion, Epoch, Instance};
 use crate::settings::Settings;
-use crate::store::client::State;
-use crate::store::{FORMAT, FormatRecord, RecordFormat, StateClient, VERSIONS};
-use crate::time::{Clock, Time, wall};
-use crate::versions::switch::{Decision, Reply, Step};
-use crate::versions::{Announcer, VersionTable, reads};
+use crate::store::client::StateStore;
+use crate::store::{FORMAT_KEY, FormatRecord, RecordFormat, StateClient, VERSIONS_PREFIX};
+use crate::time::{Clock, Time, wall_time_now};
+use crate::versions::switch::{Decision, Step, StepResult};
+use crate::versions::{Announcer, VersionTable, newest_readable_format};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     /// The switch to compact records is on record.
     Format(FormatRecord),
     /// What became of a request of the leader of that term.
-    Reply(Epoch, Reply),
+    Reply(Epoch, StepResult),
 }
 
 /// What this controller knows of the versions.
@@ -62,12 +62,13 @@
 
     /// Records are written in a form that this version can't read.
     fn is_too_old(&self, version: ControllerVersion) -> bool {
-        self.format.is_some_and(|f| reads(version) < f.records)
+        self.format
+            .is_some_and(|f| newest_readable_format(version) < f.records)
     }
 
     /// For operators.
     pub(super) fn overview(&self) -> serde_json::Value {
-        let known = |(label, version): (&Label, Option<_>)| {
+        let known = |(label, version): (&ControllerId, Option<_>)| {
             let view = match version {
                 Some((v, source)) => serde_json::json!({ "version": v, "known_by": source }),
                 None => serde_json::Value::Null,
@@ -121,14 +122,14 @@
     }
 }
 
-fn make(state: &impl State, step: &Step) -> Reply {
+fn make(state: &impl StateStore, step: &Step) -> StepResult {
     match step {
         Step::ReadVersions => {
-            let page = state.page(VERSIONS, None, 200);
-            Reply::Versions(page.map(|p| p.items).map_err(|_| ()))
+            let page = state.page(VERSIONS_PREFIX, None, 200);
+            StepResult::Versions(page.map(|p| p.items).map_err(|_| ()))
         }
-        Step::Store(txn) => Reply::Store(state.txn(txn)),
-        Step::ReadFormat => Reply::Format(state.get(FORMAT).map_err(|_| ())),
+        Step::Store(txn) => StepResult::Store(state.txn(txn)),
+        Step::ReadFormat => StepResult::Format(state.get(FORMAT_KEY).map_err(|_| ())),
     }
 }
 
@@ -151,7 +152,7 @@
     }
 
     /// Whether that controller is known to understand what needs this version.
-    pub(super) fn understands(&mut self, label: &Label, needs: ControllerVersion) -> bool {
+    pub(super) fn understands(&mut self, label: &ControllerId, needs: ControllerVersion) -> bool {
         if !self.upgrade.versions.understands(label, needs) {
             self.note_versions();
         }
@@ -167,13 +168,16 @@
         if !term.sched.may_start(now) {
             return;
         }
-        let step = term.switch.next(now, wall(), &self.upgrade.versions);
+        let step = term
+            .switch
+            .next_step(now, wall_time_now(), &self.upgrade.versions);
         if let Some(step) = step
             && self.upgrade.requests.try_send((term.epoch, step)).is_err()
         {
             // It was not sent; what is stored is read before the next one.
-            let failed = Reply::Format(Err(()));
-            term.switch.reply(now, failed, &mut self.upgrade.versions);
+            let failed = StepResult::Format(Err(()));
+            term.switch
+                .handle_result(now, failed, &mut self.upgrade.versions);
         }
     }
 
@@ -184,14 +188,17 @@
         }
     }
 
-    fn switch_reply(&mut self, now: Time, epoch: Epoch, reply: Reply) {
+    fn switch_reply(&mut self, now: Time, epoch: Epoch, reply: StepResult) {
         let Role::Leader(term) = &mut self.role else {
             return;
         };
         if term.epoch != epoch {
             return;
         }
-        match term.switch.reply(now, reply, &mut self.upgrade.versions) {
+        match term
+            .switch
+            .handle_result(now, reply, &mut self.upgrade.versions)
+        {
             Decision::Nothing => {}
             Decision::Compact(record) => {
                 tracing::info!(%epoch, "the switch to compact records is on record");
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -6,11 +6,11 @@
 mod inbound;
 mod outbound;
 
-use crate::ids::{Epoch, Instance, Label};
+use crate::ids::{ControllerId, Epoch, Instance};
 use crate::settings::Seed;
 use crate::time::{Clock, Span, Time};
 use crate::versions;
-use crate::wire::peer::{PeerMsg, PingMore, PingSelf};
+use crate::wire::peer::{PeerMessage, PingExtension, PingIdentity};
 use crossbeam_channel::{Sender, bounded};
 use hookworks_membership::{Membership, ReportedVersion};
 use std::collections::HashMap;
@@ -35,23 +35,23 @@
 pub enum FromPeers {
     /// With the moment at which it arrived, from which answers count: it may wait
     /// its turn for longer than they are good for.
-    Msg(Time, PeerMsg),
+    Msg(Time, PeerMessage),
     /// The process of that label has ended, or the link by which it was heard:
     /// what it was asked will not be answered.
-    Gone(Label),
+    Gone(ControllerId),
 }
 
 /// How many workers report to a controller, and how many it can hold.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    pub label: Label,
+    pub label: ControllerId,
     pub workers: u32,
     pub most: Option<u32>,
 }
 
 /// The way to one other controller.
 struct Link {
-    queue: Sender<Vec<PeerMsg>>,
+    queue: Sender<Vec<PeerMessage>>,
     /// Counts the processes that have taken up its label: a connection to an
     /// earlier one is of no use, but may not say so for a while.
     process: AtomicU64,
@@ -59,7 +59,7 @@
 
 /// Who this process is.
 pub struct Own {
-    pub label: Label,
+    pub label: ControllerId,
     pub instance: Instance,
     /// How many workers it can hold.
     pub most: u32,
@@ -69,7 +69,7 @@
 pub struct Peers {
     me: Own,
     clock: Clock,
-    links: HashMap<Label, Link>,
+    links: HashMap<ControllerId, Link>,
     members: Mutex<Membership>,
     next_link: AtomicU64,
     workers: AtomicU32,
@@ -124,13 +124,13 @@
         self.clock.now()
     }
 
-    fn ping(&self) -> PeerMsg {
+    fn ping(&self) -> PeerMessage {
         let now = self.now();
         let m = self.members();
-        PeerMsg::Ping {
+        PeerMessage::Ping {
             from: self.me.label.to_string(),
             leader: m.announced_leader().map(|(l, e)| (l.to_string(), e.0)),
-            hears: m.live_peers(now).map(Label::to_string).collect(),
+            reachable: m.live_peers(now).map(ControllerId::to_string).collect(),
             workers: self.workers.load(Ordering::Relaxed),
         }
     }
@@ -147,13 +147,13 @@
         self.me.most
     }
 
-    fn ping_extension(&self) -> (PingMore, PingSelf) {
-        let more = PingMore {
-            workers_most: Some(self.me.most),
-            speaks: versions::OWN.0,
+    fn ping_extension(&self) -> (PingExtension, PingIdentity) {
+        let more = PingExtension {
+            max_workers: Some(self.me.most),
+            version: versions::OWN_VERSION.0,
         };
         let instance = self.me.instance.0;
-        (more, PingSelf { instance })
+        (more, PingIdentity { instance })
     }
 
     /// How many workers report to this controller; told to the others.
@@ -165,7 +165,7 @@
     pub fn workers(&self) -> Vec<Load> {
         let now = self.now();
         let m = self.members();
-        let load = |l: &Label| {
+        let load = |l: &ControllerId| {
             m.status(now, l).map(|t| Load {
                 label: l.clone(),
                 workers: t.workers,
@@ -176,19 +176,19 @@
     }
 
     /// What this controller believes; told to the others.
-    pub fn set_leader(&self, l: Option<(Label, Epoch)>) {
+    pub fn set_leader(&self, l: Option<(ControllerId, Epoch)>) {
         if self.members().set_leader(l) {
             self.ping_all();
         }
     }
 
     /// The latest leader that any controller in touch speaks of.
-    pub fn best_leader(&self) -> Option<(Label, Epoch)> {
+    pub fn best_leader(&self) -> Option<(ControllerId, Epoch)> {
         self.members().latest_leader(self.now())
     }
 
     /// The epoch that a controller in touch says it leads itself.
-    pub fn claimed_epoch(&self, label: &Label) -> Option<Epoch> {
+    pub fn claimed_epoch(&self, label: &ControllerId) -> Option<Epoch> {
         let members = self.members();
         let claim = members.status(self.now(), label)?.leader.as_ref();
         claim.filter(|l| l.0 == *label).map(|l| l.1)
@@ -200,23 +200,23 @@
     }
 
     /// Controllers that can't be talked to directly.
-    pub fn out_of_reach(&self) -> Vec<Label> {
+    pub fn out_of_reach(&self) -> Vec<ControllerId> {
         self.members().unreachable(self.now())
     }
 
     /// The version of each controller that was ever heard, in touch or not.
-    pub fn versions(&self) -> Vec<(Label, ReportedVersion)> {
+    pub fn versions(&self) -> Vec<(ControllerId, ReportedVersion)> {
         let members = self.members();
-        let owned = |(label, reported): (&Label, _)| (label.clone(), reported);
+        let owned = |(label, reported): (&ControllerId, _)| (label.clone(), reported);
         members.versions().map(owned).collect()
     }
 
-    pub fn reachable(&self, to: &Label) -> bool {
+    pub fn reachable(&self, to: &ControllerId) -> bool {
         self.members().route(self.now(), to).is_some()
     }
 
     /// False if there is no way at the moment; nothing is sent then.
-    pub fn send(&self, to: &Label, msgs: Vec<PeerMsg>) -> bool {
+    pub fn send(&self, to: &ControllerId, msgs: Vec<PeerMessage>) -> bool {
         let via = self.members().route(self.now(), to).cloned();
         let link = via.and_then(|l| self.links.get(&l));
         link.is_some_and(|l| l.queue.try_send(msgs).is_ok())
--- a/src/peer/inbound.rs
+++ b/src/peer/inbound.rs
@@ -2,8 +2,8 @@
 //! controller to the main loop, and those for the third are passed on.
 
 use super::{FromPeers, INBOUND_EACH, Peers};
-use crate::ids::{ControllerVersion, Epoch, Instance, Label};
-use crate::wire::peer::{PeerMsg, PingMore, PingSelf};
+use crate::ids::{ControllerId, ControllerVersion, Epoch, Instance};
+use crate::wire::peer::{PeerMessage, PingExtension, PingIdentity};
 use crate::wire::peer_frame;
 use hookworks_membership::{LinkId, PeerStatus, PingOutcome};
 use std::io::BufReader;
@@ -52,7 +52,7 @@
         let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
         while let Ok((message, (more, sender))) = peer_frame::read(&mut stream) {
             let goes_on = match message {
-                PeerMsg::Ping { .. } => match ping_status(message, &more, sender) {
+                PeerMessage::Ping { .. } => match ping_status(message, &more, sender) {
                     Some((from, status)) => self.receive_ping(from, link, status, inbox),
                     None => true,
                 },
@@ -72,10 +72,12 @@
 
     /// Takes a message for this controller, or passes it on to where it belongs; false
     /// once nobody listens any more.
-    fn receive(&self, message: PeerMsg, inbox: &impl Fn(FromPeers) -> bool) -> bool {
+    fn receive(&self, message: PeerMessage, inbox: &impl Fn(FromPeers) -> bool) -> bool {
         let to = match &message {
-            PeerMsg::Ask { to, .. } | PeerMsg::Tell { to, .. } => Label::from(to.as_str()),
-            PeerMsg::Ping { .. } => return true,
+            PeerMessage::Request { to, .. } | PeerMessage::Response { to, .. } => {
+                ControllerId::from(to.as_str())
+            }
+            PeerMessage::Ping { .. } => return true,
         };
         if to == self.me.label {
             return inbox(FromPeers::Msg(self.now(), message));
@@ -92,7 +94,7 @@
     /// Takes a ping; false once nobody listens any more.
     fn receive_ping(
         &self,
-        from: Label,
+        from: ControllerId,
         by: LinkId,
         status: PeerStatus,
         inbox: &impl Fn(FromPeers) -> bool,
@@ -120,14 +122,14 @@
 
 /// Who sent a ping, and what it says; none if the message is no ping.
 fn ping_status(
-    message: PeerMsg,
-    more: &PingMore,
-    sender: Option<PingSelf>,
-) -> Option<(Label, PeerStatus)> {
-    let PeerMsg::Ping {
+    message: PeerMessage,
+    more: &PingExtension,
+    sender: Option<PingIdentity>,
+) -> Option<(ControllerId, PeerStatus)> {
+    let PeerMessage::Ping {
         from,
         leader,
-        hears,
+        reachable: hears,
         workers,
     } = message
     else {
@@ -138,8 +140,8 @@
         live_peers: hears.iter().map(|l| l.as_str().into()).collect(),
         leader: leader.map(|(label, epoch)| (label.as_str().into(), Epoch(epoch))),
         workers,
-        workers_most: more.workers_most,
-        version: ControllerVersion(more.speaks),
+        workers_most: more.max_workers,
+        version: ControllerVersion(more.version),
     };
     Some((from.as_str().into(), status))
 }
--- a/src/peer/outbound.rs
+++ b/src/peer/outbound.rs
@@ -1,8 +1,8 @@
 //! The connection to one other controller: pings and messages leave by it.
 
 use super::Peers;
-use crate::ids::Label;
-use crate::wire::peer::PeerMsg;
+use crate::ids::ControllerId;
+use crate::wire::peer::PeerMessage;
 use crate::wire::peer_frame::{self, MAX_FRAME_BYTES};
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use std::io::Write;
@@ -35,7 +35,12 @@
 
 impl Peers {
     /// Keeps a connection to that controller as long as this process lives.
-    pub(super) fn keep_link(&self, to: &Label, addr: SocketAddr, queue: &Receiver<Vec<PeerMsg>>) {
+    pub(super) fn keep_link(
+        &self,
+        to: &ControllerId,
+        addr: SocketAddr,
+        queue: &Receiver<Vec<PeerMessage>>,
+    ) {
         let Some(link) = self.links.get(to) else {
             return;
         };
@@ -66,8 +71,8 @@
     fn serve_link(
         &self,
         stream: &mut TcpStream,
-        to: &Label,
-        queue: &Receiver<Vec<PeerMsg>>,
+        to: &ControllerId,
+        queue: &Receiver<Vec<PeerMessage>>,
         is_current: impl Fn() -> bool,
     ) -> ConnectionEnd {
         let connected = Instant::now();
@@ -99,8 +104,8 @@
     fn write(
         &self,
         stream: &mut TcpStream,
-        messages: Vec<PeerMsg>,
-        queue: &Receiver<Vec<PeerMsg>>,
+        messages: Vec<PeerMessage>,
+        queue: &Receiver<Vec<PeerMessage>>,
     ) -> std::io::Result<()> {
         let mut frames = vec![];
         let more = queue.try_iter().take(BATCHES_PER_WRITE);
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -5,11 +5,11 @@
 use super::{Room, Sched};
 use crate::ids::Zone;
 use crate::store::RecordFormat;
-use crate::store::limits::VALUE_MARGIN;
+use crate::store::limits::VALUE_MARGIN_BYTES;
 use crate::time::Time;
-use crate::wire::cloud::Flavor;
+use crate::wire::cloud::MachineType;
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobSpec, Kind};
+use crate::wire::user::{JobKind, JobSpec};
 
 /// The answer to a submission that names more unfinished jobs than its record holds.
 pub(super) fn too_many_names() -> Answer {
@@ -25,8 +25,8 @@
         };
         let need = Room::of_task(s);
         let at_once = match s.kind {
-            Kind::Array => 1,
-            Kind::Gang | Kind::Service => s.tasks as i64,
+            JobKind::Array => 1,
+            JobKind::Gang | JobKind::Service => s.tasks as i64,
         };
         if let Some(part) = limit.lacks(&need.scaled(at_once)) {
             return Ok(Some(format!("{part}: more than the team's limit")));
@@ -34,8 +34,8 @@
         if self.flavors.is_empty() {
             return Err("machine types are not known yet".into());
         }
-        let allowed = |f: &&Flavor| s.builds.as_ref().is_none_or(|b| b.contains(&f.build));
-        let types: Vec<&Flavor> = self.flavors.values().filter(allowed).collect();
+        let allowed = |f: &&MachineType| s.builds.as_ref().is_none_or(|b| b.contains(&f.build));
+        let types: Vec<&MachineType> = self.flavors.values().filter(allowed).collect();
         if types.is_empty() {
             return Ok(Some("Builds: no such machine type".into()));
         }
@@ -95,7 +95,7 @@
     /// Bytes of the smallest value that is known to come.
     fn smallest_value(&self) -> usize {
         let kb = self.cfg.value_kb.min(self.cfg.smallest.value_kb);
-        ((kb * 1024.0) as usize).saturating_sub(VALUE_MARGIN)
+        ((kb * 1024.0) as usize).saturating_sub(VALUE_MARGIN_BYTES)
     }
 
     /// The state service would not take the job's first record, now or under the
@@ -131,7 +131,7 @@
             Ok(spec) => spec,
             Err(e) => return Answer::error(400, &e),
         };
-        if spec.needs.contains(&spec.id) {
+        if spec.dependencies.contains(&spec.id) {
             return Answer::error(422, "Awaits: a job can't need itself");
         }
         match self.never_runs(&spec) {
--- a/src/sched/audit.rs
+++ b/src/sched/audit.rs
@@ -16,7 +16,7 @@
                 lives += 1;
                 let task = crate::ids::TaskId {
                     job: j.id().clone(),
-                    ix: *t,
+                    index: *t,
                 };
                 let m = self.machines.get(&l.host);
                 if !m.is_some_and(|m| m.slots.contains_key(&task)) {
--- a/src/sched/beats.rs
+++ b/src/sched/beats.rs
@@ -3,10 +3,10 @@
 use super::Sched;
 use super::machine::{Life, Machine, SentAnswer};
 use super::report::{Delivery, ReportSource};
-use crate::ids::{Host, Label, ReqId, Seq, Session};
+use crate::ids::{ControllerId, Host, RequestId, Seq, Session};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
-use crate::wire::worker::{Report, ReportAnswer};
+use crate::wire::worker::{Report, ReportResponse};
 
 /// An answer waits no longer for its zone to be taken back on record.
 const MAX_WAIT_AT_FENCE: Span = Span(1_000_000);
@@ -16,7 +16,7 @@
 
 /// A heartbeat that is being answered.
 pub(super) struct Beat {
-    req: ReqId,
+    req: RequestId,
     since: Time,
     /// Orders the heartbeats of a worker.
     order: (Session, Seq),
@@ -29,7 +29,13 @@
 impl Sched {
     /// Takes a heartbeat, which came by way of the controller `via` if not directly,
     /// and answers it now or holds the answer back.
-    pub(super) fn beat(&mut self, now: Time, req: ReqId, body: &[u8], via: Option<Label>) {
+    pub(super) fn beat(
+        &mut self,
+        now: Time,
+        req: RequestId,
+        body: &[u8],
+        via: Option<ControllerId>,
+    ) {
         let report: Report = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(e) => return self.answer(req, Answer::error(400, &e.to_string())),
@@ -118,7 +124,10 @@
         // same, so it tells what is to end.
         let newest = beat.newest;
         let orders = self.orders_for(now, host, Delivery::Answer { newest });
-        let answer = ReportAnswer { token, orders };
+        let answer = ReportResponse {
+            token,
+            commands: orders,
+        };
         let body = serde_json::to_string(&answer).unwrap_or_default();
         self.answer(beat.req, Answer::new(200, body));
     }
--- a/src/sched/catchup.rs
+++ b/src/sched/catchup.rs
@@ -19,8 +19,8 @@
 use super::{Effect, Sched};
 use crate::ids::{CallId, Host, Session, TaskId, Token};
 use crate::time::{Span, Time};
-use crate::wire::user::Kind;
-use crate::wire::worker::Orders;
+use crate::wire::user::JobKind;
+use crate::wire::worker::Commands;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Probes that are under way at a time; the other threads for direct calls are for
@@ -96,7 +96,7 @@
             return;
         };
         machine.direct = Some(call);
-        let orders = Orders {
+        let orders = Commands {
             token: machine.token,
             // A worker that has not reported yet is asked in no session of its.
             session: if machine.reported {
@@ -104,7 +104,7 @@
             } else {
                 Session(0)
             },
-            orders: vec![],
+            commands: vec![],
         };
         self.probes.under_way.insert(call, now);
         self.probes.sent += 1;
@@ -166,7 +166,7 @@
         };
         let spec = &job.spec;
         let stopped = job.cancelled || job.closing.is_some() || job.held() || job.blocked();
-        let anywhere = spec.kind == Kind::Array && !spec.one_zone && !spec.spread;
+        let anywhere = spec.kind == JobKind::Array && !spec.one_zone && !spec.spread;
         let left = self.teams.left(&spec.team);
         let fits = machine.capacity.covers(&machine.used) && left.at_least_zero() == left;
         !stopped && anywhere && fits && now >= job.backoff_until && allowed(spec, machine)
--- a/src/sched/dependencies.rs
+++ b/src/sched/dependencies.rs
@@ -13,11 +13,11 @@
 use super::Sched;
 use super::job::Job;
 use super::records::Purpose;
-use crate::ids::{JobId, TaskIx};
+use crate::ids::{JobId, TaskIndex};
 use crate::store::budget::Budget;
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
-use crate::wire::user::{After, JobState, Kind, When};
+use crate::wire::user::{ConditionTrigger, JobKind, JobState, StartCondition};
 use hookworks_fairness::JobEvent;
 use hookworks_job_lifecycle::{Hold, HoldKind};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -48,14 +48,16 @@
 }
 
 /// What a condition makes of that: met, or never to be met; `None`: neither.
-fn judge(when: When, outcome: ParentOutcome) -> Option<bool> {
+fn judge(when: ConditionTrigger, outcome: ParentOutcome) -> Option<bool> {
     match (when, outcome) {
-        (When::Start, ParentOutcome::Started | ParentOutcome::Over(JobState::Done)) => Some(true),
-        (When::Start, ParentOutcome::Over(_)) => Some(false),
-        (When::End, ParentOutcome::Over(_)) => Some(true),
-        (When::Success, ParentOutcome::Over(s)) => Some(s == JobState::Done),
-        (When::Failure, ParentOutcome::Failed) => Some(true),
-        (When::Failure, ParentOutcome::Over(s)) => Some(s == JobState::Cancelled),
+        (ConditionTrigger::Start, ParentOutcome::Started | ParentOutcome::Over(JobState::Done)) => {
+            Some(true)
+        }
+        (ConditionTrigger::Start, ParentOutcome::Over(_)) => Some(false),
+        (ConditionTrigger::End, ParentOutcome::Over(_)) => Some(true),
+        (ConditionTrigger::Success, ParentOutcome::Over(s)) => Some(s == JobState::Done),
+        (ConditionTrigger::Failure, ParentOutcome::Failed) => Some(true),
+        (ConditionTrigger::Failure, ParentOutcome::Over(s)) => Some(s == JobState::Cancelled),
         _ => None,
     }
 }
@@ -64,7 +66,7 @@
 fn judge_need(outcome: ParentOutcome) -> Option<bool> {
     match outcome {
         ParentOutcome::Cancelled => Some(false),
-        other => judge(When::Success, other),
+        other => judge(ConditionTrigger::Success, other),
     }
 }
 
@@ -144,7 +146,11 @@
 impl Job {
     /// The job whose tasks those of this one wait for, one by one.
     pub fn counterpart(&self) -> Option<&JobId> {
-        self.spec.after.iter().find(|a| a.each).map(|a| &a.job)
+        self.spec
+            .start_conditions
+            .iter()
+            .find(|a| a.each)
+            .map(|a| &a.job)
     }
 
     /// A condition on a job as a whole is not met yet, or a job that it needs is
@@ -153,8 +159,8 @@
         if !self.needs.is_empty() {
             return true;
         }
-        let whole = |(_, a): &(usize, &After)| !a.each;
-        let conditions = self.spec.after.iter().enumerate().filter(whole);
+        let whole = |(_, a): &(usize, &StartCondition)| !a.each;
+        let conditions = self.spec.start_conditions.iter().enumerate().filter(whole);
         conditions.fold(0, |all, (n, _)| all | 1u32 << n) & !self.met != 0
     }
 }
@@ -170,7 +176,7 @@
     fn register_conditions(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
         let mut known = vec![];
-        for a in j.spec.after.clone() {
+        for a in j.spec.start_conditions.clone() {
             if let Some(p) = self.jobs.get(&a.job) {
                 if p.history.first_start().is_some() {
                     known.push((a.job.clone(), ParentOutcome::Started));
@@ -260,7 +266,10 @@
             return;
         }
         let (from, to) = j.part_range(part);
-        let done: Vec<TaskIx> = (from..to).map(TaskIx).filter(|t| j.is_done(*t)).collect();
+        let done: Vec<TaskIndex> = (from..to)
+            .map(TaskIndex)
+            .filter(|t| j.is_done(*t))
+            .collect();
         for c in children {
             let Some(child) = self.jobs.get_mut(&c) else {
                 continue;
@@ -324,7 +333,7 @@
         };
         let mut never = None;
         let before = j.met;
-        for (n, a) in j.spec.after.iter().enumerate() {
+        for (n, a) in j.spec.start_conditions.iter().enumerate() {
             if a.job != *parent || j.met >> n & 1 == 1 {
                 continue;
             }
@@ -339,7 +348,7 @@
             }
         }
         if came == ParentOutcome::Over(JobState::Done) && j.counterpart() == Some(parent) {
-            for t in (0..j.spec.tasks).map(TaskIx) {
+            for t in (0..j.spec.tasks).map(TaskIndex) {
                 j.open(t);
             }
         }
@@ -399,7 +408,7 @@
     pub(super) fn note_ready_to_run(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
         let quick = self.is_quick(&j.spec.class);
-        if quick && j.spec.kind != Kind::Gang {
+        if quick && j.spec.kind != JobKind::Gang {
             self.arrivals.note(now, j);
         }
         if quick {
--- a/src/sched/direct.rs
+++ b/src/sched/direct.rs
@@ -7,7 +7,7 @@
 use super::{DirectResult, Effect, Sched};
 use crate::ids::{CallId, Host, JobId, Token};
 use crate::time::{Span, Time};
-use crate::wire::worker::{Order, Orders};
+use crate::wire::worker::{Command, Commands};
 
 /// After a refused or unanswered direct call, none follows for so long: the next
 /// heartbeat has to do.
@@ -34,7 +34,7 @@
             return;
         }
         let orders = self.orders_for(now, host, Delivery::DirectCall);
-        let is_urgent = |order: &Order| !matches!(order, Order::Clear { .. });
+        let is_urgent = |order: &Command| !matches!(order, Command::Clear { .. });
         if !orders.iter().any(is_urgent) {
             return;
         }
@@ -43,10 +43,10 @@
             return;
         };
         machine.direct = Some(call);
-        let orders = Orders {
+        let orders = Commands {
             token: machine.token,
             session: machine.session,
-            orders,
+            commands: orders,
         };
         self.out.push(Effect::Orders {
             call,
@@ -123,7 +123,7 @@
         };
         machine.slots.keys().any(|task| {
             let job = self.jobs.get(&task.job);
-            let live = job.and_then(|job| job.live.get(&task.ix));
+            let live = job.and_then(|job| job.live.get(&task.index));
             live.is_some_and(awaits_command)
         })
     }
--- a/src/sched/estimate.rs
+++ b/src/sched/estimate.rs
@@ -4,13 +4,13 @@
 use super::job::Job;
 use super::machine::ENDLESS;
 use crate::time::Span;
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 
 /// This many finished tasks replace the owner's estimate.
 pub const ENOUGH: usize = 3;
 
 pub fn of(job: &Job) -> Span {
-    if job.spec.kind == Kind::Service {
+    if job.spec.kind == JobKind::Service {
         return ENDLESS;
     }
     Span::secs(job.median.unwrap_or(job.spec.estimate_s))
--- a/src/sched/fences.rs
+++ b/src/sched/fences.rs
@@ -11,7 +11,7 @@
 use super::Sched;
 use super::machine::Machine;
 use crate::ids::{Epoch, Zone};
-use crate::time::{Span, Time, Wall};
+use crate::time::{Span, Time, WallTime};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub struct Fences {
     /// Zones that are not answered, since when.
-    wanted: BTreeMap<Zone, Wall>,
+    wanted: BTreeMap<Zone, WallTime>,
     /// Zones that the state service may name under our epoch.
     written: BTreeSet<Zone>,
     /// Counts the changes of `wanted`.
@@ -120,7 +120,7 @@
         }
     }
 
-    fn raise(&mut self, zone: Zone, since: Wall) {
+    fn raise(&mut self, zone: Zone, since: WallTime) {
         self.wanted.insert(zone, since);
         self.version += 1;
     }
@@ -128,7 +128,7 @@
 
 /// A time of day on our clock, never too early: both clocks may be off, in
 /// opposite directions. It may lie ahead, where an earlier leader could still answer.
-fn moment(now: Time, wall: Wall, at: Wall, clock_error: Span) -> Time {
+fn moment(now: Time, wall: WallTime, at: WallTime, clock_error: Span) -> Time {
     let error = Span(2 * clock_error.0);
     if at.0 > wall.0 {
         return now + Span::millis(at.0 - wall.0).stretched() + error;
@@ -151,17 +151,17 @@
     /// Takes the record that was stored when this leadership began. The time of day
     /// must have been read no later than `now`: what follows from it is then never too
     /// early.
-    pub fn take_fences(&mut self, now: Time, wall: Wall, record: FenceRecord) {
+    pub fn take_fences(&mut self, now: Time, wall: WallTime, record: FenceRecord) {
         if record.epoch.0 + 1 != self.epoch.0 {
             return;
         }
         for (zone, since) in record.since {
-            let at = moment(now, wall, Wall(since), self.cfg.clock_error);
+            let at = moment(now, wall, WallTime(since), self.cfg.clock_error);
             let ago_s = now.0 as f64 / 1e6 - at.0 as f64 / 1e6;
             tracing::info!(%zone, ago_s, "not answered under the term before");
             self.fences.inherited.insert(zone.clone(), at);
             // On record again under this epoch, for the next leader.
-            self.fences.raise(zone, Wall(since));
+            self.fences.raise(zone, WallTime(since));
         }
     }
 
@@ -182,7 +182,7 @@
         } else {
             self.wall.0.saturating_sub((now - at).0 / 1000)
         };
-        self.fences.raise(zone.clone(), Wall(since));
+        self.fences.raise(zone.clone(), WallTime(since));
     }
 
     /// One of its workers is heard: it is answered once that is on record.
--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -6,10 +6,10 @@
 use super::machine::{Life, Machine};
 use super::place::allowed;
 use super::{Effect, Sched};
-use crate::ids::{Build, Epoch, Host, JobId, Label, TaskId, Zone};
+use crate::ids::{ControllerId, Epoch, Host, JobId, MachineTypeId, TaskId, Zone};
 use crate::time::{Span, Time};
-use crate::wire::cloud::{Hire, Listed};
-use crate::wire::user::Kind;
+use crate::wire::cloud::{ListedHost, RentalRequest};
+use crate::wire::user::JobKind;
 use hookworks_job_lifecycle::Failure;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -42,7 +42,7 @@
 /// What can be asked of the cloud.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct MachineKind {
-    build: Build,
+    build: MachineTypeId,
     zone: Zone,
     spot: bool,
 }
@@ -56,7 +56,7 @@
         }
     }
 
-    fn of_request(hire: &Hire) -> MachineKind {
+    fn of_request(hire: &RentalRequest) -> MachineKind {
         MachineKind {
             build: hire.build.clone(),
             zone: hire.zone.clone(),
@@ -85,8 +85,8 @@
 }
 
 /// A rental request that has no final answer yet.
-struct RentalRequest {
-    hire: Hire,
+struct PendingRental {
+    hire: RentalRequest,
     /// When to send it again; none while it is under way.
     repeat_at: Option<Time>,
     repeats: u32,
@@ -99,13 +99,13 @@
     /// Jobs with tasks that found no room though their team may run them.
     pub short: Vec<Short>,
     /// Rental requests by name.
-    requests: BTreeMap<String, RentalRequest>,
+    requests: BTreeMap<String, PendingRental>,
     /// When each kind of machine was last refused.
     refused: HashMap<MachineKind, Time>,
     /// Machines that were returned for certain.
     gone: HashSet<Host>,
     /// When other controllers were last found out of reach.
-    pub out_of_reach: HashMap<Label, Time>,
+    pub out_of_reach: HashMap<ControllerId, Time>,
     /// The sequence number of the first job that came in this term; those before it
     /// were loaded.
     pub first_own: u64,
@@ -129,7 +129,7 @@
     }
 
     /// Heartbeats by way of that controller may not have come through.
-    fn cut_off(&self, now: Time, via: &Option<Label>) -> bool {
+    fn cut_off(&self, now: Time, via: &Option<ControllerId>) -> bool {
         let since = via.as_ref().and_then(|label| self.out_of_reach.get(label));
         since.is_some_and(|since| now - *since < REROUTE_TIME)
     }
@@ -198,7 +198,7 @@
     }
 
     /// A page of the cloud's list of machines.
-    pub(super) fn listed(&mut self, now: Time, list: Vec<Listed>) {
+    pub(super) fn listed(&mut self, now: Time, list: Vec<ListedHost>) {
         let mut unexpected = 0;
         let mut unreported = vec![];
         for listed in list {
@@ -219,7 +219,7 @@
         }
     }
 
-    fn add_unexpected(&mut self, now: Time, listed: &Listed) {
+    fn add_unexpected(&mut self, now: Time, listed: &ListedHost) {
         tracing::debug!(host = %listed.host, status = %listed.status, "a machine that was not expected is listed");
         let token = self.base_token();
         let rented = Time(now.0.saturating_sub(Span::secs(listed.age_s).0));
@@ -230,7 +230,7 @@
     }
 
     /// True if the machine runs and has not reported yet.
-    fn take_listed(&mut self, now: Time, listed: &Listed) -> bool {
+    fn take_listed(&mut self, now: Time, listed: &ListedHost) -> bool {
         let Some(machine) = self.machines.get_mut(&listed.host) else {
             return false;
         };
@@ -373,7 +373,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get(&task.ix) else {
+        let Some(live) = job.live.get(&task.index) else {
             return;
         };
         let machine = self.machines.get(&live.host);
@@ -389,10 +389,10 @@
         let saves_now = saves && now + margin >= until;
         match kind {
             // Moved while its machine still stands.
-            Kind::Service => self.stop(now, &task.job, task.ix, save_s + 1.0),
-            Kind::Gang if saves_now => self.stop_gang(now, &task.job),
-            Kind::Array if saves_now => self.stop(now, &task.job, task.ix, save_s + 1.0),
-            Kind::Gang | Kind::Array => {}
+            JobKind::Service => self.stop(now, &task.job, task.index, save_s + 1.0),
+            JobKind::Gang if saves_now => self.stop_gang(now, &task.job),
+            JobKind::Array if saves_now => self.stop(now, &task.job, task.index, save_s + 1.0),
+            JobKind::Gang | JobKind::Array => {}
         }
     }
 
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -1,13 +1,13 @@
 //! Scale out: what is rented, of which kind and where; and what becomes of requests.
 
-use super::{MachineKind, RentalRequest};
-use crate::ids::{Build, Host, Team, Zone};
+use super::{MachineKind, PendingRental};
+use crate::ids::{Host, MachineTypeId, Team, Zone};
 use crate::sched::allowed_zones::AllowedZones;
 use crate::sched::job::Job;
 use crate::sched::machine::{Life, Machine};
 use crate::sched::{Effect, HireResult, Room, Sched};
 use crate::time::{Span, Time};
-use crate::wire::cloud::{Flavor, Hire};
+use crate::wire::cloud::{MachineType, RentalRequest};
 use std::collections::BTreeMap;
 
 /// A kind of machine that was refused is not asked for again so soon.
@@ -185,7 +185,7 @@
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
         self.fleet.counter += 1;
         let name = format!("hw-{}-{}", self.fleet.epoch, self.fleet.counter);
-        let hire = Hire {
+        let hire = RentalRequest {
             name: name.clone(),
             build: kind.build,
             zone: kind.zone,
@@ -195,7 +195,7 @@
         tracing::info!(request = %name, build = %hire.build, zone = %hire.zone,
             spot = hire.spot, count, "renting");
         self.out.push(Effect::Hire(hire.clone()));
-        let request = RentalRequest {
+        let request = PendingRental {
             hire,
             repeat_at: None,
             repeats: 0,
@@ -316,7 +316,7 @@
     }
 
     /// The kinds of a machine type that may be asked for now, with their prices.
-    fn offers(&self, now: Time, flavor: &Flavor) -> Vec<(MachineKind, f64)> {
+    fn offers(&self, now: Time, flavor: &MachineType) -> Vec<(MachineKind, f64)> {
         let mut offers = vec![];
         // What is rented in a zone that is lost boots and is paid for, and never
         // reports.
@@ -345,7 +345,7 @@
     }
 
     /// How long a machine of that type boots, in seconds.
-    pub(in crate::sched) fn boot_s(&self, build: &Build) -> f64 {
+    pub(in crate::sched) fn boot_s(&self, build: &MachineTypeId) -> f64 {
         self.flavors.get(build).map_or(0.0, |flavor| flavor.boot_s)
     }
 
@@ -395,7 +395,7 @@
     }
 
     /// The cloud's answer to a rental request.
-    pub(in crate::sched) fn hired(&mut self, now: Time, hire: Hire, result: HireResult) {
+    pub(in crate::sched) fn hired(&mut self, now: Time, hire: RentalRequest, result: HireResult) {
         let kind = MachineKind::of_request(&hire);
         match result {
             HireResult::Ok(hosts) => {
@@ -437,7 +437,7 @@
         }
     }
 
-    fn add_rented(&mut self, now: Time, host: Host, hire: &Hire) {
+    fn add_rented(&mut self, now: Time, host: Host, hire: &RentalRequest) {
         let token = self.base_token();
         let flavor = self.flavors.get(&hire.build);
         let machine = self.machines.entry(host.clone()).or_insert_with(|| {
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -9,7 +9,7 @@
 use super::place::{Candidate, Score, View, allowed};
 use crate::ids::{Attempt, Host, JobId, Zone};
 use crate::time::{Span, Time};
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -234,7 +234,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.spec.kind != Kind::Gang {
+        if job.spec.kind != JobKind::Gang {
             return;
         }
         if job.live.is_empty() {
@@ -332,7 +332,7 @@
 impl Job {
     /// Members of a gang that has run can't be replaced.
     pub(super) fn note_phase(&mut self, phase: Phase) {
-        if self.spec.kind == Kind::Gang && matches!(phase, Phase::Running | Phase::Saving) {
+        if self.spec.kind == JobKind::Gang && matches!(phase, Phase::Running | Phase::Saving) {
             self.gang_ran = true;
         }
     }
--- a/src/sched/hearing.rs
+++ b/src/sched/hearing.rs
@@ -130,7 +130,7 @@
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.live.get(&task.ix));
+                .and_then(|job| job.live.get(&task.index));
             !live.is_some_and(waits) || shown.contains(task)
         };
         let machine = self.machines.get(host);
@@ -173,7 +173,7 @@
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.live.get(&task.ix));
+                .and_then(|job| job.live.get(&task.index));
             live.is_some_and(|live| live.stop.is_some() || live.phase == Phase::Placed)
         };
         let running_strays = machine.strays.values().any(|ended| !ended);
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -10,9 +10,9 @@
 use super::places::Place;
 use super::records::Purpose;
 use super::room::Room;
-use crate::ids::{Attempt, Host, JobId, ReqId, Seq, TaskIx};
-use crate::time::{Time, Wall};
-use crate::wire::user::{JobSpec, JobState, Kind};
+use crate::ids::{Attempt, Host, JobId, RequestId, Seq, TaskIndex};
+use crate::time::{Time, WallTime};
+use crate::wire::user::{JobKind, JobSpec, JobState};
 use hookworks_job_lifecycle::{FailureCounts as Attempts, History, Holds, WallMillis as At};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +40,7 @@
     pub ver: u64,
     pub phase: Phase,
     pub placed: Time,
-    pub placed_wall: Wall,
+    pub placed_wall: WallTime,
     pub running_since: Option<Time>,
     /// Placed under an earlier leader, and not seen before it ran.
     pub inherited: bool,
@@ -89,7 +89,7 @@
     pub arrived: Time,
     /// When the last job that it needs was done; when it arrived, if it needs none.
     pub ready: Time,
-    pub submitted: Wall,
+    pub submitted: WallTime,
     pub cancelled: bool,
     /// Version of the first part that says so; told only once stored.
     pub cancel_ver: u64,
@@ -101,8 +101,8 @@
     done: Vec<u64>,
     pub done_count: u32,
     fresh: u32,
-    retry: BTreeSet<TaskIx>,
-    pub live: BTreeMap<TaskIx, Live>,
+    retry: BTreeSet<TaskIndex>,
+    pub live: BTreeMap<TaskIndex, Live>,
     pub parts: Vec<Part>,
     pub part_size: u32,
     pub runtimes: Vec<f64>,
@@ -117,7 +117,7 @@
     failed_before: u32,
     /// All tasks of the gang's attempt were running at some time.
     pub gang_ran: bool,
-    pub waiters: Vec<(u64, ReqId, Waiting)>,
+    pub waiters: Vec<(u64, RequestId, Waiting)>,
     pub holds: Holds,
     /// What of that is stored for certain: nobody is shown more, as it could go
     /// back; and the version of the first part with the latest change.
@@ -129,7 +129,7 @@
     /// Failures that count.
     pub attempts: Attempts,
     pub history: History,
-    pub ended: Option<Wall>,
+    pub ended: Option<WallTime>,
     /// Which of the conditions to start are met, a bit each.
     pub met: u32,
     /// Which can't be met any more, and were told so by a hold: released, that
@@ -140,7 +140,7 @@
     /// How many of them were done since the job was last stored.
     pub needs_met_unsaved: u32,
     /// When the last of them was done, if it needed any.
-    pub ready_at: Option<Wall>,
+    pub ready_at: Option<WallTime>,
     /// The job that it needed and that was cancelled, by which it is cancelled.
     pub cancelled_with: Option<JobId>,
     /// What it takes over from jobs that need it.
@@ -168,9 +168,9 @@
 }
 
 impl Job {
-    pub fn new(mut spec: JobSpec, seq: u64, now: Time, wall: Wall, part_size: u32) -> Job {
+    pub fn new(mut spec: JobSpec, seq: u64, now: Time, wall: WallTime, part_size: u32) -> Job {
         let n = spec.tasks;
-        let needs = std::mem::take(&mut spec.needs);
+        let needs = std::mem::take(&mut spec.dependencies);
         Job {
             need: Room::of_task(&spec),
             spec,
@@ -252,11 +252,11 @@
         self.live.values().filter(on).count() as u32
     }
 
-    pub fn is_done(&self, t: TaskIx) -> bool {
+    pub fn is_done(&self, t: TaskIndex) -> bool {
         self.done[t.0 as usize / 64] >> (t.0 % 64) & 1 == 1
     }
 
-    pub fn set_done(&mut self, t: TaskIx) {
+    pub fn set_done(&mut self, t: TaskIndex) {
         if !self.is_done(t) {
             self.done[t.0 as usize / 64] |= 1 << (t.0 % 64);
             self.done_count += 1;
@@ -276,7 +276,7 @@
         if self.cancelled || self.closing.is_some() || self.held() || self.blocked() {
             return 0;
         }
-        if self.spec.kind == Kind::Gang && self.done_count > 0 {
+        if self.spec.kind == JobKind::Gang && self.done_count > 0 {
             return 0; // It completes together, or has.
         }
         self.spec.tasks - self.done_count - self.live.len() as u32 - self.closed
@@ -287,12 +287,12 @@
     }
 
     /// The next task to start, which is then no longer pending.
-    pub fn take_pending(&mut self) -> Option<TaskIx> {
+    pub fn take_pending(&mut self) -> Option<TaskIndex> {
         if let Some(t) = self.retry.pop_first() {
             return Some(t);
         }
         while self.fresh < self.spec.tasks {
-            let t = TaskIx(self.fresh);
+            let t = TaskIndex(self.fresh);
             self.fresh += 1;
             if !self.is_done(t) && !self.live.contains_key(&t) {
                 return Some(t);
@@ -308,7 +308,7 @@
         self.retry.clear();
         self.opened = vec![0; self.done.len()];
         self.closed = self.spec.tasks;
-        for t in (0..self.spec.tasks).map(TaskIx) {
+        for t in (0..self.spec.tasks).map(TaskIndex) {
             if self.is_done(t) || self.live.contains_key(&t) {
                 self.open(t);
             }
@@ -316,7 +316,7 @@
     }
 
     /// The task's counterpart is done. True if it waited for that.
-    pub fn open(&mut self, t: TaskIx) -> bool {
+    pub fn open(&mut self, t: TaskIndex) -> bool {
         let (word, bit) = (t.0 as usize / 64, 1 << (t.0 % 64));
         match self.opened.get_mut(word) {
             Some(w) if *w & bit == 0 => *w |= bit,
@@ -330,25 +330,25 @@
     }
 
     /// The task has been started before, and waits to be started again.
-    pub fn awaits_start(&self, t: TaskIx) -> bool {
+    pub fn awaits_start(&self, t: TaskIndex) -> bool {
         let (word, bit) = (t.0 as usize / 64, 1 << (t.0 % 64));
         let open = self.opened.is_empty() || self.opened.get(word).is_some_and(|w| w & bit != 0);
         t.0 < self.spec.tasks && open && !self.is_done(t) && !self.live.contains_key(&t)
     }
 
     /// A started task is gone without being done.
-    pub fn put_back(&mut self, t: TaskIx) {
+    pub fn put_back(&mut self, t: TaskIndex) {
         if !self.is_done(t) && t.0 < self.fresh {
             self.retry.insert(t);
         }
     }
 
-    pub fn part_of(&self, t: TaskIx) -> usize {
+    pub fn part_of(&self, t: TaskIndex) -> usize {
         (t.0 / self.part_size) as usize
     }
 
     /// Everything that was ever changed in this part is stored.
-    pub fn part_stored(&self, t: TaskIx) -> bool {
+    pub fn part_stored(&self, t: TaskIndex) -> bool {
         let p = &self.parts[self.part_of(t)];
         p.stored >= p.ver
     }
--- a/src/sched/job/compact.rs
+++ b/src/sched/job/compact.rs
@@ -6,7 +6,7 @@
 
 use crate::ids::{Attempt, Host};
 use crate::sched::places::Place;
-use crate::time::Wall;
+use crate::time::WallTime;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 use thiserror::Error;
@@ -37,7 +37,7 @@
     pub task: u32,
     pub attempt: Attempt,
     pub host: Host,
-    pub placed: Wall,
+    pub placed: WallTime,
     pub place: Option<Place>,
 }
 
@@ -104,7 +104,7 @@
                 task: u32::try_from(tasks[i]).map_err(|_| CompactError::Range)?,
                 attempt: Attempt(attempts[i]),
                 host,
-                placed: Wall(placed[i]),
+                placed: WallTime(placed[i]),
                 place,
             });
         }
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -2,12 +2,12 @@
 
 use super::compact::{StartedTask, TaskRecord};
 use super::{Job, Live, Phase, RUNTIMES_KEPT, Rest};
-use crate::ids::{Attempt, Host, TaskIx};
+use crate::ids::{Attempt, Host, TaskIndex};
 use crate::sched::estimate;
 use crate::sched::needs::Needs;
 use crate::sched::places::Places;
-use crate::store::pieces::{self, RecordRoom};
-use crate::time::{Time, Wall};
+use crate::store::pieces::{self, RecordLimits};
+use crate::time::{Time, WallTime};
 use crate::wire::user::JobSpec;
 use hookworks_job_lifecycle::{
     History, Hold, HoldKind, Holds, JobEvent as What, MAX_REASON_BYTES, WallMillis as At,
@@ -110,7 +110,7 @@
 
 /// The moment of the steady clock at which the clock on the wall showed `at`; `now` and
 /// `wall` are what both show at present.
-fn steady_time(now: Time, wall: Wall, at: Wall) -> Time {
+fn steady_time(now: Time, wall: WallTime, at: WallTime) -> Time {
     Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at.0)))
 }
 
@@ -123,7 +123,7 @@
         } else {
             words.iter().map(|w| format!("{w:016x}")).collect()
         };
-        let live = || self.live.range(TaskIx(from)..TaskIx(to));
+        let live = || self.live.range(TaskIndex(from)..TaskIndex(to));
         let failures = self.attempts.encode(from, to);
         // What the tasks leave of the room that their number was made for.
         let used = PER_TASK as usize * live().count() + done.len() + failures.len();
@@ -144,16 +144,16 @@
         let (from, to) = self.part_range(part);
         let failures = self.attempts.encode(from, to);
         let digit = |c: char| c.to_digit(16).unwrap_or(0) as u8;
-        let started = |(t, l): (&TaskIx, &Live)| StartedTask {
+        let started = |(t, l): (&TaskIndex, &Live)| StartedTask {
             task: t.0 - from,
             attempt: l.attempt,
             host: l.host.clone(),
             placed: l.placed_wall,
             place: l.place.clone(),
         };
-        let live = self.live.range(TaskIx(from)..TaskIx(to));
+        let live = self.live.range(TaskIndex(from)..TaskIndex(to));
         TaskRecord {
-            done: (from..to).map(|t| self.is_done(TaskIx(t))).collect(),
+            done: (from..to).map(|t| self.is_done(TaskIndex(t))).collect(),
             failures: failures.chars().map(digit).collect(),
             started: live.map(started).collect(),
         }
@@ -164,7 +164,7 @@
         part: usize,
         stored: StoredPart,
         now: Time,
-        wall: Wall,
+        wall: WallTime,
     ) -> Option<()> {
         let (text, rest) = match stored {
             StoredPart::Legacy(record) => return self.take_legacy(part, record, now, wall),
@@ -181,7 +181,7 @@
         self.take_tasks(part, record, now, wall)
     }
 
-    fn take_legacy(&mut self, part: usize, r: PartRecord, now: Time, wall: Wall) -> Option<()> {
+    fn take_legacy(&mut self, part: usize, r: PartRecord, now: Time, wall: WallTime) -> Option<()> {
         let from = (part as u32).checked_mul(self.part_size)?;
         for (i, word) in r.done.as_bytes().chunks(16).enumerate() {
             let w = u64::from_str_radix(std::str::from_utf8(word).ok()?, 16).ok()?;
@@ -190,7 +190,7 @@
                 if t >= self.spec.tasks {
                     return None;
                 }
-                self.set_done(TaskIx(t));
+                self.set_done(TaskIndex(t));
             }
         }
         let places = r.places.map(|p| p.of_each(&r.live)).unwrap_or_default();
@@ -200,7 +200,7 @@
                 task: t,
                 attempt: Attempt(attempt),
                 host,
-                placed: Wall(at),
+                placed: WallTime(at),
                 place: places.next(),
             };
             self.take_started(started, now, wall)?;
@@ -210,14 +210,14 @@
         Some(())
     }
 
-    fn take_tasks(&mut self, part: usize, r: TaskRecord, now: Time, wall: Wall) -> Option<()> {
+    fn take_tasks(&mut self, part: usize, r: TaskRecord, now: Time, wall: WallTime) -> Option<()> {
         let (from, to) = self.part_range(part);
         let in_part = |count: usize| count <= (to - from) as usize;
         if !in_part(r.done.len()) || !in_part(r.failures.len()) {
             return None;
         }
         for (t, _) in (from..).zip(&r.done).filter(|(_, done)| **done) {
-            self.set_done(TaskIx(t));
+            self.set_done(TaskIndex(t));
         }
         for mut started in r.started {
             started.task = started.task.checked_add(from).filter(|t| *t < to)?;
@@ -229,7 +229,7 @@
     }
 
     /// A task that an earlier leader started.
-    fn take_started(&mut self, started: StartedTask, now: Time, wall: Wall) -> Option<()> {
+    fn take_started(&mut self, started: StartedTask, now: Time, wall: WallTime) -> Option<()> {
         if started.task >= self.spec.tasks {
             return None;
         }
@@ -249,7 +249,7 @@
             stop: None,
             timed_out: false,
         };
-        self.live.insert(TaskIx(started.task), live);
+        self.live.insert(TaskIndex(started.task), live);
         Some(())
     }
 
@@ -298,13 +298,13 @@
     /// The same in the compact form. It has as much of the history as leaves it in
     /// one value, or else in as many as it may have; with no room for that,
     /// the reasons of holds are left out, and then where its tasks are.
-    pub fn encode_compact(&self, part: usize, room: RecordRoom) -> serde_json::Value {
+    pub fn encode_compact(&self, part: usize, room: RecordLimits) -> serde_json::Value {
         let mut tasks = self.task_record(part);
         let rest = || self.parts[part].rest.clone();
         if part > 0 {
             let full = StoredPart::compact(&tasks, rest());
             let value = serde_json::to_value(full).unwrap_or_default();
-            if room.holds(&value) {
+            if room.fits(&value) {
                 return value;
             }
             tasks.forget_places();
@@ -319,15 +319,15 @@
         };
         let mut holds = self.holds.clone();
         let mut value = least(&tasks, &holds);
-        if !room.holds(&value) {
+        if !room.fits(&value) {
             holds = holds.abbreviated();
             value = least(&tasks, &holds);
         }
-        if !room.holds(&value) {
+        if !room.fits(&value) {
             tasks.forget_places();
             value = least(&tasks, &holds);
         }
-        let bytes = value["h"].to_string().len() + room.spare(&value);
+        let bytes = value["h"].to_string().len() + room.growth_bytes(&value);
         if bytes > LEAST_HISTORY && self.history.entries().next().is_some() {
             value["h"] = self.history.encode(bytes.min(MOST_HISTORY));
         }
@@ -354,20 +354,20 @@
         if !self.needs.is_empty() {
             value["ready_at"] = u64::MAX.into();
         }
-        pieces::needed(&value.to_string(), value_bytes)
+        pieces::values_needed(&value.to_string(), value_bytes)
     }
 
-    pub fn decode(value: &serde_json::Value, now: Time, wall: Wall) -> Option<Job> {
+    pub fn decode(value: &serde_json::Value, now: Time, wall: WallTime) -> Option<Job> {
         let h = Header::deserialize(value).ok()?;
         // Parts begin at whole words of the bit set.
         if h.part_size == 0 || !h.part_size.is_multiple_of(64) || h.spec.tasks == 0 {
             return None;
         }
-        let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        job.arrived = steady_time(now, wall, Wall(h.at));
-        let ready = h.ready_at.map(|at| steady_time(now, wall, Wall(at)));
+        let mut job = Job::new(h.spec, h.seq, now, WallTime(h.at), h.part_size);
+        job.arrived = steady_time(now, wall, WallTime(h.at));
+        let ready = h.ready_at.map(|at| steady_time(now, wall, WallTime(at)));
         job.ready = ready.unwrap_or(job.arrived);
-        job.ready_at = h.ready_at.map(Wall);
+        job.ready_at = h.ready_at.map(WallTime);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
         job.median = estimate::median(&h.runtimes);
@@ -388,7 +388,7 @@
         part: usize,
         value: &serde_json::Value,
         now: Time,
-        wall: Wall,
+        wall: WallTime,
     ) -> Option<()> {
         let stored = StoredPart::deserialize(value).ok()?;
         if part == 0 || part >= self.parts.len() {
--- a/src/sched/life.rs
+++ b/src/sched/life.rs
@@ -6,10 +6,10 @@
 use super::records::Purpose;
 use super::users::view;
 use super::{Effect, Sched};
-use crate::ids::{Class, Host, JobId, ReqId, TaskId, TaskIx, Team};
+use crate::ids::{Class, Host, JobId, RequestId, TaskId, TaskIndex, Team};
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask};
-use crate::wire::user::{HoldView, JobDetail, JobState, JobView, Kind, TaskSeconds};
+use crate::wire::peer::{Answer, Request};
+use crate::wire::user::{HoldView, JobDetail, JobKind, JobState, JobView, ResourceSeconds};
 use hookworks_job_lifecycle::{
     Failure, History, Hold, HoldKind, HoldRequest, Holds, JobEvent as What, ReleaseRequest,
     RetryDecision, WallMillis as At,
@@ -25,7 +25,7 @@
 
 impl Sched {
     /// Answers what can't be held or released, which is over; true if it did.
-    fn over(&mut self, now: Time, req: ReqId, id: &JobId, ask: &Ask) -> bool {
+    fn over(&mut self, now: Time, req: RequestId, id: &JobId, ask: &Request) -> bool {
         if let Some(f) = self.finals.get(id) {
             let a = Answer::new(409, view(id, f.state, f.done, 0));
             self.answer(req, a);
@@ -53,12 +53,12 @@
         true
     }
 
-    pub(super) fn hold(&mut self, now: Time, req: ReqId, id: JobId, body: Vec<u8>) {
+    pub(super) fn hold(&mut self, now: Time, req: RequestId, id: JobId, body: Vec<u8>) {
         let r = match HoldRequest::parse(&body) {
             Ok(r) => r,
             Err(e) => return self.answer(req, Answer::error(400, &e)),
         };
-        if self.over(now, req, &id, &Ask::Hold(id.to_string(), body)) {
+        if self.over(now, req, &id, &Request::Hold(id.to_string(), body)) {
             return;
         }
         let hold = Hold {
@@ -95,7 +95,7 @@
         let Some(j) = self.jobs.get(id) else { return };
         let leeway = j.spec.save_s + 1.0;
         let begun = |l: &Live| matches!(l.phase, Phase::Running | Phase::Saving);
-        if j.spec.kind == Kind::Gang {
+        if j.spec.kind == JobKind::Gang {
             // It begins together or not at all.
             if !j.gang_ran && !j.live.values().any(begun) {
                 self.stop_gang(now, id);
@@ -105,7 +105,7 @@
         // What an earlier leader placed may run, unseen as yet.
         let on_its_way = |l: &Live| l.phase == Phase::Placed && l.stop.is_none() && !l.inherited;
         let some = j.live.iter().filter(|(_, l)| on_its_way(l));
-        let tasks: Vec<TaskIx> = some.map(|(t, _)| *t).collect();
+        let tasks: Vec<TaskIndex> = some.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop(now, id, t, leeway);
         }
@@ -114,23 +114,23 @@
     /// What runs is told to save and end; a gang all at once.
     fn stop_running(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
-        if j.spec.kind == Kind::Gang {
+        if j.spec.kind == JobKind::Gang {
             return self.stop_gang(now, id);
         }
         let leeway = j.spec.save_s + 1.0;
         let goes_on = j.live.iter().filter(|(_, l)| l.stop.is_none());
-        let tasks: Vec<TaskIx> = goes_on.map(|(t, _)| *t).collect();
+        let tasks: Vec<TaskIndex> = goes_on.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop(now, id, t, leeway);
         }
     }
 
-    pub(super) fn release(&mut self, now: Time, req: ReqId, id: JobId, body: Vec<u8>) {
+    pub(super) fn release(&mut self, now: Time, req: RequestId, id: JobId, body: Vec<u8>) {
         let r = match ReleaseRequest::parse(&body) {
             Ok(r) => r,
             Err(e) => return self.answer(req, Answer::error(400, &e)),
         };
-        if self.over(now, req, &id, &Ask::Release(id.to_string(), body)) {
+        if self.over(now, req, &id, &Request::Release(id.to_string(), body)) {
             return;
         }
         if self.take_hold(&id, r.kind, &r.by)
@@ -148,7 +148,7 @@
 
     /// Answers once all that is known of the job's holds is stored; also where
     /// nothing has changed, as what was asked first may not be stored yet.
-    fn tell_stored(&mut self, req: ReqId, id: &JobId, held: bool) {
+    fn tell_stored(&mut self, req: RequestId, id: &JobId, held: bool) {
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
@@ -212,7 +212,7 @@
             return;
         }
         let rule = self.rules.get(&j.spec.class).copied().unwrap_or_default();
-        let of = (t.ix.0, j.spec.tasks);
+        let of = (t.index.0, j.spec.tasks);
         match j.attempts.failed(of, l.host.as_str(), why, &rule) {
             RetryDecision::NotCounted => {}
             RetryDecision::RetryAfter(pause) => {
@@ -223,7 +223,7 @@
                 let hold = Hold {
                     kind: HoldKind::System,
                     by: LIMIT.into(),
-                    why: format!("task {} failed {n} times, at last on {}", t.ix, l.host),
+                    why: format!("task {} failed {n} times, at last on {}", t.index, l.host),
                     at: wall.into(),
                 };
                 tracing::info!(job = %t.job, why = %hold.why, "held at its limit");
@@ -272,7 +272,7 @@
                 // What is not stored is not told: it could go back.
                 Some(j) if j.parts[0].stored == 0 => {}
                 Some(j) if j.cancelled && !j.cancellation_stored() => {}
-                Some(j) => lines.push((id, Ok(j.detail().line()))),
+                Some(j) => lines.push((id, Ok(j.detail().into_line()))),
                 None => {
                     let state = self.finals.get(&id).map(|f| f.state);
                     lines.push((id, Err(state)));
@@ -283,7 +283,7 @@
     }
 
     /// What the whole record of a job says; of a finished one it is read.
-    pub(super) fn show(&mut self, now: Time, req: ReqId, id: JobId) {
+    pub(super) fn show(&mut self, now: Time, req: RequestId, id: JobId) {
         if !self.may_start(now) {
             return self.no_proof(req);
         }
@@ -301,7 +301,7 @@
                 self.answer(req, Answer::new(200, body));
             }
             Some(_) => self.answer(req, Answer::later("the job is being stored", 1)),
-            None if !JobId::well_formed(id.as_str()) => {
+            None if !JobId::is_well_formed(id.as_str()) => {
                 self.answer(req, Answer::error(404, "no such job"));
             }
             None if self.record_reads >= MAX_RECORDS || !self.look_ups.has(now, 1.0) => {
@@ -318,7 +318,7 @@
     pub(super) fn record_read(
         &mut self,
         now: Time,
-        req: ReqId,
+        req: RequestId,
         id: JobId,
         r: Result<Option<Value>, ()>,
     ) {
@@ -363,7 +363,7 @@
             let Some(j) = self.jobs.get(&t.job) else {
                 continue;
             };
-            let (Some(limit), Some(l)) = (j.spec.limit_s, j.live.get(&t.ix)) else {
+            let (Some(limit), Some(l)) = (j.spec.limit_s, j.live.get(&t.index)) else {
                 continue;
             };
             let Some(since) = l.running_since else {
@@ -377,15 +377,15 @@
             }
             let saves = j.spec.save_s + 1.0;
             if l.timed_out {
-                self.stop(now, &t.job, t.ix, 0.0);
+                self.stop(now, &t.job, t.index, 0.0);
                 continue;
             }
             tracing::info!(task = %t, limit, "ran for longer than it may");
             let again = now + Span::secs(saves + self.cfg.workers.report_s);
-            if j.spec.kind == Kind::Gang {
+            if j.spec.kind == JobKind::Gang {
                 self.stop_gang(now, &t.job);
             } else {
-                self.stop(now, &t.job, t.ix, saves);
+                self.stop(now, &t.job, t.index, saves);
             }
             if let Some(l) = self.live_mut(&t) {
                 l.timed_out = true;
@@ -424,7 +424,7 @@
         let useful = match self.spec.kind {
             _ if done || kept => ran,
             // A replica was of use for as long as it ran.
-            Kind::Service => ran,
+            JobKind::Service => ran,
             _ if step > 0 => ran / step * step,
             _ => 0,
         };
@@ -444,8 +444,8 @@
     pub fn detail(&self) -> JobDetail {
         let detail = self.facts().detail(self.job_view(), &self.shown);
         JobDetail {
-            needs: self.shown_needs(),
-            needs_count: self.needs.len(),
+            dependencies: self.shown_needs(),
+            dependency_count: self.needs.len(),
             ..detail
         }
     }
@@ -524,7 +524,7 @@
         let of = |ms: u64| {
             let t = ms as f64 / 1000.0;
             let (cpu, accelerator, memory_gb) = self.takes;
-            TaskSeconds {
+            ResourceSeconds {
                 cpu: t * cpu,
                 accelerator: t * accelerator,
                 memory_gb: t * memory_gb,
@@ -541,8 +541,8 @@
             ended_ms: self.ended,
             due_ms: self.due,
             held: holds.iter().cloned().collect(),
-            needs: vec![],
-            needs_count: 0,
+            dependencies: vec![],
+            dependency_count: 0,
             cancelled_with: self.cancelled_with.clone(),
             counts: What::ALL.iter().map(times).filter(|c| c.1 > 0).collect(),
             useful: of(h.usage().useful_ms),
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -2,10 +2,11 @@
 
 use super::room::Room;
 use crate::ids::{
-    Attempt, Build, CallId, Host, Image, JobId, Label, Seq, Session, TaskId, Token, Zone,
+    Attempt, CallId, ControllerId, Host, Image, JobId, MachineTypeId, Seq, Session, TaskId, Token,
+    Zone,
 };
 use crate::time::{Span, Time};
-use crate::wire::cloud::Flavor;
+use crate::wire::cloud::MachineType;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +34,7 @@
 pub struct Machine {
     pub host: Host,
     pub addr: Option<String>,
-    pub build: Build,
+    pub build: MachineTypeId,
     pub zone: Zone,
     pub spot: bool,
     pub life: Life,
@@ -56,7 +57,7 @@
     /// When it last sent anything, answers to calls included: calls reach it.
     pub reached: Time,
     /// The controller that passed its last report on, if not the leader itself.
-    pub via: Option<Label>,
+    pub via: Option<ControllerId>,
     /// When the last answer to one of its reports left; its lease counts from
     /// an earlier moment.
     pub answered: Time,
@@ -111,7 +112,14 @@
 const IMAGES_REMEMBERED: usize = 100;
 
 impl Machine {
-    pub fn new(host: Host, build: Build, zone: Zone, spot: bool, now: Time, token: Token) -> Self {
+    pub fn new(
+        host: Host,
+        build: MachineTypeId,
+        zone: Zone,
+        spot: bool,
+        now: Time,
+        token: Token,
+    ) -> Self {
         Machine {
             host,
             addr: None,
@@ -191,7 +199,7 @@
     }
 
     /// What the cloud says of this type of machine.
-    pub fn set_flavor(&mut self, f: &Flavor) {
+    pub fn set_flavor(&mut self, f: &MachineType) {
         self.capacity = Room::of_flavor(f);
         self.cache_gb = f.cache_gb;
         self.fetch_gb_per_s = f.fetch_gb_per_s;
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -41,16 +41,17 @@
 pub use users::{LookUpCounts, answer_final};
 
 use crate::ids::{
-    Attempt, Build, CallId, Class, Epoch, Host, JobId, Label, ReqId, TaskId, Token, Zone,
+    Attempt, CallId, Class, ControllerId, Epoch, Host, JobId, MachineTypeId, RequestId, TaskId,
+    Token, Zone,
 };
-use crate::settings::{Settings, Tuning, Workers};
+use crate::settings::{Settings, Tuning, WorkerParams};
 use crate::store::RecordFormat;
 use crate::store::budget::Budget;
-use crate::time::{Span, Time, Wall};
-use crate::wire::cloud::{Flavor, Hire, Listed};
-use crate::wire::peer::{Answer, Ask};
+use crate::time::{Span, Time, WallTime};
+use crate::wire::cloud::{ListedHost, MachineType, RentalRequest};
+use crate::wire::peer::{Answer, Request};
 use crate::wire::user::JobState;
-use crate::wire::worker::{Orders, Report};
+use crate::wire::worker::{Commands, Report};
 use hookworks_job_lifecycle::RetryPolicy as RetryRule;
 use job::{Final, Job};
 use machine::{Life, Machine, Slot};
@@ -59,11 +60,11 @@
 /// What may happen to the scheduler.
 #[derive(Debug)]
 pub enum Event {
-    Ask(ReqId, Ask),
+    Ask(RequestId, Request),
     /// A worker's report by way of another controller.
-    Relayed(ReqId, Label, Vec<u8>),
+    Relayed(RequestId, ControllerId, Vec<u8>),
     /// Controllers that can't be talked to at the moment.
-    OutOfReach(Vec<Label>),
+    OutOfReach(Vec<ControllerId>),
     /// A part of a job, or its final state, is in the store for certain.
     Stored(Key, u64),
     /// The state service refuses to store anything of this job for now.
@@ -73,15 +74,15 @@
     /// A consistent read of a final state came back, or failed.
     FinalRead(JobId, Result<Option<Final>, ()>),
     /// The same for the whole record, which somebody wants to see.
-    RecordRead(ReqId, JobId, Result<Option<serde_json::Value>, ()>),
+    RecordRead(RequestId, JobId, Result<Option<serde_json::Value>, ()>),
     Direct(CallId, Host, DirectResult),
-    Flavors(Vec<Flavor>),
-    Listed(Vec<Listed>),
-    Hired(Hire, HireResult),
+    Flavors(Vec<MachineType>),
+    Listed(Vec<ListedHost>),
+    Hired(RentalRequest, HireResult),
     Released(Vec<Host>, bool),
     /// Leadership is proven as of this moment, when the renewal was sent.
     Proven(Time),
-    Tick(Wall),
+    Tick(WallTime),
     /// Requests have waited here for so long that answers may come too late.
     Behind,
     /// The moment that `wake_at` named.
@@ -115,23 +116,23 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    Answer(ReqId, Answer),
+    Answer(RequestId, Answer),
     ReadFinal(JobId),
-    ReadRecord(ReqId, JobId),
+    ReadRecord(RequestId, JobId),
     Orders {
         call: CallId,
         host: Host,
         addr: String,
-        orders: Orders,
+        orders: Commands,
     },
-    Hire(Hire),
+    Hire(RentalRequest),
     Release(Vec<Host>),
 }
 
 /// What the scheduler is told once, at the start of a term.
 #[derive(Clone, Debug)]
 pub struct Config {
-    pub workers: Workers,
+    pub workers: WorkerParams,
     pub tuning: Tuning,
     pub teams: Vec<crate::settings::TeamLimit>,
     pub objectives: Vec<crate::settings::Objective>,
@@ -158,13 +159,13 @@
     /// How old the cloud's list of machines may be at most.
     pub oldest_list: Span,
     /// The other controllers and their zones.
-    pub controllers: BTreeMap<Label, Zone>,
+    pub controllers: BTreeMap<ControllerId, Zone>,
 }
 
 impl Config {
     pub fn from(s: &Settings) -> Config {
         // Settings that can't be served were refused at start.
-        let sizes = s.sizes().ok();
+        let sizes = s.capacity_limits().ok();
         Config {
             most_jobs: sizes.map_or(LEAST_JOBS, |s| s.jobs),
             finals: sizes.map_or(LEAST_JOBS, |s| s.finals),
@@ -180,7 +181,7 @@
             hold: Span::secs(s.tuning.hold_ms / 1000.0),
             zones: s.tuning.zones.limits(s.platform.params.workers.report_s),
             act_on_zones: s.tuning.zones.act,
-            floor: s.tuning.served.floor(),
+            floor: s.tuning.served.fairness_policy(),
             clock_error: Span::secs(s.platform.params.clock_error_ms / 1000.0),
             oldest_list: Span::secs(s.platform.params.cloud.list_lag_s * 2.0),
             controllers: s.platform.controllers(),
@@ -199,7 +200,7 @@
     pub epoch: Epoch,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<Host, Machine>,
-    pub flavors: BTreeMap<Build, Flavor>,
+    pub flavors: BTreeMap<MachineTypeId, MachineType>,
     pub dirty: DirtyQueue,
     /// The form in which records are written.
     record_format: RecordFormat,
@@ -221,7 +222,7 @@
     look_ups_for_submissions: named_jobs::LookUps,
     /// When running tasks reach their limit.
     time_limits: BTreeSet<(Time, TaskId)>,
-    reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
+    reads: HashMap<JobId, Vec<(RequestId, Request)>>,
     record_reads: usize,
     look_ups: Budget,
     /// The same for polls of jobs that are over or unknown.
@@ -238,7 +239,7 @@
     awake: Time,
     /// When requests were last found to have waited for too long.
     behind: Time,
-    wall: Wall,
+    wall: WallTime,
     /// Something has changed that the next pass over the jobs should see.
     replan: bool,
     /// Passes gather what happens meanwhile: no next one before this moment.
@@ -282,12 +283,12 @@
 const SUM_UP_EVERY: Span = Span(10_000_000);
 
 impl Sched {
-    pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: Wall) -> Sched {
+    pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: WallTime) -> Sched {
         let look_ups = 2.0 * cfg.look_ups;
         Sched {
             teams: team::Teams::new(&cfg.teams),
             quick: BTreeSet::new(),
-            rules: cfg.tuning.rules(),
+            rules: cfg.tuning.retry_policies(),
             record_reads: 0,
             look_ups: Budget::new(cfg.look_ups, (2.0 * cfg.look_ups).max(1.0)),
             poll_reads: Budget::new(2.0 * cfg.look_ups, (4.0 * cfg.look_ups).max(1.0)),
@@ -469,12 +470,12 @@
         Token(self.epoch.base())
     }
 
-    fn answer(&mut self, req: ReqId, a: Answer) {
+    fn answer(&mut self, req: RequestId, a: Answer) {
         self.out.push(Effect::Answer(req, a));
     }
 
-    fn take_flavors(&mut self, flavors: Vec<Flavor>) {
-        let usable = |f: &Flavor| {
+    fn take_flavors(&mut self, flavors: Vec<MachineType>) {
+        let usable = |f: &MachineType| {
             let fine = f.cpus > 0.0 && f.gpus >= 0.0 && f.memory_gb >= 0.0;
             if !fine {
                 tracing::warn!(build = %f.build, "a machine type without room is ignored");
@@ -515,7 +516,7 @@
                 };
                 let token = Token(self.epoch.base());
                 let m = self.machines.entry(l.host.clone()).or_insert_with(|| {
-                    let b = Build::from("");
+                    let b = MachineTypeId::from("");
                     Machine::new(l.host.clone(), b, "".into(), false, now, token)
                 });
                 m.life = Life::Up;
@@ -530,7 +531,7 @@
                 m.used += job.need;
                 let task = TaskId {
                     job: id.clone(),
-                    ix: *t,
+                    index: *t,
                 };
                 m.slots.insert(task, slot);
                 self.teams.add(&job.spec.team, &job.need);
--- a/src/sched/named_jobs.rs
+++ b/src/sched/named_jobs.rs
@@ -6,11 +6,11 @@
 
 use super::job::Final;
 use super::{Effect, Sched};
-use crate::ids::{JobId, ReqId};
+use crate::ids::{JobId, RequestId};
 use crate::store::budget::Budget;
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask};
-use crate::wire::user::{After, JobSpec, JobState, Kind};
+use crate::wire::peer::{Answer, Request};
+use crate::wire::user::{JobKind, JobSpec, JobState, StartCondition};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -41,7 +41,7 @@
 
 /// Look-ups under way, and what those found that took too long.
 pub(super) struct LookUps {
-    under_way: BTreeMap<ReqId, LookUp>,
+    under_way: BTreeMap<RequestId, LookUp>,
     kept: BTreeMap<JobId, (Time, Found)>,
     /// For submissions that name more jobs than may be read at once.
     budget: Budget,
@@ -90,21 +90,21 @@
     pub(super) fn look_up_named(
         &mut self,
         now: Time,
-        req: ReqId,
+        req: RequestId,
         spec: &JobSpec,
         body: &[u8],
     ) -> bool {
-        if spec.after.is_empty() && spec.needs.is_empty() {
+        if spec.start_conditions.is_empty() && spec.dependencies.is_empty() {
             return false;
         }
-        if !spec.needs.is_empty() && !self.accepts_dependencies() {
+        if !spec.dependencies.is_empty() && !self.accepts_dependencies() {
             let text = "Awaits: not before every controller runs this version";
             self.answer(req, Answer::later(text, 1));
             return true;
         }
-        if spec.needs.contains(&spec.id) {
+        if spec.dependencies.contains(&spec.id) {
             // It is refused, unless it was accepted by a version that knew of no needs.
-            self.look_up(now, req, spec.id.clone(), Ask::Submit(body.to_vec()));
+            self.look_up(now, req, spec.id.clone(), Request::Submit(body.to_vec()));
             return true;
         }
         let found = self.look_ups_for_submissions.kept.remove(&spec.id);
@@ -138,9 +138,9 @@
 
     fn unknown_names(&self, spec: &JobSpec) -> BTreeSet<JobId> {
         // Of a job that is over its record says the team, which a condition asks for.
-        let conditions = spec.after.iter().map(|a| &a.job);
+        let conditions = spec.start_conditions.iter().map(|a| &a.job);
         let conditions = conditions.filter(|id| !self.jobs.contains_key(id));
-        let needs = spec.needs.iter().filter(|id| !self.is_known(id));
+        let needs = spec.dependencies.iter().filter(|id| !self.is_known(id));
         conditions.chain(needs).cloned().collect()
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Sends as many reads for a submission as may be under way.
-    fn read_named(&mut self, now: Time, req: ReqId) {
+    fn read_named(&mut self, now: Time, req: RequestId) {
         let all = &mut self.look_ups_for_submissions;
         let reads = all.reads();
         let Some(l) = all.under_way.get_mut(&req).filter(|l| !l.answered) else {
@@ -178,7 +178,7 @@
     pub(super) fn named_read(
         &mut self,
         now: Time,
-        req: ReqId,
+        req: RequestId,
         id: &JobId,
         r: &Result<Option<Value>, ()>,
     ) -> bool {
@@ -218,7 +218,7 @@
         true
     }
 
-    fn stop_reading(&mut self, req: ReqId) {
+    fn stop_reading(&mut self, req: RequestId) {
         let all = &mut self.look_ups_for_submissions.under_way;
         if let Some(l) = all.get_mut(&req) {
             let own = l.to_read.take(&l.spec.id);
@@ -228,7 +228,7 @@
     }
 
     /// All reads for a submission are over.
-    fn looked_up(&mut self, now: Time, req: ReqId, l: LookUp) {
+    fn looked_up(&mut self, now: Time, req: RequestId, l: LookUp) {
         if l.answered {
             return self.look_ups_for_submissions.keep(now, &l.spec.id, l.found);
         }
@@ -236,19 +236,19 @@
             // It was over long ago.
             let f = *f;
             self.remember_final(&l.spec.id, f);
-            self.ask(now, req, Ask::Submit(l.body));
+            self.ask(now, req, Request::Submit(l.body));
         } else if !self.may_start(now) {
             self.no_proof(req);
         } else if self.jobs.contains_key(&l.spec.id) {
             // Submitted meanwhile by way of another request.
-            self.ask(now, req, Ask::Submit(l.body));
+            self.ask(now, req, Request::Submit(l.body));
         } else if !self.refuse_named(req, &l.spec, &l.found) {
             for (id, (f, _)) in &l.found {
                 self.remember_final(id, *f);
             }
             let mut spec = l.spec;
             let done = |id: &JobId| l.found.get(id).is_some_and(|f| f.0.state == JobState::Done);
-            spec.needs.retain(|id| !done(id));
+            spec.dependencies.retain(|id| !done(id));
             self.submit_named(now, req, spec, l.body);
         }
     }
@@ -258,7 +258,7 @@
         let all = &mut self.look_ups_for_submissions;
         all.kept.retain(|_, (since, _)| now - *since < KEPT_FOR);
         let open = all.under_way.iter().filter(|(_, l)| !l.answered);
-        let requests: Vec<ReqId> = open.map(|(req, _)| *req).collect();
+        let requests: Vec<RequestId> = open.map(|(req, _)| *req).collect();
         for req in requests {
             self.read_named(now, req);
             let all = &mut self.look_ups_for_submissions.under_way;
@@ -276,9 +276,13 @@
     }
 
     /// Answers what can't be taken; true if it did.
-    fn refuse_named(&mut self, req: ReqId, spec: &JobSpec, found: &Found) -> bool {
+    fn refuse_named(&mut self, req: RequestId, spec: &JobSpec, found: &Found) -> bool {
         // What is not stored yet may never be; then this would wait for ever.
-        let names = spec.after.iter().map(|a| &a.job).chain(&spec.needs);
+        let names = spec
+            .start_conditions
+            .iter()
+            .map(|a| &a.job)
+            .chain(&spec.dependencies);
         let being_stored = |id: &JobId| {
             let j = self.jobs.get(id);
             j.is_some_and(|j| j.parts[0].stored == 0)
@@ -290,9 +294,12 @@
                 return true;
             }
         }
-        let refused = spec.after.iter().find_map(|a| self.refused(spec, a, found));
+        let refused = spec
+            .start_conditions
+            .iter()
+            .find_map(|a| self.refused(spec, a, found));
         let never = |id: &&JobId| !self.is_known(id) && !found.contains_key(*id);
-        let unknown = spec.needs.iter().find(never);
+        let unknown = spec.dependencies.iter().find(never);
         let unknown = unknown.map(|id| format!("Awaits: no job {id}"));
         if let Some(text) = refused.or(unknown) {
             self.answer(req, Answer::error(422, &text));
@@ -302,14 +309,14 @@
     }
 
     /// Why a condition is refused.
-    fn refused(&self, spec: &JobSpec, a: &After, found: &Found) -> Option<String> {
+    fn refused(&self, spec: &JobSpec, a: &StartCondition, found: &Found) -> Option<String> {
         let team = match (self.jobs.get(&a.job), found.get(&a.job)) {
             (Some(j), _) => Some(j.spec.team.to_string()),
             (None, Some((_, team))) => team.clone(),
             (None, None) => return Some(format!("After: no job {}", a.job)),
         };
         let tasks = self.jobs.get(&a.job).map(|j| (j.spec.tasks, j.spec.kind));
-        if a.each && tasks.is_some_and(|t| t != (spec.tasks, Kind::Array)) {
+        if a.each && tasks.is_some_and(|t| t != (spec.tasks, JobKind::Array)) {
             let text = format!("After.Each: {} is no array of {} tasks", a.job, spec.tasks);
             return Some(text);
         }
--- a/src/sched/needs.rs
+++ b/src/sched/needs.rs
@@ -114,7 +114,7 @@
 }
 
 fn well_formed(id: String) -> Option<JobId> {
-    JobId::well_formed(&id).then(|| JobId::from(id.as_str()))
+    JobId::is_well_formed(&id).then(|| JobId::from(id.as_str()))
 }
 
 /// The lowest bits first.
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -7,7 +7,7 @@
 use crate::ids::{JobId, Team};
 use crate::settings::Objective;
 use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
+use crate::wire::user::{JobKind, Priority};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// How much the time for which a job would fill the fleet counts against it.
@@ -131,7 +131,7 @@
             .any(|j| !j.spec.spot && j.needs.is_empty());
         let gang = |s: &Short| {
             let j = self.jobs.get(&s.job);
-            j.is_some_and(|j| j.spec.kind == Kind::Gang && !j.spec.spot)
+            j.is_some_and(|j| j.spec.kind == JobKind::Gang && !j.spec.spot)
         };
         let gang_waits = self.fleet.short.iter().any(gang);
         Order {
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -4,7 +4,7 @@
 use super::machine::Life;
 use super::{Room, Sched};
 use crate::time::Time;
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 use std::collections::BTreeMap;
 
 /// Waiting gangs that are told of one by one.
@@ -113,7 +113,7 @@
 
     /// Gangs that have not started, and what each waits for.
     fn gangs_waiting(&self) -> Vec<serde_json::Value> {
-        let waits = |j: &&Job| j.spec.kind == Kind::Gang && j.pending() > 0;
+        let waits = |j: &&Job| j.spec.kind == JobKind::Gang && j.pending() > 0;
         let one = |j: &Job| {
             let short = self.fleet.short.iter().find(|s| s.job == *j.id());
             let left = self.teams.left(&j.spec.team).times(&j.need);
@@ -138,7 +138,10 @@
     /// Replicas of services that are not up, by class.
     fn replicas_missing(&self) -> BTreeMap<String, u32> {
         let mut missing = BTreeMap::new();
-        let services = self.jobs.values().filter(|j| j.spec.kind == Kind::Service);
+        let services = self
+            .jobs
+            .values()
+            .filter(|j| j.spec.kind == JobKind::Service);
         for j in services.filter(|j| !j.cancelled && j.needs.is_empty()) {
             let n = j.spec.tasks - j.running();
             if n > 0 {
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -16,9 +16,9 @@
 use super::records::Purpose;
 use super::spare::Spare;
 use super::{Room, Sched, estimate};
-use crate::ids::{Attempt, Host, JobId, TaskId, TaskIx, Team};
+use crate::ids::{Attempt, Host, JobId, TaskId, TaskIndex, Team};
 use crate::time::{Span, Time};
-use crate::wire::user::{JobSpec, Kind};
+use crate::wire::user::{JobKind, JobSpec};
 use std::cell::Cell;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -116,7 +116,7 @@
         order: &Order,
         until: u64,
     ) -> (Option<Short>, bool) {
-        let gang = |j: &Job| j.spec.kind == Kind::Gang;
+        let gang = |j: &Job| j.spec.kind == JobKind::Gang;
         if self.jobs.get(id).is_some_and(gang) {
             return (self.place_gang(now, id, held, order), true);
         }
@@ -464,10 +464,10 @@
     candidates
 }
 
-pub(super) fn task_id(id: &JobId, ix: TaskIx) -> TaskId {
+pub(super) fn task_id(id: &JobId, ix: TaskIndex) -> TaskId {
     TaskId {
         job: id.clone(),
-        ix,
+        index: ix,
     }
 }
 
@@ -586,7 +586,7 @@
 }
 
 pub(super) fn by_itself(j: &Job) -> bool {
-    j.spec.kind == Kind::Gang || j.spec.one_zone || j.spec.spread
+    j.spec.kind == JobKind::Gang || j.spec.one_zone || j.spec.spread
 }
 
 fn class_of(span: Option<(Span, Span)>, est: Span, delta: Span) -> u8 {
--- a/src/sched/places.rs
+++ b/src/sched/places.rs
@@ -7,7 +7,7 @@
 //! fit any more, nothing is known.
 
 use super::job::Live;
-use crate::ids::{Build, Host, Zone};
+use crate::ids::{Host, MachineTypeId, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A machine's place and kind.
@@ -16,7 +16,7 @@
     /// The zone.
     pub zone: Zone,
     /// The machine type.
-    pub build: Build,
+    pub build: MachineTypeId,
     /// Whether it is a spot instance.
     pub spot: bool,
 }
@@ -26,7 +26,7 @@
 pub struct Places {
     /// The different ones.
     #[serde(rename = "k")]
-    kinds: Vec<(Zone, Build, bool)>,
+    kinds: Vec<(Zone, MachineTypeId, bool)>,
     /// Which of them each attempt has: a digit each.
     #[serde(rename = "i")]
     each: String,
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -9,9 +9,9 @@
 use super::place::{allowed, task_id};
 use super::spare::Spare;
 use super::{Room, Sched, estimate};
-use crate::ids::{Host, JobId, TaskIx, Zone};
+use crate::ids::{Host, JobId, TaskIndex, Zone};
 use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
+use crate::wire::user::{JobKind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tasks stopped in one go; the next pass sees what came of it.
@@ -39,7 +39,7 @@
     cheap: bool,
     rank: &'a Rank,
     job: &'a Job,
-    task: TaskIx,
+    task: TaskIndex,
     machine: &'a Machine,
     taken: bool,
 }
@@ -82,7 +82,7 @@
     /// Resources of tasks that are being stopped already.
     stopping: Room,
     examined: u32,
-    stops: Vec<(JobId, TaskIx)>,
+    stops: Vec<(JobId, TaskIndex)>,
 }
 
 impl<'a> Selection<'a> {
@@ -203,7 +203,7 @@
         }
     }
 
-    fn chosen_stops(&self, now: Time, order: &Order) -> Vec<(JobId, TaskIx)> {
+    fn chosen_stops(&self, now: Time, order: &Order) -> Vec<(JobId, TaskIndex)> {
         let claims = self.claims(now, order);
         if claims.is_empty() {
             return vec![];
@@ -243,7 +243,7 @@
         let within = order.within(&short.job);
         // A gang needs whole machines in one place: stopping a task here and there
         // makes no room for it.
-        let is_gang = job.spec.kind == Kind::Gang;
+        let is_gang = job.spec.kind == JobKind::Gang;
         if is_gang || job.priority() == Priority::Low && !within {
             return None;
         }
@@ -286,7 +286,7 @@
                     (Phase::Running, Some(since)) => (now - since).as_secs(),
                     _ => 0.0,
                 };
-                let is_array = job.spec.kind == Kind::Array;
+                let is_array = job.spec.kind == JobKind::Array;
                 // What was set aside for it is not taken away again.
                 let guarded = self.books.guards(&task_id(job.id(), *task));
                 let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
@@ -332,7 +332,7 @@
 impl<'a> Victim<'a> {
     fn new(
         job: &'a Job,
-        task: TaskIx,
+        task: TaskIndex,
         ran_s: f64,
         rank: &'a Rank,
         machine: &'a Machine,
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -3,10 +3,10 @@
 use super::dependencies::ParentOutcome;
 use super::job::{Final, Job};
 use super::{Effect, Sched};
-use crate::ids::{JobId, TaskIx};
+use crate::ids::{JobId, TaskIndex};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobState, Kind, Priority};
+use crate::wire::user::{JobKind, JobState, Priority};
 use hookworks_fairness::JobEvent as What;
 use std::collections::{HashSet, VecDeque};
 
@@ -155,7 +155,7 @@
 
 impl Sched {
     /// What has become of a task is to be written.
-    pub(super) fn note_progress(&mut self, id: &JobId, t: TaskIx) {
+    pub(super) fn note_progress(&mut self, id: &JobId, t: TaskIndex) {
         if let Some(j) = self.jobs.get_mut(id) {
             j.touch(j.part_of(t), &mut self.dirty, Purpose::Progress);
         }
@@ -169,10 +169,10 @@
         if j.closing.is_some() || !j.live.is_empty() {
             return;
         }
-        if j.spec.kind == Kind::Gang && j.done_count > 0 {
+        if j.spec.kind == JobKind::Gang && j.done_count > 0 {
             // If one task of a gang is done, every one is.
             for t in 0..j.spec.tasks {
-                j.set_done(TaskIx(t));
+                j.set_done(TaskIndex(t));
             }
         }
         if j.cancelled {
--- a/src/sched/report.rs
+++ b/src/sched/report.rs
@@ -7,10 +7,10 @@
 use super::job::{Live, Phase, Stop};
 use super::machine::{Life, Machine};
 use super::{Sched, estimate};
-use crate::ids::{Attempt, Host, JobId, Seq, Session, TaskId, TaskIx};
+use crate::ids::{Attempt, Host, JobId, Seq, Session, TaskId, TaskIndex};
 use crate::time::{Span, Time};
-use crate::wire::user::Kind;
-use crate::wire::worker::{Cause, Order, Report, TaskReport, TaskState};
+use crate::wire::user::JobKind;
+use crate::wire::worker::{Cause, Command, Report, TaskReport, TaskState};
 use hookworks_fairness::JobEvent::Begun;
 use hookworks_job_lifecycle::{Failure, JobEvent};
 use std::collections::{BTreeMap, BTreeSet};
@@ -210,7 +210,7 @@
 
     /// The attempt of a task, if it has one.
     pub(super) fn live_mut(&mut self, task: &TaskId) -> Option<&mut Live> {
-        self.jobs.get_mut(&task.job)?.live.get_mut(&task.ix)
+        self.jobs.get_mut(&task.job)?.live.get_mut(&task.index)
     }
 
     /// Takes what a report says of a task. True if it is a live attempt of ours on
@@ -239,7 +239,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get_mut(&task.ix) else {
+        let Some(live) = job.live.get_mut(&task.index) else {
             return;
         };
         let changed = live.phase != phase;
@@ -262,7 +262,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get_mut(&task.ix) else {
+        let Some(live) = job.live.get_mut(&task.index) else {
             return;
         };
         // Under an earlier leader it may have begun long ago: its placement, which is
@@ -342,14 +342,14 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let live = job.live.remove(&task.ix);
+        let live = job.live.remove(&task.index);
         let inherited = live.as_ref().is_some_and(|live| live.inherited);
         if let Some(live) = &live {
             job.account(now, live, true, false);
             job.history.note(JobEvent::Done, self.wall.into());
         }
-        job.attempts.done(task.ix.0);
-        job.set_done(task.ix);
+        job.attempts.done(task.index.0);
+        job.set_done(task.index);
         job.errors = 0;
         if let Some(since) = running_since.filter(|_| !inherited) {
             job.learn_runtime((now - since).as_secs());
@@ -357,7 +357,7 @@
                 self.refresh_estimates(&task.job);
             }
         }
-        self.note_progress(&task.job, task.ix);
+        self.note_progress(&task.job, task.index);
         self.finish_if_over(&task.job);
     }
 
@@ -368,15 +368,15 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let waits = job.closing.is_none() && !job.cancelled && job.awaits_start(task.ix);
-        if job.spec.kind != Kind::Array || !waits {
+        let waits = job.closing.is_none() && !job.cancelled && job.awaits_start(task.index);
+        if job.spec.kind != JobKind::Array || !waits {
             return;
         }
         tracing::debug!(%task, attempt = %report.attempt, "done under an attempt given up");
         job.history.note(JobEvent::Done, self.wall.into());
-        job.attempts.done(task.ix.0);
-        job.set_done(task.ix);
-        self.note_progress(&task.job, task.ix);
+        job.attempts.done(task.index.0);
+        job.set_done(task.index);
+        self.note_progress(&task.job, task.index);
         self.finish_if_over(&task.job);
     }
 
@@ -387,7 +387,7 @@
         for (ix, live) in &job.live {
             let task = TaskId {
                 job: id.clone(),
-                ix: *ix,
+                index: *ix,
             };
             if let Some(machine) = self.machines.get_mut(&live.host)
                 && let Some(slot) = machine.slots.get_mut(&task)
@@ -403,7 +403,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get(&task.ix) else {
+        let Some(live) = job.live.get(&task.index) else {
             return;
         };
         self.teams.sub(&job.spec.team, &job.need);
@@ -436,7 +436,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.remove(&task.ix) else {
+        let Some(live) = job.live.remove(&task.index) else {
             return;
         };
         job.account(now, &live, false, kept);
@@ -446,13 +446,13 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.spec.kind == Kind::Gang && job.done_count > 0 {
+        if job.spec.kind == JobKind::Gang && job.done_count > 0 {
             // A gang completes together: this one's end was not reported.
-            job.set_done(task.ix);
+            job.set_done(task.index);
         }
-        job.put_back(task.ix);
+        job.put_back(task.index);
         self.gang_lost_one(now, &task.job);
-        self.note_progress(&task.job, task.ix);
+        self.note_progress(&task.job, task.index);
         self.finish_if_over(&task.job);
     }
 
@@ -500,7 +500,12 @@
     /// What the worker is to do. In an answer to a report nothing is lost: a
     /// worker that did not get it reports again, and hears the same. What is to
     /// end is told without any limit.
-    pub(super) fn orders_for(&mut self, now: Time, host: &Host, delivery: Delivery) -> Vec<Order> {
+    pub(super) fn orders_for(
+        &mut self,
+        now: Time,
+        host: &Host,
+        delivery: Delivery,
+    ) -> Vec<Command> {
         // Without proof of the leadership nothing new is started.
         let may_run = self.takes_starts(now, host, delivery) && self.may_start(now);
         let Some(machine) = self.machines.get(host) else {
@@ -530,18 +535,18 @@
     }
 
     /// Attempts there that are not ours are to end, and to be forgotten once ended.
-    fn orders_for_strays(&self, machine: &Machine, only_kill: bool) -> Vec<Order> {
+    fn orders_for_strays(&self, machine: &Machine, only_kill: bool) -> Vec<Command> {
         let may_clear = !only_kill && machine.doubt.is_none();
         let order = |((task, attempt), ended): (&(TaskId, Attempt), &bool)| {
             let (task, attempt) = (task.clone(), *attempt);
             if !ended {
-                return Some(Order::Kill {
+                return Some(Command::Kill {
                     task,
                     attempt,
                     leeway_s: 0.0,
                 });
             }
-            (may_clear && self.may_clear(&task)).then_some(Order::Clear { task, attempt })
+            (may_clear && self.may_clear(&task)).then_some(Command::Clear { task, attempt })
         };
         machine.strays.iter().filter_map(order).collect()
     }
@@ -554,10 +559,10 @@
         seq: Seq,
         delivery: Delivery,
         may_run: bool,
-    ) -> Option<Order> {
+    ) -> Option<Command> {
         let answers = delivery != Delivery::DirectCall;
         let job = self.jobs.get(&task.job)?;
-        let stored = job.parts[job.part_of(task.ix)].stored;
+        let stored = job.parts[job.part_of(task.index)].stored;
         let live = self.live_mut(&task)?;
         let attempt = live.attempt;
         match (live.phase, live.stop) {
@@ -569,12 +574,12 @@
                 if answers {
                     live.told = Some(seq);
                 }
-                Some(Order::Run { task, attempt })
+                Some(Command::Run { task, attempt })
             }
             // It may begin after this report and before the answer: an answer that
             // renews the lease tells all that is to end. A call renews nothing.
             (Phase::Placed, Some(_)) if !(answers && live.sent) => None,
-            (_, Some(stop)) => Some(Order::Kill {
+            (_, Some(stop)) => Some(Command::Kill {
                 task,
                 attempt,
                 leeway_s: stop.leeway_s,
@@ -588,8 +593,8 @@
         match self.jobs.get(&task.job) {
             // What it has done is on no record that we can read.
             None if self.unreadable.contains_key(&task.job) => false,
-            Some(job) if task.ix.0 < job.spec.tasks => {
-                job.closing.is_none() && job.part_stored(task.ix)
+            Some(job) if task.index.0 < job.spec.tasks => {
+                job.closing.is_none() && job.part_stored(task.index)
             }
             _ => true,
         }
@@ -598,10 +603,10 @@
     /// The attempt is to end, saving for so long. The command leaves once the event
     /// has been taken in whole: in the middle of it, it would carry `run` for attempts
     /// that are about to be stopped or taken for gone.
-    pub(super) fn stop(&mut self, now: Time, id: &JobId, ix: TaskIx, leeway_s: f64) {
+    pub(super) fn stop(&mut self, now: Time, id: &JobId, ix: TaskIndex, leeway_s: f64) {
         let task = TaskId {
             job: id.clone(),
-            ix,
+            index: ix,
         };
         let Some(live) = self.live_mut(&task) else {
             return;
--- a/src/sched/room.rs
+++ b/src/sched/room.rs
@@ -1,6 +1,6 @@
 //! Amounts of a machine, in thousandths, so that sums stay exact.
 
-use crate::wire::cloud::Flavor;
+use crate::wire::cloud::MachineType;
 use crate::wire::user::{JobSpec, MAX_TASKS};
 use std::fmt;
 use std::ops::{AddAssign, SubAssign};
@@ -36,7 +36,7 @@
         }
     }
     /// What a machine offers, rounded down.
-    pub fn of_flavor(f: &Flavor) -> Room {
+    pub fn of_flavor(f: &MachineType) -> Room {
         Room {
             cpu: down(f.cpus),
             gpu: down(f.gpus),
--- a/src/sched/served.rs
+++ b/src/sched/served.rs
@@ -10,7 +10,7 @@
 use super::job::Job;
 use super::place::by_itself;
 use super::{Room, Sched};
-use crate::ids::{Class, JobId, TaskId, TaskIx, Team};
+use crate::ids::{Class, JobId, TaskId, TaskIndex, Team};
 use crate::time::{Span, Time};
 use hookworks_fairness::{
     FairnessPolicy as Floor, GroupMetrics as Figures, JobEvent as What, LargestJobs as Largest,
@@ -102,11 +102,11 @@
     }
 
     /// One of its tasks starts.
-    pub fn started(&mut self, id: &JobId, ix: TaskIx) {
+    pub fn started(&mut self, id: &JobId, ix: TaskIndex) {
         if let Some(n) = self.lifted.get_mut(id).filter(|n| **n > 0) {
             *n -= 1;
             let job = id.clone();
-            self.kept.insert(TaskId { job, ix });
+            self.kept.insert(TaskId { job, index: ix });
         }
     }
 
--- a/src/sched/users.rs
+++ b/src/sched/users.rs
@@ -5,9 +5,9 @@
 use super::dependencies::ParentOutcome;
 use super::job::{Final, Job, Waiting};
 use super::records::Purpose;
-use crate::ids::{JobId, ReqId};
+use crate::ids::{JobId, RequestId};
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask};
+use crate::wire::peer::{Answer, Request};
 use crate::wire::user::{JobSpec, JobState, JobView};
 use hookworks_fairness::JobEvent as What;
 
@@ -49,29 +49,31 @@
 }
 
 impl Sched {
-    pub(super) fn ask(&mut self, now: Time, req: ReqId, ask: Ask) {
+    pub(super) fn ask(&mut self, now: Time, req: RequestId, ask: Request) {
         match ask {
-            Ask::Report(body) => self.beat(now, req, &body, None),
-            Ask::Submit(body) => match JobSpec::parse(&body) {
+            Request::Report(body) => self.beat(now, req, &body, None),
+            Request::Submit(body) => match JobSpec::parse(&body) {
                 Ok(spec) => self.submit(now, req, spec, body),
                 Err(e) => self.answer(req, Answer::error(400, &e)),
             },
-            Ask::Poll(id) => self.poll(now, req, id.as_str().into()),
-            Ask::Cancel(id) => self.cancel(now, req, id.as_str().into()),
-            Ask::Hold(id, body) => self.hold(now, req, id.as_str().into(), body),
-            Ask::Release(id, body) => self.release(now, req, id.as_str().into(), body),
+            Request::Poll(id) => self.poll(now, req, id.as_str().into()),
+            Request::Cancel(id) => self.cancel(now, req, id.as_str().into()),
+            Request::Hold(id, body) => self.hold(now, req, id.as_str().into(), body),
+            Request::Release(id, body) => self.release(now, req, id.as_str().into(), body),
             // Lists are made outside, from what is published.
-            Ask::List(_) | Ask::Events(_) => self.answer(req, Answer::error(404, "no such path")),
-            Ask::Show(id) => self.show(now, req, id.as_str().into()),
+            Request::List(_) | Request::Events(_) => {
+                self.answer(req, Answer::error(404, "no such path"))
+            }
+            Request::Show(id) => self.show(now, req, id.as_str().into()),
         }
     }
 
-    pub(super) fn no_proof(&mut self, req: ReqId) {
+    pub(super) fn no_proof(&mut self, req: RequestId) {
         let text = "leadership is not proven at the moment";
         self.answer(req, Answer::later(text, 1));
     }
 
-    fn submit(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
+    fn submit(&mut self, now: Time, req: RequestId, spec: JobSpec, body: Vec<u8>) {
         let id = spec.id.clone();
         if let Some(f) = self.finals.get(&id) {
             let f = *f;
@@ -106,7 +108,7 @@
     }
 
     /// The jobs that it names are known.
-    pub(super) fn submit_named(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
+    pub(super) fn submit_named(&mut self, now: Time, req: RequestId, spec: JobSpec, body: Vec<u8>) {
         let id = spec.id.clone();
         // A repeated submission must never get 400 or 422, so what would be
         // refused is only refused after a look at what is over already.
@@ -115,7 +117,7 @@
                 self.books.note(now, &spec.class, &spec.team, What::Refused);
                 return self.answer(req, Answer::later(&e, 1));
             }
-            Ok(Some(_)) => return self.look_up(now, req, id, Ask::Submit(body)),
+            Ok(Some(_)) => return self.look_up(now, req, id, Request::Submit(body)),
             Ok(None) => {}
         }
         if self.jobs.len() >= self.cfg.most_jobs {
@@ -127,7 +129,7 @@
             return self.answer(req, too_many_names());
         }
         if self.too_large(&job) {
-            return self.look_up(now, req, id, Ask::Submit(body));
+            return self.look_up(now, req, id, Request::Submit(body));
         }
         self.next_seq += 1;
         // Written after the next pass, so that one write holds the job and
@@ -146,7 +148,7 @@
         self.replan = true;
     }
 
-    fn tell_live(&mut self, req: ReqId, id: &JobId) {
+    fn tell_live(&mut self, req: RequestId, id: &JobId) {
         if !self.ancestors_known(id) {
             return self.answer(req, Answer::later("what it needs is being looked up", 1));
         }
@@ -167,7 +169,7 @@
     }
 
     /// What is final is told by any leader; the rest needs proof.
-    fn answered_early(&mut self, now: Time, req: ReqId, id: &JobId) -> bool {
+    fn answered_early(&mut self, now: Time, req: RequestId, id: &JobId) -> bool {
         if let Some(f) = self.finals.get(id) {
             let f = *f;
             self.answer(req, final_answer(id, f));
@@ -181,7 +183,7 @@
         true
     }
 
-    fn poll(&mut self, now: Time, req: ReqId, id: JobId) {
+    fn poll(&mut self, now: Time, req: RequestId, id: JobId) {
         if self.answered_early(now, req, &id) {
             return;
         }
@@ -195,11 +197,11 @@
                 self.answer(req, Answer::later("the job is being stored", 1));
             }
             Some(_) => self.tell_live(req, &id),
-            None => self.look_up(now, req, id.clone(), Ask::Poll(id.to_string())),
+            None => self.look_up(now, req, id.clone(), Request::Poll(id.to_string())),
         }
     }
 
-    fn cancel(&mut self, now: Time, req: ReqId, id: JobId) {
+    fn cancel(&mut self, now: Time, req: RequestId, id: JobId) {
         if self.answered_early(now, req, &id) {
             return;
         }
@@ -211,7 +213,7 @@
             return self.answer(req, a);
         }
         let Some(j) = self.jobs.get_mut(&id) else {
-            return self.look_up(now, req, id.clone(), Ask::Cancel(id.to_string()));
+            return self.look_up(now, req, id.clone(), Request::Cancel(id.to_string()));
         };
         if j.closing.is_some() {
             j.waiters.push((u64::MAX, req, Waiting::Cancel));
@@ -247,9 +249,9 @@
         }
     }
 
-    pub(super) fn look_up(&mut self, now: Time, req: ReqId, id: JobId, ask: Ask) {
+    pub(super) fn look_up(&mut self, now: Time, req: RequestId, id: JobId, ask: Request) {
         // No job of another form can ever have been accepted.
-        if !JobId::well_formed(id.as_str()) {
+        if !JobId::is_well_formed(id.as_str()) {
             return self.answer(req, Answer::error(404, "no such job"));
         }
         if self.reads.len() >= MAX_READS {
@@ -259,7 +261,7 @@
         let first = !self.reads.contains_key(&id);
         // Questions take no more of the requests there are than their part, or all
         // of them, renewals of the leadership among them, are refused for a while.
-        if first && matches!(ask, Ask::Poll(_)) {
+        if first && matches!(ask, Request::Poll(_)) {
             if !self.poll_reads.has(now, 1.0) {
                 self.look_up_counts.over_budget += 1;
                 return self.answer(req, Answer::later("too many look-ups at a time", 1));
@@ -292,7 +294,7 @@
         for (req, ask) in asked {
             let a = match (&r, &ask) {
                 (Err(()), _) => Answer::later("the state service does not answer", 1),
-                (Ok(Some(f)), Ask::Hold(..) | Ask::Release(..)) => {
+                (Ok(Some(f)), Request::Hold(..) | Request::Release(..)) => {
                     Answer::new(409, view(&id, f.state, f.done, 0))
                 }
                 (Ok(Some(f)), _) => final_answer(&id, *f),
@@ -303,7 +305,7 @@
                 (Ok(None), _) if self.jobs.contains_key(&id) => {
                     Answer::later("the job is being stored", 1)
                 }
-                (Ok(None), Ask::Submit(body)) => self.refusal(now, body),
+                (Ok(None), Request::Submit(body)) => self.refusal(now, body),
                 (Ok(None), _) => Answer::error(404, "no such job"),
             };
             self.answer(req, a);
@@ -314,7 +316,7 @@
         &mut self,
         now: Time,
         id: &JobId,
-        ready: Vec<(u64, ReqId, Waiting)>,
+        ready: Vec<(u64, RequestId, Waiting)>,
     ) {
         for (_, req, what) in ready {
             // Cancelled is for ever. What else is stored may be out of date: a leader
@@ -347,7 +349,7 @@
     pub(super) fn tell_waiters_final(
         &mut self,
         id: &JobId,
-        waiters: Vec<(u64, ReqId, Waiting)>,
+        waiters: Vec<(u64, RequestId, Waiting)>,
         f: Final,
         new: bool,
     ) {
