--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -6,9 +6,9 @@
 use super::job::{Job, Live, Phase};
 use super::machine::{Life, Machine};
 use super::{Config, Room, Sched, estimate};
-use crate::ids::{Host, Label, TaskId, Zone};
+use crate::ids::{ControllerId, Host, TaskId, Zone};
 use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
+use crate::wire::user::{JobKind, Priority};
 use hookworks_zones::{Budget, Case, Change, Evidence, Stake, Standing, State, Zones, plan};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashSet};
@@ -33,7 +33,7 @@
 pub(super) struct Watch {
     pub zones: Zones,
     /// Where the other controllers are.
-    controllers: BTreeMap<Label, Zone>,
+    controllers: BTreeMap<ControllerId, Zone>,
     /// Direct calls that failed since the last look.
     unanswered: BTreeMap<Zone, u32>,
     tally: BTreeMap<Zone, Tally>,
@@ -301,7 +301,7 @@
         let lease = self.lease_bound();
         let stake = |t: &TaskId| {
             let j = self.jobs.get(&t.job)?;
-            let l = j.live.get(&t.ix)?;
+            let l = j.live.get(&t.index)?;
             Some(self.stake(now, m, j, l))
         };
         Case {
@@ -326,14 +326,14 @@
             true => Span::secs(ran.as_secs() % saves),
             false => ran,
         };
-        let gang = j.spec.kind == Kind::Gang;
+        let gang = j.spec.kind == JobKind::Gang;
         // A gang goes on only as a whole: one that has lost a member, or is
         // being stopped, waits for nothing but the proof of the others' end.
         let whole =
             j.live.len() as u32 == j.spec.tasks && j.live.values().all(|l| l.stop.is_none());
         let standing = match j.spec.kind {
-            Kind::Service => Standing::Replica,
-            Kind::Gang if !whole || l.stop.is_some() => Standing::Broken,
+            JobKind::Service => Standing::Replica,
+            JobKind::Gang if !whole || l.stop.is_some() => Standing::Broken,
             _ if j.priority() <= Priority::High || self.is_quick(&j.spec.class) => Standing::Urgent,
             _ => Standing::Other,
         };
@@ -451,5 +451,5 @@
 
 /// Production and urgent work may have room made by it.
 fn gives_way(j: &Job) -> bool {
-    j.spec.kind == Kind::Array && j.priority() > Priority::High
+    j.spec.kind == JobKind::Array && j.priority() > Priority::High
 }
--- a/src/settings/sizes.rs
+++ b/src/settings/capacity.rs
@@ -1,25 +1,25 @@
 //! How much of everything a controller holds, by its memory, sockets and processor.
 
-use super::{Settings, SettingsError, bad};
+use super::{Settings, SettingsError, field_error};
 use hookworks_http_server::{BYTES_PER_CONNECTION, Bounds, LimitedBy, RequestClass};
 
 /// What an unfinished job takes, with its line in lists, measured (docs/sizes.md).
-const JOB: f64 = 2_400.0;
+const JOB_BYTES: f64 = 2_400.0;
 /// What the final state of a job takes at hand.
-const FINAL: f64 = 250.0;
+const FINAL_STATE_BYTES: f64 = 250.0;
 /// What a machine takes with some tasks on it.
-const MACHINE: f64 = 2_500.0;
+const MACHINE_BYTES: f64 = 2_500.0;
 /// Shares of the memory. Connections have up to half of it, and the program, its
 /// own threads and what is on its way the rest.
 const JOBS_SHARE: f64 = 0.3;
 const FINALS_SHARE: f64 = 0.05;
 const MACHINES_SHARE: f64 = 0.08;
-const MOST_JOBS: usize = 20_000;
-const MOST_FINALS: usize = 50_000;
+const MAX_JOBS: usize = 20_000;
+const MAX_FINALS: usize = 50_000;
 /// Messages on their way that are no requests: results of calls, ticks.
-const RESULTS: usize = 1024;
+const INTERNAL_MESSAGES: usize = 1024;
 /// From this share of the workers' connections on, answers end their connections.
-const KEPT_OPEN: f64 = 0.95;
+const KEEP_ALIVE_SHARE: f64 = 0.95;
 /// A connection that is opened for a single report holds its slot for so long.
 const REPORT_SLOT_S: f64 = 0.2;
 /// Processor time of a controller that serves everything by itself, for each report:
@@ -28,12 +28,12 @@
 
 /// Bounds in force; all worked out, none set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sizes {
+pub struct CapacityLimits {
     /// Workers that can keep a connection open here, with no other controller left.
-    pub machines: usize,
+    pub worker_connections: usize,
     /// Machines whose workers can all report here with no other controller left, some
     /// of them with a connection for each report.
-    pub alone: MachinesAlone,
+    pub single_controller: SingleControllerLimit,
     /// Unfinished jobs; more are turned away.
     pub jobs: usize,
     /// Final states kept at hand; others are read from the state service.
@@ -48,27 +48,27 @@
 
 /// How many machines a lone controller can look after.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MachinesAlone {
-    pub most: usize,
+pub struct SingleControllerLimit {
+    pub max_machines: usize,
     /// The setting that keeps it from being more.
     pub limited_by: &'static str,
 }
 
-impl MachinesAlone {
-    fn plan(s: &Settings, b: &Bounds) -> MachinesAlone {
+impl SingleControllerLimit {
+    fn plan(s: &Settings, b: &Bounds) -> SingleControllerLimit {
         let limits = &s.platform.params.machine_limits;
         let report_s = s.platform.params.workers.report_s;
         let slots = b.max_for(RequestClass::Workers) as f64;
-        let in_turn = slots * (1.0 - KEPT_OPEN) * report_s / REPORT_SLOT_S;
+        let in_turn = slots * (1.0 - KEEP_ALIVE_SHARE) * report_s / REPORT_SLOT_S;
         let connections = match b.limited_by {
             LimitedBy::Memory => "params.machine_limits.ram_mb",
             LimitedBy::Sockets => "params.machine_limits.max_connections",
             LimitedBy::Descriptors => "the system's limit of descriptors (ulimit -n)",
         };
         let all = [
-            (slots * KEPT_OPEN + in_turn, connections),
+            (slots * KEEP_ALIVE_SHARE + in_turn, connections),
             (
-                limits.ram_mb * 1e6 * MACHINES_SHARE / MACHINE,
+                limits.ram_mb * 1e6 * MACHINES_SHARE / MACHINE_BYTES,
                 "params.machine_limits.ram_mb",
             ),
             (
@@ -78,36 +78,36 @@
         ];
         let first = all.into_iter().min_by(|a, b| a.0.total_cmp(&b.0));
         let (most, limited_by) = first.unwrap_or((0.0, connections));
-        MachinesAlone {
-            most: most as usize,
+        SingleControllerLimit {
+            max_machines: most as usize,
             limited_by,
         }
     }
 }
 
-impl Sizes {
-    pub fn plan(s: &Settings, b: &Bounds) -> Sizes {
+impl CapacityLimits {
+    pub fn plan(s: &Settings, b: &Bounds) -> CapacityLimits {
         let memory = s.platform.params.machine_limits.ram_mb * 1e6;
         let part = |share: f64, each: f64| (memory * share / each) as usize;
-        let jobs = part(JOBS_SHARE, JOB).min(MOST_JOBS);
-        let finals = part(FINALS_SHARE, FINAL).min(MOST_FINALS);
-        let alone = MachinesAlone::plan(s, b);
+        let jobs = part(JOBS_SHARE, JOB_BYTES).min(MAX_JOBS);
+        let finals = part(FINALS_SHARE, FINAL_STATE_BYTES).min(MAX_FINALS);
+        let alone = SingleControllerLimit::plan(s, b);
         // A caller has one request at a time, and each of the other controllers
         // passes on what its callers ask.
         let requests = b.connections * (1 + s.platform.seeds.len());
         let bytes = [
             b.connections as u64 * BYTES_PER_CONNECTION,
-            (jobs as f64 * JOB) as u64,
-            (finals as f64 * FINAL) as u64,
-            (alone.most as f64 * MACHINE) as u64,
+            (jobs as f64 * JOB_BYTES) as u64,
+            (finals as f64 * FINAL_STATE_BYTES) as u64,
+            (alone.max_machines as f64 * MACHINE_BYTES) as u64,
         ];
-        Sizes {
-            machines: b.max_for(RequestClass::Workers),
-            alone,
+        CapacityLimits {
+            worker_connections: b.max_for(RequestClass::Workers),
+            single_controller: alone,
             jobs,
             finals,
             requests,
-            inbox: requests + RESULTS,
+            inbox: requests + INTERNAL_MESSAGES,
             bytes,
         }
     }
@@ -118,10 +118,11 @@
     ///
     /// # Errors
     /// When next to nothing could be served.
-    pub fn sizes(&self) -> Result<Sizes, SettingsError> {
+    pub fn capacity_limits(&self) -> Result<CapacityLimits, SettingsError> {
         let bounds = crate::api::bounds(self);
-        let bounds = bounds.map_err(|e| bad("connections", "connections", &e.to_string()))?;
-        Ok(Sizes::plan(self, &bounds))
+        let bounds =
+            bounds.map_err(|e| field_error("connections", "connections", &e.to_string()))?;
+        Ok(CapacityLimits::plan(self, &bounds))
     }
 
     /// Whether a controller that is left alone can hold the machines that operators
@@ -131,14 +132,14 @@
     /// Names the setting that is too low, and how many machines would be held.
     pub fn check_machines(&self, file: &str) -> Result<(), SettingsError> {
         let needed = self.tuning.connections.machines;
-        let alone = self.sizes()?.alone;
-        if alone.most >= needed {
+        let alone = self.capacity_limits()?.single_controller;
+        if alone.max_machines >= needed {
             return Ok(());
         }
         let why = format!(
             "too low: with no other controller left {} machines would be held, {needed} are needed",
-            alone.most
+            alone.max_machines
         );
-        Err(bad(file, alone.limited_by, &why))
+        Err(field_error(file, alone.limited_by, &why))
     }
 }
--- a/src/settings/classes.rs
+++ b/src/settings/classes.rs
@@ -1,6 +1,6 @@
 //! What operators allow each class of jobs.
 
-use super::{SettingsError, bad};
+use super::{SettingsError, field_error};
 use crate::ids::Class;
 use hookworks_job_lifecycle::{CountedFailures, Failure, RetryPolicy};
 use serde::{Deserialize, Serialize};
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 /// Counts are stored as one digit each.
-const MOST_ATTEMPTS: u8 = 15;
+const MAX_ATTEMPTS: u8 = 15;
 
 /// `<classes><class name="…"><attempts>3</attempts>…</class></classes>`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Classes {
     #[serde(rename = "class")]
-    list: Vec<ClassRule>,
+    rules: Vec<ClassRule>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -36,7 +36,7 @@
     backoff_most_s: Option<f64>,
 }
 
-fn cause(name: &str) -> Option<Failure> {
+fn parse_failure(name: &str) -> Option<Failure> {
     let all = [
         ("error", Failure::Error),
         ("timed-out", Failure::TimedOut),
@@ -47,7 +47,7 @@
 }
 
 impl ClassRule {
-    fn causes(&self) -> Result<CountedFailures, String> {
+    fn counted_failures(&self) -> Result<CountedFailures, String> {
         let Some(text) = &self.counts else {
             return Ok(CountedFailures::default());
         };
@@ -58,7 +58,7 @@
             stopped: false,
         };
         for name in text.split_whitespace() {
-            match cause(name) {
+            match parse_failure(name) {
                 Some(Failure::Error) => c.error = true,
                 Some(Failure::TimedOut) => c.timed_out = true,
                 Some(Failure::Lost) => c.lost = true,
@@ -71,31 +71,35 @@
 }
 
 impl Classes {
-    pub(super) fn rules(&self) -> BTreeMap<Class, RetryPolicy> {
+    pub(super) fn retry_policies(&self) -> BTreeMap<Class, RetryPolicy> {
         let rule = |c: &ClassRule| RetryPolicy {
             most: c.attempts,
-            counts: c.causes().unwrap_or_default(),
+            counts: c.counted_failures().unwrap_or_default(),
             backoff: Duration::from_secs_f64(c.backoff_s),
             backoff_most: Duration::from_secs_f64(c.backoff_most_s.unwrap_or(60.0)),
         };
-        self.list
+        self.rules
             .iter()
             .map(|c| (c.name.clone(), rule(c)))
             .collect()
     }
 
     pub(super) fn check(&self, file: &str) -> Result<(), SettingsError> {
-        for (n, c) in self.list.iter().enumerate() {
+        for (n, c) in self.rules.iter().enumerate() {
             let wrong = |field: &str, why: &str| {
-                Err(bad(file, &format!("classes/{}/{field}", c.name), why))
+                Err(field_error(
+                    file,
+                    &format!("classes/{}/{field}", c.name),
+                    why,
+                ))
             };
-            if self.list[..n].iter().any(|o| o.name == c.name) {
+            if self.rules[..n].iter().any(|o| o.name == c.name) {
                 return wrong("name", "stands there twice");
             }
-            if c.attempts > MOST_ATTEMPTS {
-                return wrong("attempts", &format!("must be 0 to {MOST_ATTEMPTS}"));
+            if c.attempts > MAX_ATTEMPTS {
+                return wrong("attempts", &format!("must be 0 to {MAX_ATTEMPTS}"));
             }
-            if let Err(e) = c.causes() {
+            if let Err(e) = c.counted_failures() {
                 return wrong("counts", &e);
             }
             for (field, v) in [
--- a/src/settings/connections.rs
+++ b/src/settings/connections.rs
@@ -1,6 +1,6 @@
 //! How many connections may be held, for whom and how long.
 
-use super::{SettingsError, within};
+use super::{SettingsError, check_ranges};
 use hookworks_http_server::BoundsSettings;
 use serde::{Deserialize, Serialize};
 
@@ -78,6 +78,6 @@
             ("body-s", self.body_s, 0.5, 600.0),
             ("idle-s", self.idle_s, 1.0, 3600.0),
         ];
-        within(file, "connections/", all)
+        check_ranges(file, "connections/", all)
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,23 +1,23 @@
 //! Settings: the platform's JSON file and the operators' own XML file.
 
+#[allow(missing_docs)]
+mod capacity;
 mod classes;
 mod connections;
 #[allow(missing_docs)]
 mod platform;
-mod served;
-#[allow(missing_docs)]
-mod sizes;
+mod starvation;
 mod tuning;
 mod zones;
 
+pub use capacity::CapacityLimits;
 pub use classes::Classes;
 pub use connections::Connections;
 pub use platform::{
-    LimitValues, Limits, NextLimits, Objective, Params, Platform, Seed, StateLimits, TeamLimit,
-    Workers,
+    LimitValues, MachineLimits, NextLimits, Objective, Params, Platform, Seed, StateLimits,
+    TeamLimit, WorkerParams,
 };
-pub use served::ServedLimits;
-pub use sizes::Sizes;
+pub use starvation::StarvationLimits;
 pub use tuning::Tuning;
 pub use zones::ZoneLimits;
 
@@ -66,7 +66,8 @@
         let settings = Settings { platform, tuning };
         // What can't be served is refused now, not when the first caller comes.
         let file = tuning_file.unwrap_or("connections");
-        crate::api::bounds(&settings).map_err(|e| bad(file, "connections", &e.to_string()))?;
+        crate::api::bounds(&settings)
+            .map_err(|e| field_error(file, "connections", &e.to_string()))?;
         Ok(settings)
     }
 }
@@ -80,7 +81,7 @@
 
 /// Numbers that must lie in a range each: name, value, least, most. `of` is the
 /// element that they stand in, with a slash; empty at the top.
-fn within(
+fn check_ranges(
     file: &str,
     of: &str,
     all: impl IntoIterator<Item = (&'static str, f64, f64, f64)>,
@@ -88,13 +89,17 @@
     for (field, v, low, high) in all {
         if !(v.is_finite() && (low..=high).contains(&v)) {
             let field = format!("{of}{field}");
-            return Err(bad(file, &field, &format!("must be {low} to {high}")));
+            return Err(field_error(
+                file,
+                &field,
+                &format!("must be {low} to {high}"),
+            ));
         }
     }
     Ok(())
 }
 
-fn bad(file: &str, field: &str, why: &str) -> SettingsError {
+fn field_error(file: &str, field: &str, why: &str) -> SettingsError {
     SettingsError::Field {
         file: file.into(),
         field: field.into(),
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,7 +1,7 @@
 //! The settings file that the platform hands over.
 
-use super::{SettingsError, bad};
-use crate::ids::{Class, Label, Team, Zone};
+use super::{SettingsError, field_error};
+use crate::ids::{Class, ControllerId, Team, Zone};
 use crate::time::Span;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Platform {
-    pub label: Label,
+    pub label: ControllerId,
     pub zone: Zone,
     pub listen: SocketAddr,
     pub cluster_listen: SocketAddr,
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Seed {
-    pub label: Label,
+    pub label: ControllerId,
     pub zone: Zone,
     pub peer_addr: SocketAddr,
 }
@@ -39,10 +39,10 @@
     pub teams: Vec<TeamLimit>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
+    pub workers: WorkerParams,
     pub state: StateLimits,
     pub cloud: CloudLimits,
-    pub machine_limits: Limits,
+    pub machine_limits: MachineLimits,
     #[serde(default)]
     pub clock_error_ms: f64,
 }
@@ -74,7 +74,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
+pub struct WorkerParams {
     pub report_s: f64,
     pub lease_s: f64,
     #[serde(default)]
@@ -134,7 +134,7 @@
 }
 
 impl StateLimits {
-    pub fn now(&self) -> LimitValues {
+    pub fn current(&self) -> LimitValues {
         LimitValues {
             rps: self.rps,
             write_rps: self.write_rps,
@@ -156,13 +156,13 @@
 
     /// The smallest limits that are known to come.
     pub fn smallest(&self) -> LimitValues {
-        let now = self.now();
+        let now = self.current();
         self.announced().map_or(now, |next| now.min(&next))
     }
 
     /// The first field that no controller can work with, and what it must be.
-    fn invalid(&self) -> Option<(String, String)> {
-        let sets = [("", Some(self.now())), ("next.", self.announced())];
+    fn first_invalid_field(&self) -> Option<(String, String)> {
+        let sets = [("", Some(self.current())), ("next.", self.announced())];
         for (of, limits) in sets {
             let Some(l) = limits else { continue };
             let positive = [
@@ -196,13 +196,13 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Limits {
+pub struct MachineLimits {
     pub core_share: f64,
     pub ram_mb: f64,
     pub max_connections: usize,
 }
 
-impl Workers {
+impl WorkerParams {
     /// By then a worker's lease has run out by any clock, with a second to spare.
     pub fn lease_bound(&self) -> Span {
         Span::secs(self.lease_s).stretched() + Span::secs(1.0)
@@ -218,7 +218,7 @@
 
 impl Platform {
     /// The other controllers and their zones.
-    pub fn controllers(&self) -> BTreeMap<Label, Zone> {
+    pub fn controllers(&self) -> BTreeMap<ControllerId, Zone> {
         let all = self.seeds.iter();
         all.map(|s| (s.label.clone(), s.zone.clone())).collect()
     }
@@ -240,14 +240,14 @@
         ];
         for (field, v) in positive {
             if !(v.is_finite() && v > 0.0) {
-                return Err(bad(file, field, "must be above 0"));
+                return Err(field_error(file, field, "must be above 0"));
             }
         }
-        if let Some((field, why)) = p.params.state.invalid() {
-            return Err(bad(file, &field, &why));
+        if let Some((field, why)) = p.params.state.first_invalid_field() {
+            return Err(field_error(file, &field, &why));
         }
         if p.machine_limits_too_low() {
-            return Err(bad(
+            return Err(field_error(
                 file,
                 "params.machine_limits.max_connections",
                 &format!("must be at least {MIN_CONNECTIONS}"),
@@ -255,7 +255,7 @@
         }
         let least = p.params.workers.lease_bound();
         if Span::secs(p.params.workers.cancel_s) < least {
-            return Err(bad(
+            return Err(field_error(
                 file,
                 "params.workers.cancel_s",
                 &format!(
@@ -270,7 +270,11 @@
                 .iter()
                 .any(|v| !v.is_finite() || *v < 0.0)
             {
-                return Err(bad(file, "params.teams", "amounts must be 0 or more"));
+                return Err(field_error(
+                    file,
+                    "params.teams",
+                    "amounts must be 0 or more",
+                ));
             }
         }
         Ok(p)
--- a/src/settings/served.rs
+++ b/src/settings/starvation.rs
@@ -1,6 +1,6 @@
 //! When a class or team counts as hardly served, and what it is given then.
 
-use super::{SettingsError, within};
+use super::{SettingsError, check_ranges};
 use crate::time::Span;
 use hookworks_fairness::FairnessPolicy;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 /// `<served><room>0.1</room><below>0.7</below></served>`; all optional.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct ServedLimits {
+pub struct StarvationLimits {
     /// Share of the fleet that goes to all classes and teams below the floor
     /// together, ahead of others; 0 only shows them.
     pub room: f64,
@@ -21,9 +21,9 @@
     pub overtaken_s: f64,
 }
 
-impl Default for ServedLimits {
+impl Default for StarvationLimits {
     fn default() -> Self {
-        ServedLimits {
+        StarvationLimits {
             room: 0.0,
             below: 0.7,
             overtaken_s: 0.0,
@@ -31,9 +31,9 @@
     }
 }
 
-impl ServedLimits {
+impl StarvationLimits {
     /// What the scheduler is told.
-    pub fn floor(&self) -> FairnessPolicy {
+    pub fn fairness_policy(&self) -> FairnessPolicy {
         FairnessPolicy {
             reserved_share: self.room,
             min_share: self.below,
@@ -47,6 +47,6 @@
             ("below", self.below, 0.0, 1.0),
             ("overtaken-s", self.overtaken_s, 0.0, 1e6),
         ];
-        within(file, "served/", all)
+        check_ranges(file, "served/", all)
     }
 }
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -1,6 +1,6 @@
 //! The operators' own settings, in XML.
 
-use super::{Classes, Connections, ServedLimits, SettingsError, ZoneLimits, within};
+use super::{Classes, Connections, SettingsError, StarvationLimits, ZoneLimits, check_ranges};
 use crate::ids::Class;
 use hookworks_job_lifecycle::RetryPolicy;
 use serde::{Deserialize, Serialize};
@@ -38,7 +38,7 @@
     /// When a zone counts as lost, and how it comes back.
     pub zones: ZoneLimits,
     /// When a class or team counts as hardly served.
-    pub served: ServedLimits,
+    pub served: StarvationLimits,
 }
 
 impl Default for Tuning {
@@ -57,15 +57,15 @@
             connections: Connections::default(),
             classes: Classes::default(),
             zones: ZoneLimits::default(),
-            served: ServedLimits::default(),
+            served: StarvationLimits::default(),
         }
     }
 }
 
 impl Tuning {
     /// How often tasks may fail, by class.
-    pub fn rules(&self) -> BTreeMap<Class, RetryPolicy> {
-        self.classes.rules()
+    pub fn retry_policies(&self) -> BTreeMap<Class, RetryPolicy> {
+        self.classes.retry_policies()
     }
 
     /// Reads and checks the operators' file; `file` names it in errors.
@@ -90,7 +90,7 @@
             ("hold-ms", t.hold_ms, 0.0, 2000.0),
             ("wait-share", t.wait_share, 0.0, 10.0),
         ];
-        within(file, "", all)?;
+        check_ranges(file, "", all)?;
         t.connections.check(file)?;
         t.classes.check(file)?;
         t.zones.check(file)?;
--- a/src/settings/zones.rs
+++ b/src/settings/zones.rs
@@ -1,6 +1,6 @@
 //! When a zone counts as lost, and how it comes back.
 
-use super::{SettingsError, within};
+use super::{SettingsError, check_ranges};
 use hookworks_base::time::Span;
 use hookworks_zones::Limits;
 use serde::{Deserialize, Serialize};
@@ -79,6 +79,6 @@
             ("memory-s", self.memory_s, 0.0, 1e5),
             ("keep-s", self.keep_s, 1.0, 1e5),
         ];
-        within(file, "zones/", all)
+        check_ranges(file, "zones/", all)
     }
 }
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -6,8 +6,8 @@
 pub struct Budget {
     rate: f64,
     burst: f64,
-    have: f64,
-    at: Time,
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl Budget {
@@ -15,29 +15,30 @@
         Budget {
             rate,
             burst,
-            have: burst,
-            at: Time::default(),
+            tokens: burst,
+            refilled_at: Time::default(),
         }
     }
 
     fn refill(&mut self, now: Time) {
-        self.have = (self.have + (now - self.at).as_secs() * self.rate).min(self.burst);
-        self.at = now;
+        self.tokens =
+            (self.tokens + (now - self.refilled_at).as_secs() * self.rate).min(self.burst);
+        self.refilled_at = now;
     }
 
     pub fn has(&mut self, now: Time, n: f64) -> bool {
         self.refill(now);
-        self.have >= n
+        self.tokens >= n
     }
 
     pub fn take(&mut self, now: Time, n: f64) {
         self.refill(now);
-        self.have -= n;
+        self.tokens -= n;
     }
 
-    pub fn left(&mut self, now: Time) -> f64 {
+    pub fn available(&mut self, now: Time) -> f64 {
         self.refill(now);
-        self.have
+        self.tokens
     }
 
     /// The most that it ever holds.
@@ -46,16 +47,16 @@
     }
 
     /// Nothing is left.
-    pub fn empty(&mut self, now: Time) {
+    pub fn drain(&mut self, now: Time) {
         self.refill(now);
-        self.have = self.have.min(0.0);
+        self.tokens = self.tokens.min(0.0);
     }
 
     /// Refills as another one does from now on, with no more than is left.
-    pub fn change_to(&mut self, now: Time, other: Budget) {
+    pub fn reconfigure(&mut self, now: Time, other: Budget) {
         self.refill(now);
         self.rate = other.rate;
         self.burst = other.burst;
-        self.have = self.have.min(self.burst);
+        self.tokens = self.tokens.min(self.burst);
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,7 +1,7 @@
 //! Requests to the state service, one at a time for each caller.
 
-use crate::ids::Stamp;
-use crate::wire::state::{Applied, Failed, Item, Lease, LeaseRequest, Page, Txn};
+use crate::ids::Revision;
+use crate::wire::state::{Item, Lease, LeaseRequest, Page, Txn, TxnApplied, TxnFailed};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 
 /// What became of a transaction.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
-    Ok(Stamp),
+pub enum TxnOutcome {
+    Ok(Revision),
     /// These keys did not have the expected stamps.
     Conflict(Vec<String>),
     /// Certainly not carried out: an outage, or a reason that is not known.
-    NotDone,
+    NotApplied,
     /// Certainly not carried out: it, or one of its values, is larger than allowed.
     TooLarge,
     /// Certainly not carried out: more requests or changes than allowed.
-    TooMany,
+    RateLimited,
     /// No such lease.
     NoLease,
     /// No answer: it may have been or may still be carried out.
-    Unclear,
+    Unknown,
 }
 
 /// Why a read gave nothing.
@@ -35,10 +35,10 @@
 
 /// What the election, the loader and the committer need of the service; the
 /// tests have one in memory.
-pub trait State: Send {
+pub trait StateStore: Send {
     fn get(&self, key: &str) -> Result<Option<Item>, ReadError>;
     fn page(&self, prefix: &str, after: Option<&str>, limit: u32) -> Result<Page, ReadError>;
-    fn txn(&self, t: &Txn) -> Outcome;
+    fn txn(&self, t: &Txn) -> TxnOutcome;
     fn grant(&self, ttl_ms: u64) -> Result<u64, ReadError>;
     /// `Ok(false)`: the lease has ended.
     fn renew(&self, lease: u64) -> Result<bool, ReadError>;
@@ -50,15 +50,15 @@
 #[derive(Clone)]
 pub struct StateClient {
     agent: ureq::Agent,
-    base: String,
+    base_url: String,
 }
 
 /// Addresses are numbers here. The usual resolver starts a thread for each
 /// request, to look up what needs no looking up.
 #[derive(Debug)]
-struct Numbers;
+struct NumericResolver;
 
-impl Resolver for Numbers {
+impl Resolver for NumericResolver {
     fn resolve(
         &self,
         uri: &ureq::http::Uri,
@@ -72,7 +72,7 @@
     }
 }
 
-pub(crate) fn agent(timeout: Duration, idle: usize) -> ureq::Agent {
+pub(crate) fn http_agent(timeout: Duration, idle: usize) -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
         .http_status_as_error(false)
@@ -83,34 +83,34 @@
         .output_buffer_size(16 * 1024)
         .proxy(None)
         .build();
-    ureq::Agent::with_parts(config, DefaultConnector::default(), Numbers)
+    ureq::Agent::with_parts(config, DefaultConnector::default(), NumericResolver)
 }
 
-type Reply = (u16, Vec<u8>);
+type RawResponse = (u16, Vec<u8>);
 
 impl StateClient {
     pub fn new(addr: SocketAddr, timeout: Duration) -> StateClient {
         StateClient {
-            agent: agent(timeout, 8),
-            base: format!("http://{addr}"),
+            agent: http_agent(timeout, 8),
+            base_url: format!("http://{addr}"),
         }
     }
 
-    fn read(&self, path: &str) -> Option<Reply> {
-        let url = format!("{}{path}", self.base);
-        finish(self.agent.get(&url).call())
+    fn read(&self, path: &str) -> Option<RawResponse> {
+        let url = format!("{}{path}", self.base_url);
+        read_response(self.agent.get(&url).call())
     }
 
-    fn post(&self, path: &str, body: &impl serde::Serialize) -> Option<Reply> {
-        let url = format!("{}{path}", self.base);
+    fn post(&self, path: &str, body: &impl serde::Serialize) -> Option<RawResponse> {
+        let url = format!("{}{path}", self.base_url);
         let body = serde_json::to_vec(body).ok()?;
         let r = self.agent.post(&url);
-        finish(r.header("Content-Type", "application/json").send(&body[..]))
+        read_response(r.header("Content-Type", "application/json").send(&body[..]))
     }
 }
 
 /// The whole answer, or none if any of it failed to come.
-pub(crate) fn finish(
+pub(crate) fn read_response(
     r: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
 ) -> Option<(u16, Vec<u8>)> {
     match r {
@@ -130,7 +130,7 @@
     serde_json::from_slice(body).map_err(|_| ReadError::Failed)
 }
 
-impl State for StateClient {
+impl StateStore for StateClient {
     fn get(&self, key: &str) -> Result<Option<Item>, ReadError> {
         match self.read(&format!("/store/{key}")) {
             Some((200, b)) => parse(&b).map(Some),
@@ -150,28 +150,28 @@
         }
     }
 
-    fn txn(&self, t: &Txn) -> Outcome {
+    fn txn(&self, t: &Txn) -> TxnOutcome {
         match self.post("/txn", t) {
-            Some((200, b)) => match parse::<Applied>(&b) {
-                Ok(a) => Outcome::Ok(a.revision),
-                Err(_) => Outcome::Unclear,
+            Some((200, b)) => match parse::<TxnApplied>(&b) {
+                Ok(a) => TxnOutcome::Ok(a.revision),
+                Err(_) => TxnOutcome::Unknown,
             },
-            Some((409, b)) => match parse::<Failed>(&b) {
-                Ok(f) => Outcome::Conflict(f.failed),
-                Err(_) => Outcome::Unclear,
+            Some((409, b)) => match parse::<TxnFailed>(&b) {
+                Ok(f) => TxnOutcome::Conflict(f.failed),
+                Err(_) => TxnOutcome::Unknown,
             },
-            Some((429, _)) => Outcome::TooMany,
-            Some((503, _)) => Outcome::NotDone,
+            Some((429, _)) => TxnOutcome::RateLimited,
+            Some((503, _)) => TxnOutcome::NotApplied,
             Some((400, b)) => {
                 let text = String::from_utf8_lossy(&b);
                 if text.contains("no such lease") {
-                    return Outcome::NoLease;
+                    return TxnOutcome::NoLease;
                 }
                 tracing::error!(%text, "the state service refused a transaction");
                 // What we send is well formed, so that only its size is left.
-                Outcome::TooLarge
+                TxnOutcome::TooLarge
             }
-            _ => Outcome::Unclear,
+            _ => TxnOutcome::Unknown,
         }
     }
 
@@ -191,7 +191,7 @@
     }
 
     fn revoke(&self, lease: u64) {
-        let url = format!("{}/grants/{lease}", self.base);
+        let url = format!("{}/grants/{lease}", self.base_url);
         let _ = self.agent.delete(&url).call();
     }
 }
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -8,45 +8,45 @@
 mod counts;
 mod draft;
 mod outcomes;
+mod oversized;
 mod records;
-mod set_aside;
 
 pub use counts::ChangeCounts;
 
 use super::budget::Budget;
 use super::format::RecordFormat;
-use super::limits::{LimitsInForce, TxnSize};
-use super::{FENCES, LEADER};
-use crate::ids::{JobId, Stamp, TxnId};
+use super::limits::{EffectiveLimits, TxnSize};
+use super::{FENCES_KEY, LEADER_KEY};
+use crate::ids::{JobId, Revision, TxnId};
 use crate::sched::{Dirty, Purpose, Sched};
 use crate::settings::{LimitValues, StateLimits};
 use crate::time::Time;
 use crate::wire::state::Txn;
-use draft::{Draft, KeyWrite, SizedChange, What, Work};
+use draft::{Draft, KeyWrite, RecordWrite, SizedChange, WriteTarget};
+use oversized::OversizedRecord;
 use serde_json::Value;
-use set_aside::SetAside;
 use std::collections::{HashMap, HashSet};
 
 /// Transactions under way at a time, and with those that somebody waits for:
 /// a slow state service once made submissions queue behind all else.
-const LANES: usize = 3;
-const LANES_NOW: usize = 6;
+const MAX_TXNS_IN_FLIGHT: usize = 3;
+const MAX_TXNS_IN_FLIGHT_URGENT: usize = 6;
 /// Share of the write budget that must be left for litter to be swept.
-const LITTER_RESERVE: f64 = 0.4;
+const GARBAGE_RESERVE_SHARE: f64 = 0.4;
 /// Shares of the service's limits: what is left is for elections, reads and the
 /// other controllers.
-const WRITES_SHARE: f64 = 0.9;
-const WRITES_BURST: f64 = 0.8;
+const CHANGE_RATE_SHARE: f64 = 0.9;
+const CHANGE_BURST_SHARE: f64 = 0.8;
 /// A record in so many values must be written in one go, however few changes a second
 /// there are.
-const LEAST_BURST: f64 = 4.0;
-const REQUESTS_SHARE: f64 = 0.6;
-const REQUESTS_BURST: f64 = 0.3;
+const MIN_CHANGE_BURST: f64 = 4.0;
+const REQUEST_RATE_SHARE: f64 = 0.6;
+const REQUEST_BURST_SHARE: f64 = 0.3;
 
 /// What became of an entry of the queue.
-enum Taken {
+enum AddOutcome {
     /// It is in the transaction, or there is nothing to be written any more.
-    Yes,
+    Handled,
     /// Something else of the job is under way.
     Busy,
     /// The transaction has no room left for it.
@@ -55,36 +55,36 @@
     TooLarge,
 }
 
-struct Sent {
-    works: Vec<Work>,
+struct InFlightTxn {
+    writes: Vec<RecordWrite>,
     size: TxnSize,
 }
 
 pub struct Committer {
-    leader: Stamp,
-    limits: LimitsInForce,
+    leader_revision: Revision,
+    limits: EffectiveLimits,
     format: RecordFormat,
-    stamps: HashMap<String, Stamp>,
-    under_way: HashMap<TxnId, Sent>,
+    revisions: HashMap<String, Revision>,
+    in_flight: HashMap<TxnId, InFlightTxn>,
     /// Jobs in a transaction or being read back: nothing else of them is sent.
     busy: HashSet<JobId>,
     /// Keys being read back, for the job that waits for them.
-    reading: HashMap<String, JobId>,
+    pending_reads: HashMap<String, JobId>,
     /// Records left over from large jobs that are done, as they were last seen.
-    litter: Vec<(String, Stamp)>,
+    garbage: Vec<(String, Revision)>,
     /// Records that the limits don't hold, and when they are tried again.
-    set_aside: HashMap<(JobId, usize), SetAside>,
+    oversized: HashMap<(JobId, usize), OversizedRecord>,
     /// So many transactions hold one record each: one of those in a transaction
     /// was refused, and the others are not to be refused with it.
-    singly: usize,
-    writes: Budget,
-    requests: Budget,
-    rest_until: Time,
+    single_record_txns: usize,
+    change_budget: Budget,
+    request_budget: Budget,
+    backoff_until: Time,
     /// Since when changes have been refused for their rate, without a break.
     refused_since: Option<Time>,
-    sent: ChangeCounts,
-    summed_up: (Time, ChangeCounts),
-    next: u64,
+    changes_sent: ChangeCounts,
+    last_logged: (Time, ChangeCounts),
+    next_txn_id: u64,
 }
 
 /// What the committer asks of its surroundings.
@@ -96,27 +96,27 @@
 }
 
 impl Committer {
-    pub fn new(leader: Stamp, settings: &StateLimits) -> Committer {
-        let limits = LimitsInForce::new(settings);
+    pub fn new(leader: Revision, settings: &StateLimits) -> Committer {
+        let limits = EffectiveLimits::new(settings);
         let (writes, requests) = budgets(limits.values());
         Committer {
-            leader,
+            leader_revision: leader,
             limits,
             format: RecordFormat::default(),
-            stamps: HashMap::new(),
-            under_way: HashMap::new(),
+            revisions: HashMap::new(),
+            in_flight: HashMap::new(),
             busy: HashSet::new(),
-            reading: HashMap::new(),
-            litter: vec![],
-            set_aside: HashMap::new(),
-            singly: 0,
-            writes,
-            requests,
-            rest_until: Time::default(),
+            pending_reads: HashMap::new(),
+            garbage: vec![],
+            oversized: HashMap::new(),
+            single_record_txns: 0,
+            change_budget: writes,
+            request_budget: requests,
+            backoff_until: Time::default(),
             refused_since: None,
-            sent: ChangeCounts::default(),
-            summed_up: (Time::default(), ChangeCounts::default()),
-            next: 1,
+            changes_sent: ChangeCounts::default(),
+            last_logged: (Time::default(), ChangeCounts::default()),
+            next_txn_id: 1,
         }
     }
 
@@ -125,27 +125,27 @@
     pub fn set_format(&mut self, format: RecordFormat) {
         if format > self.format {
             self.format = format;
-            self.retry_set_aside();
+            self.retry_oversized();
         }
     }
 
     /// Records found when the leader loaded its state.
-    pub fn know(&mut self, key: String, stamp: Stamp) {
-        self.stamps.insert(key, stamp);
+    pub fn record_revision(&mut self, key: String, stamp: Revision) {
+        self.revisions.insert(key, stamp);
     }
 
     /// A record without its job: what a finished large job left behind, or a
     /// submission that was never accepted. Its user may yet send that again, so it
     /// is deleted only as it was found.
-    pub fn add_litter(&mut self, key: String, stamp: Stamp) {
-        self.litter.push((key, stamp));
+    pub fn add_garbage(&mut self, key: String, stamp: Revision) {
+        self.garbage.push((key, stamp));
     }
 
     /// Shares of the budgets of changes and of requests that are used up.
     pub fn budgets_used(&mut self, now: Time) -> (f64, f64) {
         (
-            1.0 - self.writes.left(now) / self.writes.burst(),
-            1.0 - self.requests.left(now) / self.requests.burst(),
+            1.0 - self.change_budget.available(now) / self.change_budget.burst(),
+            1.0 - self.request_budget.available(now) / self.request_budget.burst(),
         )
     }
 
@@ -154,64 +154,64 @@
         let (changes, requests) = self.budgets_used(now);
         serde_json::json!({
             "changes_used": changes, "requests_used": requests,
-            "transactions": self.under_way(),
+            "transactions": self.in_flight(),
             "limits": self.limits.overview(),
             "records": self.format,
-            "set_aside": self.set_aside.len(),
-            "changes": self.sent,
+            "set_aside": self.oversized.len(),
+            "changes": self.changes_sent,
         })
     }
 
     /// The limits that are in force, as far as is known.
-    pub fn limits(&self) -> &LimitsInForce {
+    pub fn limits(&self) -> &EffectiveLimits {
         &self.limits
     }
 
     /// Changes sent so far, by what they were for.
     pub fn changes_sent(&self) -> ChangeCounts {
-        self.sent
+        self.changes_sent
     }
 
     /// Records that the limits don't hold at the moment.
-    pub fn set_aside(&self) -> usize {
-        self.set_aside.len()
+    pub fn oversized_records(&self) -> usize {
+        self.oversized.len()
     }
 
-    pub fn under_way(&self) -> usize {
-        self.under_way.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
-    pub fn idle(&self) -> bool {
-        self.under_way.is_empty() && self.reading.is_empty()
+    pub fn is_idle(&self) -> bool {
+        self.in_flight.is_empty() && self.pending_reads.is_empty()
     }
 
-    fn stamp(&self, key: &str) -> Stamp {
-        self.stamps.get(key).copied().unwrap_or_default()
+    fn revision(&self, key: &str) -> Revision {
+        self.revisions.get(key).copied().unwrap_or_default()
     }
 
     /// The next transaction to send, if any may be sent now.
-    pub fn next(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
-        self.sum_up(now);
+    pub fn next_txn(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
+        self.log_changes(now);
         if self.limits.recover(now) {
-            self.set_budgets(now);
+            self.apply_limits(now);
         }
         if !self.may_send(now, sched) {
             return None;
         }
-        if let Some(fences) = self.fences(now, sched) {
+        if let Some(fences) = self.fences_txn(now, sched) {
             return Some(fences);
         }
-        self.queue_set_aside(now, sched);
-        if sched.dirty.is_empty() && self.litter.is_empty() {
+        self.requeue_oversized(now, sched);
+        if sched.dirty.is_empty() && self.garbage.is_empty() {
             return None;
         }
-        let budget = self.writes.left(now) as usize;
+        let budget = self.change_budget.available(now) as usize;
         let mut draft = Draft::new(self.limits.values().txn_ops.min(budget));
-        if draft.most == 0 {
+        if draft.max_changes == 0 {
             return None;
         }
         self.add_records(now, sched, &mut draft);
-        self.sweep_some(now, &mut draft);
+        self.delete_some_garbage(now, &mut draft);
         if draft.txn.changes.is_empty() {
             return None;
         }
@@ -220,30 +220,34 @@
 
     fn may_send(&mut self, now: Time, sched: &Sched) -> bool {
         let lanes = if sched.dirty.lengths()[0] > 0 {
-            LANES_NOW
+            MAX_TXNS_IN_FLIGHT_URGENT
         } else {
-            LANES
+            MAX_TXNS_IN_FLIGHT
         };
-        now >= self.rest_until && self.under_way.len() < lanes && self.requests.has(now, 1.0)
+        now >= self.backoff_until
+            && self.in_flight.len() < lanes
+            && self.request_budget.has(now, 1.0)
     }
 
     /// The share of the budget of changes that the draft leaves.
-    fn share_left(&mut self, now: Time, draft: &Draft) -> f64 {
-        let budget = self.writes.left(now) as usize;
-        (budget as f64 - draft.changes() as f64) / self.writes.burst()
+    fn budget_share_left(&mut self, now: Time, draft: &Draft) -> f64 {
+        let budget = self.change_budget.available(now) as usize;
+        (budget as f64 - draft.changes() as f64) / self.change_budget.burst()
     }
 
     fn add_records(&mut self, now: Time, sched: &mut Sched, draft: &mut Draft) {
         let mut skipped = vec![];
-        let alone = self.singly > 0;
-        while (!alone || draft.works.is_empty())
-            && let Some(d) = sched.dirty.next(now, self.share_left(now, draft))
+        let alone = self.single_record_txns > 0;
+        while (!alone || draft.writes.is_empty())
+            && let Some(d) = sched.dirty.next(now, self.budget_share_left(now, draft))
         {
             match self.add_record(sched, &d, draft) {
-                Taken::Yes => {}
-                Taken::Busy => skipped.push(d),
-                Taken::TooLarge => self.put_aside(now, sched, (d.job, d.part), d.purpose),
-                Taken::Full => {
+                AddOutcome::Handled => {}
+                AddOutcome::Busy => skipped.push(d),
+                AddOutcome::TooLarge => {
+                    self.defer_oversized(now, sched, (d.job, d.part), d.purpose)
+                }
+                AddOutcome::Full => {
                     if let Some(j) = sched.jobs.get_mut(&d.job) {
                         j.parts[d.part].queued = Some(d.purpose);
                     }
@@ -257,104 +261,108 @@
         }
     }
 
-    fn add_record(&mut self, sched: &mut Sched, d: &Dirty, draft: &mut Draft) -> Taken {
+    fn add_record(&mut self, sched: &mut Sched, d: &Dirty, draft: &mut Draft) -> AddOutcome {
         // Within one transaction a job may appear with several parts.
         if self.busy.contains(&d.job) && !draft.has_job(&d.job) {
-            return Taken::Busy;
+            return AddOutcome::Busy;
         }
         let Some(j) = sched.jobs.get_mut(&d.job) else {
-            return Taken::Yes;
+            return AddOutcome::Handled;
         };
-        if !j.unqueue(d.part, d.purpose) || draft.has_end_of(&d.job) {
-            return Taken::Yes;
+        if !j.unqueue(d.part, d.purpose) || draft.has_final_write(&d.job) {
+            return AddOutcome::Handled;
         }
         let end = sched.final_of(&d.job);
         let Some(j) = sched.jobs.get(&d.job) else {
-            return Taken::Yes;
+            return AddOutcome::Handled;
         };
         let aside = (d.job.clone(), d.part);
-        if end.is_none() && self.set_aside.get(&aside).is_some_and(|a| !a.queued) {
+        if end.is_none() && self.oversized.get(&aside).is_some_and(|a| !a.queued) {
             // It is queued again when its time has come.
-            return Taken::Yes;
+            return AddOutcome::Handled;
         }
         let (what, keys, changes) = match end {
-            Some(end) => self.end_write(j, end),
+            Some(end) => self.final_write(j, end),
             None => self.part_write(j, d.part),
         };
-        let room = self.record_room();
-        if changes.len() > room.values || changes.iter().any(|c| c.value_bytes > room.value_bytes) {
-            return Taken::TooLarge;
+        let room = self.record_limits();
+        if changes.len() > room.max_values
+            || changes.iter().any(|c| c.value_bytes > room.max_value_bytes)
+        {
+            return AddOutcome::TooLarge;
         }
         if !draft.has_room(&changes) {
-            return Taken::Full;
+            return AddOutcome::Full;
         }
-        self.set_aside.remove(&aside);
-        self.require(draft, &d.job, &what, &keys);
+        self.oversized.remove(&aside);
+        self.add_conditions(draft, &d.job, &what, &keys);
         changes.into_iter().for_each(|c| draft.add(c));
-        if matches!(what, What::End) {
+        if matches!(what, WriteTarget::End) {
             sched.final_write_sent(&d.job);
         }
         self.busy.insert(d.job.clone());
-        draft.works.push(Work {
+        draft.writes.push(RecordWrite {
             job: d.job.clone(),
             purpose: d.purpose,
-            what,
+            target: what,
             keys,
         });
-        Taken::Yes
+        AddOutcome::Handled
     }
 
     /// A little at a time along with the rest, and never what others wait for:
     /// the 300 records of one job once took all changes there were for 15 s.
-    fn sweep_some(&mut self, now: Time, draft: &mut Draft) {
-        let some = if draft.works.is_empty() {
-            draft.most
+    fn delete_some_garbage(&mut self, now: Time, draft: &mut Draft) {
+        let some = if draft.writes.is_empty() {
+            draft.max_changes
         } else {
             1
         };
         for _ in 0..some {
-            if draft.changes() >= draft.most || self.share_left(now, draft) < LITTER_RESERVE {
+            if draft.changes() >= draft.max_changes
+                || self.budget_share_left(now, draft) < GARBAGE_RESERVE_SHARE
+            {
                 break;
             }
-            let Some((key, stamp)) = self.litter.pop() else {
+            let Some((key, stamp)) = self.garbage.pop() else {
                 break;
             };
-            draft.require(key.clone(), stamp);
+            draft.add_condition(key.clone(), stamp);
             draft.add(SizedChange::delete(key));
-            self.sent.garbage += 1;
+            self.changes_sent.garbage += 1;
         }
     }
 
     fn send(&mut self, now: Time, mut draft: Draft) -> (TxnId, Txn) {
-        draft.require(LEADER.into(), self.leader);
-        self.writes.take(now, draft.changes() as f64);
-        self.requests.take(now, 1.0);
-        self.singly = self.singly.saturating_sub(1);
-        for w in &draft.works {
-            match w.what {
-                What::Fences(_) => self.sent.fences += 1,
-                _ => self.sent.note(w.purpose, w.keys.len()),
+        draft.add_condition(LEADER_KEY.into(), self.leader_revision);
+        self.change_budget.take(now, draft.changes() as f64);
+        self.request_budget.take(now, 1.0);
+        self.single_record_txns = self.single_record_txns.saturating_sub(1);
+        for w in &draft.writes {
+            match w.target {
+                WriteTarget::Fences(_) => self.changes_sent.fences += 1,
+                _ => self.changes_sent.record(w.purpose, w.keys.len()),
             }
         }
-        let id = TxnId(self.next);
-        self.next += 1;
-        let sent = Sent {
-            works: draft.works,
+        let id = TxnId(self.next_txn_id);
+        self.next_txn_id += 1;
+        let sent = InFlightTxn {
+            writes: draft.writes,
             size: draft.size,
         };
-        self.under_way.insert(id, sent);
+        self.in_flight.insert(id, sent);
         (id, draft.txn)
     }
 
-    fn set_budgets(&mut self, now: Time) {
+    fn apply_limits(&mut self, now: Time) {
         let (writes, requests) = budgets(self.limits.values());
-        self.writes.change_to(now, writes);
-        self.requests.change_to(now, requests);
+        self.change_budget.reconfigure(now, writes);
+        self.request_budget.reconfigure(now, requests);
     }
 
     /// The record of fenced zones goes first: workers wait for it. It takes its
     /// turns like a job's record, under a name that no job has.
-    fn fences(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
+    fn fences_txn(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
         let job = JobId::from("");
         if self.busy.contains(&job) {
             return None;
@@ -363,15 +371,15 @@
         let record = record.within(self.limits.value_bytes());
         let value = serde_json::to_value(record).unwrap_or_default();
         let mut draft = Draft::new(1);
-        draft.require(FENCES.into(), self.stamp(FENCES));
-        draft.add(SizedChange::put(FENCES.into(), value));
+        draft.add_condition(FENCES_KEY.into(), self.revision(FENCES_KEY));
+        draft.add(SizedChange::put(FENCES_KEY.into(), value));
         self.busy.insert(job.clone());
-        draft.works.push(Work {
+        draft.writes.push(RecordWrite {
             job,
             purpose: Purpose::Now,
-            what: What::Fences(ver),
+            target: WriteTarget::Fences(ver),
             keys: vec![KeyWrite {
-                key: FENCES.into(),
+                key: FENCES_KEY.into(),
                 put: true,
             }],
         });
@@ -381,8 +389,11 @@
 
 /// The budgets of changes and of requests under these limits.
 fn budgets(limits: &LimitValues) -> (Budget, Budget) {
-    let burst = (limits.write_rps * WRITES_BURST).max(LEAST_BURST);
-    let writes = Budget::new(limits.write_rps * WRITES_SHARE, burst);
-    let requests = Budget::new(limits.rps * REQUESTS_SHARE, limits.rps * REQUESTS_BURST);
+    let burst = (limits.write_rps * CHANGE_BURST_SHARE).max(MIN_CHANGE_BURST);
+    let writes = Budget::new(limits.write_rps * CHANGE_RATE_SHARE, burst);
+    let requests = Budget::new(
+        limits.rps * REQUEST_RATE_SHARE,
+        limits.rps * REQUEST_BURST_SHARE,
+    );
     (writes, requests)
 }
--- a/src/store/commit/counts.rs
+++ b/src/store/commit/counts.rs
@@ -5,7 +5,7 @@
 use crate::time::{Span, Time};
 
 /// How often the changes by purpose go to the log.
-const SUM_UP_EVERY: Span = Span(10_000_000);
+const LOG_INTERVAL: Span = Span(10_000_000);
 
 /// Changes that were sent, by what they were for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
@@ -19,7 +19,7 @@
 }
 
 impl ChangeCounts {
-    pub(super) fn note(&mut self, purpose: Purpose, changes: usize) {
+    pub(super) fn record(&mut self, purpose: Purpose, changes: usize) {
         let count = match purpose {
             Purpose::Now => &mut self.now,
             Purpose::Start => &mut self.start,
@@ -31,13 +31,13 @@
 }
 
 impl Committer {
-    pub(super) fn sum_up(&mut self, now: Time) {
-        let (at, before) = self.summed_up;
-        if now - at < SUM_UP_EVERY {
+    pub(super) fn log_changes(&mut self, now: Time) {
+        let (at, before) = self.last_logged;
+        if now - at < LOG_INTERVAL {
             return;
         }
-        self.summed_up = (now, self.sent);
-        let s = self.sent;
+        self.last_logged = (now, self.changes_sent);
+        let s = self.changes_sent;
         if s != before {
             tracing::info!(
                 now = s.now - before.now,
@@ -47,7 +47,7 @@
                 garbage = s.garbage - before.garbage,
                 fences = s.fences - before.fences,
                 write_rps = self.limits.values().write_rps,
-                set_aside = self.set_aside.len(),
+                set_aside = self.oversized.len(),
                 "changes by purpose"
             );
         }
--- a/src/store/commit/draft.rs
+++ b/src/store/commit/draft.rs
@@ -1,19 +1,19 @@
 //! A transaction that is being put together, and what it changes.
 
 use super::super::limits::TxnSize;
-use crate::ids::{JobId, Stamp};
+use crate::ids::{JobId, Revision};
 use crate::sched::Purpose;
 use crate::wire::state::{Change, Condition, Txn};
 use serde_json::Value;
 
 /// Room left in a transaction of 64 KiB.
-const MAX_BYTES: usize = 56 * 1024;
+const MAX_TXN_BYTES: usize = 56 * 1024;
 
-pub(super) struct Work {
+pub(super) struct RecordWrite {
     pub(super) job: JobId,
     pub(super) purpose: Purpose,
     /// The part and its version, or the end of the job.
-    pub(super) what: What,
+    pub(super) target: WriteTarget,
     pub(super) keys: Vec<KeyWrite>,
 }
 
@@ -23,7 +23,7 @@
     pub(super) put: bool,
 }
 
-pub(super) enum What {
+pub(super) enum WriteTarget {
     Part(usize, u64),
     End,
     /// The record of fenced zones, which belongs to no job.
@@ -64,9 +64,9 @@
 /// A transaction that is being put together.
 pub(super) struct Draft {
     pub(super) txn: Txn,
-    pub(super) works: Vec<Work>,
+    pub(super) writes: Vec<RecordWrite>,
     pub(super) bytes: usize,
-    pub(super) most: usize,
+    pub(super) max_changes: usize,
     pub(super) size: TxnSize,
 }
 
@@ -74,9 +74,9 @@
     pub(super) fn new(most: usize) -> Draft {
         Draft {
             txn: Txn::default(),
-            works: vec![],
+            writes: vec![],
             bytes: 0,
-            most,
+            max_changes: most,
             size: TxnSize::default(),
         }
     }
@@ -87,11 +87,14 @@
 
     pub(super) fn has_room(&self, changes: &[SizedChange]) -> bool {
         let bytes: usize = changes.iter().map(SizedChange::bytes).sum();
-        self.changes() + changes.len() <= self.most && self.bytes + bytes <= MAX_BYTES
+        self.changes() + changes.len() <= self.max_changes && self.bytes + bytes <= MAX_TXN_BYTES
     }
 
-    pub(super) fn require(&mut self, key: String, stamp: Stamp) {
-        self.txn.conditions.push(Condition { key, stamp });
+    pub(super) fn add_condition(&mut self, key: String, stamp: Revision) {
+        self.txn.conditions.push(Condition {
+            key,
+            revision: stamp,
+        });
     }
 
     pub(super) fn add(&mut self, change: SizedChange) {
@@ -101,12 +104,12 @@
         self.txn.changes.push(change.change);
     }
 
-    pub(super) fn has_end_of(&self, job: &JobId) -> bool {
-        let ends = |w: &Work| w.job == *job && matches!(w.what, What::End);
-        self.works.iter().any(ends)
+    pub(super) fn has_final_write(&self, job: &JobId) -> bool {
+        let ends = |w: &RecordWrite| w.job == *job && matches!(w.target, WriteTarget::End);
+        self.writes.iter().any(ends)
     }
 
     pub(super) fn has_job(&self, job: &JobId) -> bool {
-        self.works.iter().any(|w| w.job == *job)
+        self.writes.iter().any(|w| w.job == *job)
     }
 }
--- a/src/store/commit/outcomes.rs
+++ b/src/store/commit/outcomes.rs
@@ -2,41 +2,44 @@
 
 use super::super::client::ReadError;
 use super::super::pieces::piece_key;
-use super::super::{LEADER, final_key, part_key};
-use super::draft::{What, Work};
-use super::{Committer, Sent, Step};
-use crate::ids::{JobId, Stamp, TxnId};
+use super::super::{LEADER_KEY, final_key, part_key};
+use super::draft::{RecordWrite, WriteTarget};
+use super::{Committer, InFlightTxn, Step};
+use crate::ids::{JobId, Revision, TxnId};
 use crate::sched::job::Final;
 use crate::sched::{Event, Key, Sched};
-use crate::store::Outcome;
+use crate::store::TxnOutcome;
 use crate::time::{Span, Time};
 use crate::wire::state::Item;
 
 /// After a refusal, and after one of the rate.
-const REST: Span = Span(250_000);
-const REST_OF_RATE: Span = Span(100_000);
+const REFUSAL_BACKOFF: Span = Span(250_000);
+const RATE_LIMIT_BACKOFF: Span = Span(100_000);
 /// Who waits for a write is told to come again once changes were refused for so long.
-const REFUSED_FOR: Span = Span(1_000_000);
+const MAX_RATE_LIMITED: Span = Span(1_000_000);
 impl Committer {
-    fn requeue(&mut self, sched: &mut Sched, works: Vec<Work>) {
+    fn requeue(&mut self, sched: &mut Sched, works: Vec<RecordWrite>) {
         for w in works.into_iter().rev() {
             self.busy.remove(&w.job);
-            Self::queue_again(sched, w);
+            Self::requeue_write(sched, w);
         }
     }
 
     /// A transaction with these has certainly not been carried out.
-    fn not_carried_out(sched: &mut Sched, works: &[Work]) {
-        for w in works.iter().filter(|w| matches!(w.what, What::End)) {
+    fn mark_not_applied(sched: &mut Sched, works: &[RecordWrite]) {
+        for w in works
+            .iter()
+            .filter(|w| matches!(w.target, WriteTarget::End))
+        {
             sched.final_write_failed(&w.job);
         }
     }
 
-    fn queue_again(sched: &mut Sched, w: Work) {
-        let part = match w.what {
-            What::Part(p, _) => p,
-            What::End => 0,
-            What::Fences(_) => return sched.fences_again(),
+    fn requeue_write(sched: &mut Sched, w: RecordWrite) {
+        let part = match w.target {
+            WriteTarget::Part(p, _) => p,
+            WriteTarget::End => 0,
+            WriteTarget::Fences(_) => return sched.fences_again(),
         };
         if let Some(j) = sched.jobs.get_mut(&w.job) {
             j.queue(part, &mut sched.dirty, w.purpose);
@@ -44,55 +47,62 @@
     }
 
     /// What became of a transaction.
-    pub fn finished(
+    pub fn handle_outcome(
         &mut self,
         now: Time,
         id: TxnId,
-        outcome: Outcome,
+        outcome: TxnOutcome,
         sched: &mut Sched,
     ) -> (Vec<Event>, Vec<Step>) {
-        let Some(sent) = self.under_way.remove(&id) else {
+        let Some(sent) = self.in_flight.remove(&id) else {
             return (vec![], vec![]);
         };
-        if outcome != Outcome::TooMany {
+        if outcome != TxnOutcome::RateLimited {
             self.refused_since = None;
         }
         let events = match outcome {
-            Outcome::Ok(stamp) => self.carried_out(sent.works, stamp, sched),
-            Outcome::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
+            TxnOutcome::Ok(stamp) => self.handle_applied(sent.writes, stamp, sched),
+            TxnOutcome::Conflict(failed) if failed.iter().any(|k| k == LEADER_KEY) => {
                 return (vec![], vec![Step::Deposed]);
             }
-            Outcome::Conflict(failed) => {
-                return (vec![], self.conflict(sent.works, &failed, sched));
+            TxnOutcome::Conflict(failed) => {
+                return (vec![], self.handle_conflict(sent.writes, &failed, sched));
             }
-            Outcome::NotDone | Outcome::NoLease => self.refused(now, sent.works, sched),
-            Outcome::TooLarge => self.too_large(now, sent, sched),
-            Outcome::TooMany => self.too_many(now, sent.works, sched),
-            Outcome::Unclear => {
-                self.rest_until = now + REST_OF_RATE;
-                self.requeue(sched, sent.works);
+            TxnOutcome::NotApplied | TxnOutcome::NoLease => {
+                self.handle_refused(now, sent.writes, sched)
+            }
+            TxnOutcome::TooLarge => self.handle_too_large(now, sent, sched),
+            TxnOutcome::RateLimited => self.handle_rate_limited(now, sent.writes, sched),
+            TxnOutcome::Unknown => {
+                self.backoff_until = now + RATE_LIMIT_BACKOFF;
+                self.requeue(sched, sent.writes);
                 vec![]
             }
         };
         (events, vec![])
     }
 
-    fn carried_out(&mut self, works: Vec<Work>, stamp: Stamp, sched: &Sched) -> Vec<Event> {
+    fn handle_applied(
+        &mut self,
+        works: Vec<RecordWrite>,
+        stamp: Revision,
+        sched: &Sched,
+    ) -> Vec<Event> {
         let mut events = vec![];
         for w in works {
             self.busy.remove(&w.job);
             for k in w.keys {
-                if k.put && !matches!(w.what, What::End) {
-                    self.stamps.insert(k.key, stamp);
+                if k.put && !matches!(w.target, WriteTarget::End) {
+                    self.revisions.insert(k.key, stamp);
                 } else {
-                    self.stamps.remove(&k.key);
+                    self.revisions.remove(&k.key);
                 }
             }
-            events.push(match w.what {
-                What::Part(p, ver) => Event::Stored(Key::Part(w.job, p), ver),
-                What::Fences(ver) => Event::Stored(Key::Fences, ver),
-                What::End => {
-                    self.sweep(sched, &w.job);
+            events.push(match w.target {
+                WriteTarget::Part(p, ver) => Event::Stored(Key::Part(w.job, p), ver),
+                WriteTarget::Fences(ver) => Event::Stored(Key::Fences, ver),
+                WriteTarget::End => {
+                    self.collect_garbage(sched, &w.job);
                     Event::Stored(Key::Final(w.job), 0)
                 }
             });
@@ -102,10 +112,15 @@
 
     /// Ours alone may write here, so these are earlier writes of our own whose
     /// answers were lost: read back, then go on from there.
-    fn conflict(&mut self, works: Vec<Work>, failed: &[String], sched: &mut Sched) -> Vec<Step> {
-        Self::not_carried_out(sched, &works);
+    fn handle_conflict(
+        &mut self,
+        works: Vec<RecordWrite>,
+        failed: &[String],
+        sched: &mut Sched,
+    ) -> Vec<Step> {
+        Self::mark_not_applied(sched, &works);
         let mut steps = vec![];
-        let (hit, fine): (Vec<Work>, Vec<Work>) = works.into_iter().partition(|w| {
+        let (hit, fine): (Vec<RecordWrite>, Vec<RecordWrite>) = works.into_iter().partition(|w| {
             let end = final_key(&w.job);
             let of_job = |k: &String| *k == end || w.keys.iter().any(|x| x.key == *k);
             failed.iter().any(of_job)
@@ -116,18 +131,23 @@
             keys.push(final_key(&w.job));
             keys.dedup();
             for k in keys.into_iter().filter(|k| failed.contains(k)) {
-                self.reading.insert(k.clone(), w.job.clone());
+                self.pending_reads.insert(k.clone(), w.job.clone());
                 steps.push(Step::Read(k));
             }
-            Self::queue_again(sched, w);
+            Self::requeue_write(sched, w);
         }
         steps
     }
 
     /// Nothing is carried out at the moment.
-    fn refused(&mut self, now: Time, works: Vec<Work>, sched: &mut Sched) -> Vec<Event> {
-        self.rest_until = now + REST;
-        Self::not_carried_out(sched, &works);
+    fn handle_refused(
+        &mut self,
+        now: Time,
+        works: Vec<RecordWrite>,
+        sched: &mut Sched,
+    ) -> Vec<Event> {
+        self.backoff_until = now + REFUSAL_BACKOFF;
+        Self::mark_not_applied(sched, &works);
         // Whoever waits for these is told at once to come again.
         let events = works.iter().map(|w| Event::NotStored(w.job.clone()));
         let events = events.collect();
@@ -136,28 +156,30 @@
     }
 
     /// It is sent again in smaller transactions and values, if that may help.
-    fn too_large(&mut self, now: Time, sent: Sent, sched: &mut Sched) -> Vec<Event> {
-        if self.limits.refused_size(sent.size) {
-            self.set_budgets(now);
-            Self::not_carried_out(sched, &sent.works);
-            self.requeue(sched, sent.works);
+    fn handle_too_large(&mut self, now: Time, sent: InFlightTxn, sched: &mut Sched) -> Vec<Event> {
+        if self.limits.handle_size_refusal(sent.size) {
+            self.apply_limits(now);
+            Self::mark_not_applied(sched, &sent.writes);
+            self.requeue(sched, sent.writes);
             return vec![];
         }
-        if sent.works.len() > 1 {
+        if sent.writes.len() > 1 {
             // One of them is at fault.
-            self.singly = sent.works.len();
-            Self::not_carried_out(sched, &sent.works);
-            self.requeue(sched, sent.works);
+            self.single_record_txns = sent.writes.len();
+            Self::mark_not_applied(sched, &sent.writes);
+            self.requeue(sched, sent.writes);
             return vec![];
         }
-        Self::not_carried_out(sched, &sent.works);
-        for w in sent.works {
+        Self::mark_not_applied(sched, &sent.writes);
+        for w in sent.writes {
             self.busy.remove(&w.job);
-            match w.what {
-                What::Part(part, _) => self.put_aside(now, sched, (w.job, part), w.purpose),
-                What::End => self.put_aside(now, sched, (w.job, 0), w.purpose),
-                What::Fences(_) => {
-                    self.rest_until = now + REST;
+            match w.target {
+                WriteTarget::Part(part, _) => {
+                    self.defer_oversized(now, sched, (w.job, part), w.purpose)
+                }
+                WriteTarget::End => self.defer_oversized(now, sched, (w.job, 0), w.purpose),
+                WriteTarget::Fences(_) => {
+                    self.backoff_until = now + REFUSAL_BACKOFF;
                     sched.fences_again();
                 }
             }
@@ -166,38 +188,43 @@
     }
 
     /// Who waits for these need not ask again: they are sent in a moment.
-    fn too_many(&mut self, now: Time, works: Vec<Work>, sched: &mut Sched) -> Vec<Event> {
+    fn handle_rate_limited(
+        &mut self,
+        now: Time,
+        works: Vec<RecordWrite>,
+        sched: &mut Sched,
+    ) -> Vec<Event> {
         let since = *self.refused_since.get_or_insert(now);
-        if self.limits.refused_rate(now) {
-            self.set_budgets(now);
+        if self.limits.handle_rate_refusal(now) {
+            self.apply_limits(now);
         }
-        self.writes.empty(now);
-        if now - since > REFUSED_FOR {
-            return self.refused(now, works, sched);
+        self.change_budget.drain(now);
+        if now - since > MAX_RATE_LIMITED {
+            return self.handle_refused(now, works, sched);
         }
-        self.rest_until = now + REST_OF_RATE;
-        Self::not_carried_out(sched, &works);
+        self.backoff_until = now + RATE_LIMIT_BACKOFF;
+        Self::mark_not_applied(sched, &works);
         self.requeue(sched, works);
         vec![]
     }
 
     /// Parts of a finished job that did not fit into its last transaction.
-    fn sweep(&mut self, sched: &Sched, job: &JobId) {
+    fn collect_garbage(&mut self, sched: &Sched, job: &JobId) {
         let parts = sched.jobs.get(job).map_or(0, |j| j.parts.len());
         for part in 0..parts {
             let pieces = (1..).map(|n| piece_key(job, part, n));
-            let stored = pieces.take_while(|k| self.stamps.contains_key(k));
+            let stored = pieces.take_while(|k| self.revisions.contains_key(k));
             let keys: Vec<String> = stored.chain([part_key(job, part)]).collect();
             for key in keys {
-                if let Some(stamp) = self.stamps.remove(&key) {
-                    self.litter.push((key, stamp));
+                if let Some(stamp) = self.revisions.remove(&key) {
+                    self.garbage.push((key, stamp));
                 }
             }
         }
     }
 
     /// A key that was read back; `Err` makes it be read again.
-    pub fn read_back(
+    pub fn handle_read(
         &mut self,
         key: String,
         r: Result<Option<Item>, ReadError>,
@@ -206,7 +233,7 @@
         let Ok(item) = r else {
             return (vec![], vec![Step::Read(key)]);
         };
-        let Some(job) = self.reading.remove(&key) else {
+        let Some(job) = self.pending_reads.remove(&key) else {
             return (vec![], vec![]);
         };
         let mut events = vec![];
@@ -214,18 +241,18 @@
         match item {
             Some(i) if is_final => {
                 if let Ok(f) = serde_json::from_value::<Final>(i.value) {
-                    self.sweep(sched, &job);
+                    self.collect_garbage(sched, &job);
                     events.push(Event::AlreadyFinal(job.clone(), f));
                 }
             }
             Some(i) => {
-                self.stamps.insert(key, i.stamp);
+                self.revisions.insert(key, i.revision);
             }
             None => {
-                self.stamps.remove(&key);
+                self.revisions.remove(&key);
             }
         }
-        if !self.reading.values().any(|j| *j == job) {
+        if !self.pending_reads.values().any(|j| *j == job) {
             self.busy.remove(&job);
         }
         (events, vec![])
--- a/src/store/commit/set_aside.rs
+++ b/src/store/commit/oversized.rs
@@ -7,10 +7,10 @@
 
 /// A record that the limits don't hold is tried again after so long at first, and at
 /// the most.
-const SET_ASIDE: Span = Span(5_000_000);
-const SET_ASIDE_MOST: Span = Span(60_000_000);
+const RETRY_INITIAL: Span = Span(5_000_000);
+const RETRY_MAX: Span = Span(60_000_000);
 /// A record that the limits don't hold, and when it is tried again.
-pub(super) struct SetAside {
+pub(super) struct OversizedRecord {
     pub(super) due: Time,
     pub(super) backoff: Span,
     pub(super) purpose: Purpose,
@@ -20,14 +20,14 @@
 
 impl Committer {
     /// What was too large may fit now.
-    pub(super) fn retry_set_aside(&mut self) {
-        for aside in self.set_aside.values_mut() {
+    pub(super) fn retry_oversized(&mut self) {
+        for aside in self.oversized.values_mut() {
             aside.due = Time::default();
         }
     }
 
     /// The limits don't hold this record: the others go on without it.
-    pub(super) fn put_aside(
+    pub(super) fn defer_oversized(
         &mut self,
         now: Time,
         sched: &mut Sched,
@@ -35,26 +35,26 @@
         purpose: Purpose,
     ) {
         sched.not_stored(&of.0);
-        if !self.set_aside.contains_key(&of) {
+        if !self.oversized.contains_key(&of) {
             let (job, part) = &of;
             let format = self.format;
             tracing::error!(%job, part, ?format, "a record is too large for the limits in force");
         }
-        let aside = self.set_aside.entry(of).or_insert(SetAside {
+        let aside = self.oversized.entry(of).or_insert(OversizedRecord {
             due: now,
-            backoff: SET_ASIDE,
+            backoff: RETRY_INITIAL,
             purpose,
             queued: false,
         });
         aside.due = now + aside.backoff;
-        aside.backoff = SET_ASIDE_MOST.min(Span(aside.backoff.0 * 2));
+        aside.backoff = RETRY_MAX.min(Span(aside.backoff.0 * 2));
         aside.purpose = aside.purpose.min(purpose);
         aside.queued = false;
     }
 
     /// What was set aside is tried again.
-    pub(super) fn queue_set_aside(&mut self, now: Time, sched: &mut Sched) {
-        self.set_aside.retain(|(job, part), aside| {
+    pub(super) fn requeue_oversized(&mut self, now: Time, sched: &mut Sched) {
+        self.oversized.retain(|(job, part), aside| {
             let Some(j) = sched.jobs.get_mut(job) else {
                 return false;
             };
--- a/src/store/commit/records.rs
+++ b/src/store/commit/records.rs
@@ -1,32 +1,32 @@
 //! What is written for an entry of the queue, and on which conditions.
 
-use super::super::pieces::{self, RecordRoom};
+use super::super::pieces::{self, RecordLimits};
 use super::super::{final_key, part_key};
 use super::Committer;
-use super::draft::{Draft, KeyWrite, SizedChange, What};
-use crate::ids::{JobId, Stamp};
+use super::draft::{Draft, KeyWrite, SizedChange, WriteTarget};
+use crate::ids::{JobId, Revision};
 use crate::sched::job::{Final, Job};
 use crate::store::RecordFormat;
 use serde_json::Value;
 
 impl Committer {
     /// The values of a part's record.
-    pub(super) fn values(&self, job: &Job, part: usize) -> Vec<Value> {
+    pub(super) fn record_values(&self, job: &Job, part: usize) -> Vec<Value> {
         if self.format == RecordFormat::Legacy {
             return vec![job.encode(part)];
         }
-        let room = self.record_room();
-        pieces::split(job.encode_compact(part, room), room.value_bytes)
+        let room = self.record_limits();
+        pieces::split_record(job.encode_compact(part, room), room.max_value_bytes)
     }
 
-    pub(super) fn record_room(&self) -> RecordRoom {
-        RecordRoom {
-            value_bytes: self.limits.value_bytes(),
-            values: self
+    pub(super) fn record_limits(&self) -> RecordLimits {
+        RecordLimits {
+            max_value_bytes: self.limits.value_bytes(),
+            max_values: self
                 .limits
                 .values()
                 .txn_ops
-                .min(self.writes.burst() as usize),
+                .min(self.change_budget.burst() as usize),
         }
     }
 
@@ -34,21 +34,25 @@
         &self,
         job: &Job,
         part: usize,
-    ) -> (What, Vec<KeyWrite>, Vec<SizedChange>) {
-        let values = self.values(job, part);
-        let keys: Vec<String> = pieces::keys(job.id(), part, values.len()).collect();
+    ) -> (WriteTarget, Vec<KeyWrite>, Vec<SizedChange>) {
+        let values = self.record_values(job, part);
+        let keys: Vec<String> = pieces::record_keys(job.id(), part, values.len()).collect();
         let puts = keys.iter().cloned().zip(values);
         let puts = puts.map(|(key, value)| SizedChange::put(key, value));
         let puts = puts.collect();
         let keys = keys.into_iter().map(|key| KeyWrite { key, put: true });
-        (What::Part(part, job.parts[part].ver), keys.collect(), puts)
+        (
+            WriteTarget::Part(part, job.parts[part].ver),
+            keys.collect(),
+            puts,
+        )
     }
 
-    pub(super) fn end_write(
+    pub(super) fn final_write(
         &self,
         job: &Job,
         end: Final,
-    ) -> (What, Vec<KeyWrite>, Vec<SizedChange>) {
+    ) -> (WriteTarget, Vec<KeyWrite>, Vec<SizedChange>) {
         let key = final_key(job.id());
         let mut change = SizedChange::put(key.clone(), job.final_record(end));
         if change.value_bytes > self.limits.value_bytes() {
@@ -59,7 +63,7 @@
         let mut changes = vec![change];
         let first = part_key(job.id(), 0);
         // The first record names the job; the others are litter without it.
-        if self.stamps.contains_key(&first) {
+        if self.revisions.contains_key(&first) {
             changes.push(SizedChange::delete(first.clone()));
         }
         // As far as we know it was never stored, otherwise. Its first write may
@@ -67,18 +71,24 @@
         // next leader would find the job as it was at first.
         let keys = [(key, true), (first, false)];
         let keys = keys.map(|(key, put)| KeyWrite { key, put });
-        (What::End, keys.into(), changes)
+        (WriteTarget::End, keys.into(), changes)
     }
 
-    pub(super) fn require(&self, draft: &mut Draft, job: &JobId, what: &What, keys: &[KeyWrite]) {
+    pub(super) fn add_conditions(
+        &self,
+        draft: &mut Draft,
+        job: &JobId,
+        what: &WriteTarget,
+        keys: &[KeyWrite],
+    ) {
         for k in keys {
-            draft.require(k.key.clone(), self.stamp(&k.key));
+            draft.add_condition(k.key.clone(), self.revision(&k.key));
         }
-        if let What::Part(0, _) = what
-            && self.stamp(&keys[0].key) == Stamp(0)
+        if let WriteTarget::Part(0, _) = what
+            && self.revision(&keys[0].key) == Revision(0)
         {
             // A new job: unless it is over already.
-            draft.require(final_key(job), Stamp(0));
+            draft.add_condition(final_key(job), Revision(0));
         }
     }
 }
--- a/src/store/format.rs
+++ b/src/store/format.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Holds a [`FormatRecord`] once every controller reads compact records.
-pub const FORMAT: &str = "hookworks/format";
+pub const FORMAT_KEY: &str = "hookworks/format";
 
 /// The form in which the leader writes records. Both are always read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/src/store/pieces.rs
+++ b/src/store/pieces.rs
@@ -5,8 +5,8 @@
 //! written in one transaction, and each carries the checksum of the whole text, so
 //! that pieces of different writes are never joined.
 
-use super::{PIECES, part_key};
-use crate::ids::{JobId, Stamp};
+use super::{PIECES_PREFIX, part_key};
+use crate::ids::{JobId, Revision};
 use crate::wire::state::Item;
 use crate::wire::user::JobState;
 use serde::{Deserialize, Serialize};
@@ -15,44 +15,45 @@
 use thiserror::Error;
 
 /// What a piece takes besides its share of the text.
-const FRAME: usize = 72;
+const PIECE_OVERHEAD_BYTES: usize = 72;
 /// Most pieces of a record that are believed.
-const MOST_PIECES: usize = 64;
+const MAX_PIECES: usize = 64;
 
 /// How many bytes a value may have, and how many values a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RecordRoom {
-    pub value_bytes: usize,
-    pub values: usize,
+pub struct RecordLimits {
+    pub max_value_bytes: usize,
+    pub max_values: usize,
 }
 
-impl RecordRoom {
+impl RecordLimits {
     /// The record fits, cut if need be.
-    pub fn holds(&self, record: &Value) -> bool {
-        needed(&record.to_string(), self.value_bytes) <= self.values
+    pub fn fits(&self, record: &Value) -> bool {
+        values_needed(&record.to_string(), self.max_value_bytes) <= self.max_values
     }
 
     /// Bytes by which the record may grow without needing more values; those that
     /// it may need, if it is more than one anyway.
-    pub fn spare(&self, record: &Value) -> usize {
+    pub fn growth_bytes(&self, record: &Value) -> usize {
         let text = record.to_string();
-        if text.len() <= self.value_bytes {
-            return self.value_bytes - text.len();
+        if text.len() <= self.max_value_bytes {
+            return self.max_value_bytes - text.len();
         }
-        let room = share(self.value_bytes) * needed(&text, self.value_bytes);
+        let room =
+            text_bytes_per_value(self.max_value_bytes) * values_needed(&text, self.max_value_bytes);
         // Half, as what is added may have to be escaped.
-        room.saturating_sub(escaped(&text)) / 2
+        room.saturating_sub(escaped_len(&text)) / 2
     }
 }
 
 /// Where the further pieces of a record stand.
 pub fn piece_key(id: &JobId, part: usize, piece: usize) -> String {
-    format!("{PIECES}{id}/{part:06}/{piece}")
+    format!("{PIECES_PREFIX}{id}/{part:06}/{piece}")
 }
 
 /// The piece that stands under the record's own key.
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct FirstPiece {
     pieces: usize,
     sum: u32,
     /// Whoever can't read the rest is still told that the job was cancelled.
@@ -80,11 +81,11 @@
     Text,
 }
 
-fn share(value_bytes: usize) -> usize {
-    value_bytes.saturating_sub(FRAME).max(1)
+fn text_bytes_per_value(value_bytes: usize) -> usize {
+    value_bytes.saturating_sub(PIECE_OVERHEAD_BYTES).max(1)
 }
 
-fn escaped_char(c: char) -> usize {
+fn escaped_char_len(c: char) -> usize {
     match c {
         '"' | '\\' => 2,
         '\u{0}'..='\u{1f}' => 6,
@@ -92,17 +93,17 @@
     }
 }
 
-fn escaped(text: &str) -> usize {
-    text.chars().map(escaped_char).sum()
+fn escaped_len(text: &str) -> usize {
+    text.chars().map(escaped_char_len).sum()
 }
 
 /// Cuts a text so that each share fits a value.
-fn cut(text: &str, value_bytes: usize) -> Vec<&str> {
-    let most = share(value_bytes);
+fn split_text(text: &str, value_bytes: usize) -> Vec<&str> {
+    let most = text_bytes_per_value(value_bytes);
     let mut shares = vec![];
     let (mut from, mut used) = (0, 0);
     for (at, c) in text.char_indices() {
-        let more = escaped_char(c);
+        let more = escaped_char_len(c);
         if used + more > most && at > from {
             shares.push(&text[from..at]);
             (from, used) = (at, 0);
@@ -114,22 +115,22 @@
 }
 
 /// How many values a record's text takes.
-pub fn needed(text: &str, value_bytes: usize) -> usize {
+pub fn values_needed(text: &str, value_bytes: usize) -> usize {
     match text.len() <= value_bytes {
         true => 1,
-        false => cut(text, value_bytes).len(),
+        false => split_text(text, value_bytes).len(),
     }
 }
 
 /// The values of a record, the first for its own key.
-pub fn split(record: Value, value_bytes: usize) -> Vec<Value> {
+pub fn split_record(record: Value, value_bytes: usize) -> Vec<Value> {
     let text = record.to_string();
     if text.len() <= value_bytes {
         return vec![record];
     }
     let sum = crc32fast::hash(text.as_bytes());
-    let shares = cut(&text, value_bytes);
-    let head = Head {
+    let shares = split_text(&text, value_bytes);
+    let head = FirstPiece {
         pieces: shares.len(),
         sum,
         cancelled: record.get("cancelled").and_then(Value::as_bool) == Some(true),
@@ -149,16 +150,16 @@
 ///
 /// # Errors
 /// If a piece is missing or of another write.
-pub fn join(
+pub fn join_record(
     id: &JobId,
     part: usize,
     value: &Value,
     pieces: &BTreeMap<String, Value>,
 ) -> Result<Value, JoinError> {
-    let Ok(head) = Head::deserialize(value) else {
+    let Ok(head) = FirstPiece::deserialize(value) else {
         return Ok(value.clone());
     };
-    if head.pieces > MOST_PIECES {
+    if head.pieces > MAX_PIECES {
         return Err(JoinError::Text);
     }
     let mut text = head.text;
@@ -177,32 +178,35 @@
 }
 
 /// The job that a piece belongs to.
-pub fn owner(key: &str) -> Option<JobId> {
-    let mut names = key.strip_prefix(PIECES)?.rsplitn(3, '/');
+pub fn job_of_piece(key: &str) -> Option<JobId> {
+    let mut names = key.strip_prefix(PIECES_PREFIX)?.rsplitn(3, '/');
     let _piece: usize = names.next()?.parse().ok()?;
     let _part: usize = names.next()?.parse().ok()?;
     names.next().map(JobId::from)
 }
 
 /// Keys with their stamps.
-type Stamped = Vec<(String, Stamp)>;
+type KeyRevisions = Vec<(String, Revision)>;
 
 /// The further pieces that a new leader found.
 pub struct Pieces {
     values: BTreeMap<String, Value>,
-    stamps: Stamped,
+    revisions: KeyRevisions,
 }
 
 impl Pieces {
     pub fn new(items: Vec<Item>) -> Pieces {
-        let stamps = items.iter().map(|i| (i.key.clone(), i.stamp)).collect();
+        let stamps = items.iter().map(|i| (i.key.clone(), i.revision)).collect();
         let values = items.into_iter().map(|i| (i.key, i.value)).collect();
-        Pieces { values, stamps }
+        Pieces {
+            values,
+            revisions: stamps,
+        }
     }
 
     /// The whole record of a part, or none if it can't be read.
     pub fn join(&self, id: &JobId, part: usize, first: &Item) -> Option<Value> {
-        let joined = join(id, part, &first.value, &self.values);
+        let joined = join_record(id, part, &first.value, &self.values);
         let told =
             joined.inspect_err(|e| tracing::error!(key = %first.key, error = %e, "a record"));
         told.ok()
@@ -210,11 +214,15 @@
 
     /// What belongs to jobs that are known, and what is left of others. Pieces of
     /// records that can't be read are neither: they are left alone.
-    pub fn sort(self, known: impl Fn(&JobId) -> bool, alone: &Unreadable) -> (Stamped, Stamped) {
+    pub fn partition(
+        self,
+        known: impl Fn(&JobId) -> bool,
+        alone: &UnreadableJobs,
+    ) -> (KeyRevisions, KeyRevisions) {
         let mut of_jobs = vec![];
         let mut left_over = vec![];
-        for (key, stamp) in self.stamps {
-            match owner(&key) {
+        for (key, stamp) in self.revisions {
+            match job_of_piece(&key) {
                 Some(id) if known(&id) => of_jobs.push((key, stamp)),
                 Some(id) if alone.contains_key(&id) => {}
                 _ => left_over.push((key, stamp)),
@@ -225,10 +233,10 @@
 }
 
 /// Jobs whose records can't be read, and what they are told as.
-type Unreadable = BTreeMap<JobId, JobState>;
+type UnreadableJobs = BTreeMap<JobId, JobState>;
 
 /// The keys of a record that takes so many values.
-pub fn keys(id: &JobId, part: usize, values: usize) -> impl Iterator<Item = String> {
+pub fn record_keys(id: &JobId, part: usize, values: usize) -> impl Iterator<Item = String> {
     let first = part_key(id, part);
     std::iter::once(first).chain((1..values).map(move |n| piece_key(id, part, n)))
 }
--- a/src/versions/announce.rs
+++ b/src/versions/announce.rs
@@ -2,19 +2,19 @@
 //! reach: a key of its own, attached to a lease, for as long as the switch to compact
 //! records is not on record.
 
-use super::{OWN, VersionTable};
-use crate::ids::{ControllerVersion, Instance, Label};
-use crate::store::client::{Outcome, State};
-use crate::store::{FORMAT, FormatRecord, VERSIONS};
+use super::{OWN_VERSION, VersionTable};
+use crate::ids::{ControllerId, ControllerVersion, Instance};
+use crate::store::client::{StateStore, TxnOutcome};
+use crate::store::{FORMAT_KEY, FormatRecord, VERSIONS_PREFIX};
 use crate::time::{Span, Time};
 use crate::wire::state::{Change, Item, Txn};
 use serde::{Deserialize, Serialize};
 
 /// The lease of the key, and how often it is renewed.
-const LEASE: Span = Span(10_000_000);
-const RENEW_EVERY: Span = Span(3_000_000);
+const LEASE_TTL: Span = Span(10_000_000);
+const RENEW_INTERVAL: Span = Span(3_000_000);
 /// After a request that failed: at first, and at the most.
-const RETRY: (Span, Span) = (Span(300_000), Span(5_000_000));
+const RETRY_BACKOFF: (Span, Span) = (Span(300_000), Span(5_000_000));
 
 /// The value of a controller's key under [`VERSIONS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,13 +26,13 @@
 }
 
 /// The key under which a controller tells its version.
-pub fn version_key(label: &Label) -> String {
-    format!("{VERSIONS}{label}")
+pub fn version_key(label: &ControllerId) -> String {
+    format!("{VERSIONS_PREFIX}{label}")
 }
 
 /// Takes what a key under [`VERSIONS`] says.
-pub fn take_stored(now: Time, item: &Item, versions: &mut VersionTable) {
-    let label = Label::from(item.key.trim_start_matches(VERSIONS));
+pub fn record_stored_version(now: Time, item: &Item, versions: &mut VersionTable) {
+    let label = ControllerId::from(item.key.trim_start_matches(VERSIONS_PREFIX));
     let Ok(record) = VersionRecord::deserialize(&item.value) else {
         tracing::warn!(key = %item.key, "the version of a controller can't be read");
         return;
@@ -46,24 +46,24 @@
 /// waiting.
 pub struct Announcer<S> {
     state: S,
-    label: Label,
+    label: ControllerId,
     instance: Instance,
     /// The lease of the key, once that is written.
     lease: Option<u64>,
     /// The pause after the next failure.
-    retry: Span,
+    backoff: Span,
     pause: Span,
 }
 
-impl<S: State> Announcer<S> {
+impl<S: StateStore> Announcer<S> {
     /// Nothing is told yet.
-    pub fn new(state: S, label: Label, instance: Instance) -> Announcer<S> {
+    pub fn new(state: S, label: ControllerId, instance: Instance) -> Announcer<S> {
         Announcer {
             state,
             label,
             instance,
             lease: None,
-            retry: RETRY.0,
+            backoff: RETRY_BACKOFF.0,
             pause: Span::ZERO,
         }
     }
@@ -81,25 +81,25 @@
     /// Writes or renews the key. Returns the switch once it is on record; there is
     /// nothing left to tell then.
     pub fn step(&mut self) -> Option<FormatRecord> {
-        match self.state.get(FORMAT) {
+        match self.state.get(FORMAT_KEY) {
             Ok(Some(item)) => {
-                self.end();
+                self.withdraw();
                 return Some(FormatRecord::read(&item.value));
             }
-            Ok(None) if self.told() => {
-                self.pause = RENEW_EVERY;
-                self.retry = RETRY.0;
+            Ok(None) if self.ensure_written() => {
+                self.pause = RENEW_INTERVAL;
+                self.backoff = RETRY_BACKOFF.0;
             }
             Ok(None) | Err(_) => {
-                self.pause = self.retry;
-                self.retry = Span(2 * self.retry.0).min(RETRY.1);
+                self.pause = self.backoff;
+                self.backoff = Span(2 * self.backoff.0).min(RETRY_BACKOFF.1);
             }
         }
         None
     }
 
     /// The key stands, as far as is known.
-    fn told(&mut self) -> bool {
+    fn ensure_written(&mut self) -> bool {
         match self.lease.map(|lease| self.state.renew(lease)) {
             Some(Ok(true)) => true,
             Some(Err(_)) => false,
@@ -109,11 +109,11 @@
 
     fn write(&mut self) -> bool {
         self.lease = None;
-        let Ok(lease) = self.state.grant(LEASE.0 / 1000) else {
+        let Ok(lease) = self.state.grant(LEASE_TTL.0 / 1000) else {
             return false;
         };
         let record = VersionRecord {
-            speaks: OWN,
+            speaks: OWN_VERSION,
             instance: self.instance,
         };
         let put = Change::Put {
@@ -126,7 +126,7 @@
             changes: vec![put],
         };
         match self.state.txn(&txn) {
-            Outcome::Ok(_) => {
+            TxnOutcome::Ok(_) => {
                 self.lease = Some(lease);
                 true
             }
@@ -139,7 +139,7 @@
     }
 
     /// The key goes with its lease.
-    fn end(&mut self) {
+    fn withdraw(&mut self) {
         if let Some(lease) = self.lease.take() {
             self.state.revoke(lease);
         }
--- a/src/versions/mod.rs
+++ b/src/versions/mod.rs
@@ -15,7 +15,7 @@
 mod table;
 
 pub use announce::Announcer;
-pub use switch::Switch;
+pub use switch::FormatSwitch;
 pub use table::{VersionSource, VersionTable};
 
 use crate::ids::ControllerVersion;
@@ -28,10 +28,10 @@
 /// Compact records, and jobs that wait for others.
 pub const JOB_CHAINS: ControllerVersion = ControllerVersion(2);
 /// The version of this program.
-pub const OWN: ControllerVersion = JOB_CHAINS;
+pub const OWN_VERSION: ControllerVersion = JOB_CHAINS;
 
 /// The newest form of records that a controller of this version reads.
-pub fn reads(version: ControllerVersion) -> RecordFormat {
+pub fn newest_readable_format(version: ControllerVersion) -> RecordFormat {
     match version >= JOB_CHAINS {
         true => RecordFormat::Compact,
         false => RecordFormat::Legacy,
--- a/src/versions/switch.rs
+++ b/src/versions/switch.rs
@@ -1,17 +1,17 @@
 //! The switch to compact records, as the leader decides and stores it.
 
 use super::{JOB_CHAINS, VersionTable, announce};
-use crate::ids::Stamp;
-use crate::store::client::Outcome;
-use crate::store::{FORMAT, FormatRecord, LEADER, RecordFormat};
-use crate::time::{Span, Time, Wall};
+use crate::ids::Revision;
+use crate::store::client::TxnOutcome;
+use crate::store::{FORMAT_KEY, FormatRecord, LEADER_KEY, RecordFormat};
+use crate::time::{Span, Time, WallTime};
 use crate::wire::state::{Change, Condition, Item, Txn};
 
 /// The versions that controllers have written to the state service are read so often
 /// while they are needed.
-const READ_EVERY: Span = Span(1_000_000);
+const READ_INTERVAL: Span = Span(1_000_000);
 /// After a request that failed, the next one is made so much later.
-const RETRY_AFTER: Span = Span(300_000);
+const RETRY_DELAY: Span = Span(300_000);
 
 /// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,11 +26,11 @@
 
 /// What became of a [`Step`].
 #[derive(Clone, Debug)]
-pub enum Reply {
+pub enum StepResult {
     /// The keys of the controllers that have written their versions.
     Versions(Result<Vec<Item>, ()>),
     /// What became of the transaction.
-    Store(Outcome),
+    Store(TxnOutcome),
     /// The key with the switch.
     Format(Result<Option<Item>, ()>),
 }
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum SwitchState {
     /// Until all controllers are known to read compact records.
     Waiting,
     /// A read is under way.
@@ -62,21 +62,21 @@
 
 /// The switch, in one term of the leader.
 #[derive(Clone, Debug)]
-pub struct Switch {
-    leader: Stamp,
-    state: State,
+pub struct FormatSwitch {
+    leader_revision: Revision,
+    state: SwitchState,
     not_before: Time,
     next_read: Time,
 }
 
-impl Switch {
+impl FormatSwitch {
     /// The leader's key has this stamp; `format` is what it has read as it took over.
-    pub fn new(leader: Stamp, format: RecordFormat) -> Switch {
-        Switch {
-            leader,
+    pub fn new(leader: Revision, format: RecordFormat) -> FormatSwitch {
+        FormatSwitch {
+            leader_revision: leader,
             state: match format {
-                RecordFormat::Legacy => State::Waiting,
-                RecordFormat::Compact => State::Stored,
+                RecordFormat::Legacy => SwitchState::Waiting,
+                RecordFormat::Compact => SwitchState::Stored,
             },
             not_before: Time::default(),
             next_read: Time::default(),
@@ -84,41 +84,44 @@
     }
 
     /// The next request, if one is due. The leadership must be proven.
-    pub fn next(&mut self, now: Time, day: Wall, versions: &VersionTable) -> Option<Step> {
+    pub fn next_step(&mut self, now: Time, day: WallTime, versions: &VersionTable) -> Option<Step> {
         if now < self.not_before {
             return None;
         }
         let step = match self.state {
-            State::Reading | State::Storing(_) | State::Stored => return None,
-            State::Unclear => Step::ReadFormat,
-            State::Waiting if versions.all_read(RecordFormat::Compact) => {
-                return Some(self.store(day));
+            SwitchState::Reading | SwitchState::Storing(_) | SwitchState::Stored => return None,
+            SwitchState::Unclear => Step::ReadFormat,
+            SwitchState::Waiting if versions.all_read(RecordFormat::Compact) => {
+                return Some(self.store_switch(day));
             }
-            State::Waiting if now < self.next_read => return None,
-            State::Waiting if versions.is_record_needed(now, RecordFormat::Compact) => {
-                self.next_read = now + READ_EVERY;
+            SwitchState::Waiting if now < self.next_read => return None,
+            SwitchState::Waiting if versions.needs_stored_versions(now, RecordFormat::Compact) => {
+                self.next_read = now + READ_INTERVAL;
                 Step::ReadVersions
             }
-            State::Waiting => return None,
+            SwitchState::Waiting => return None,
         };
-        self.state = State::Reading;
+        self.state = SwitchState::Reading;
         Some(step)
     }
 
-    fn store(&mut self, day: Wall) -> Step {
+    fn store_switch(&mut self, day: WallTime) -> Step {
         let record = FormatRecord {
             records: RecordFormat::Compact,
             since: day.0,
         };
-        self.state = State::Storing(record);
+        self.state = SwitchState::Storing(record);
         let when = |key: &str, stamp| Condition {
             key: key.into(),
-            stamp,
+            revision: stamp,
         };
         Step::Store(Txn {
-            conditions: vec![when(LEADER, self.leader), when(FORMAT, Stamp(0))],
+            conditions: vec![
+                when(LEADER_KEY, self.leader_revision),
+                when(FORMAT_KEY, Revision(0)),
+            ],
             changes: vec![Change::Put {
-                key: FORMAT.into(),
+                key: FORMAT_KEY.into(),
                 value: serde_json::to_value(record).unwrap_or_default(),
                 lease: None,
             }],
@@ -126,59 +129,70 @@
     }
 
     /// Takes what became of the request under way.
-    pub fn reply(&mut self, now: Time, reply: Reply, versions: &mut VersionTable) -> Decision {
+    pub fn handle_result(
+        &mut self,
+        now: Time,
+        reply: StepResult,
+        versions: &mut VersionTable,
+    ) -> Decision {
         match reply {
-            Reply::Versions(read) => {
-                self.state = State::Waiting;
+            StepResult::Versions(read) => {
+                self.state = SwitchState::Waiting;
                 for item in read.into_iter().flatten() {
-                    announce::take_stored(now, &item, versions);
+                    announce::record_stored_version(now, &item, versions);
                 }
                 Decision::Nothing
             }
-            Reply::Store(outcome) => self.take_outcome(now, outcome, versions),
-            Reply::Format(Ok(Some(item))) => {
-                self.is_stored(now, FormatRecord::read(&item.value), versions)
+            StepResult::Store(outcome) => self.handle_outcome(now, outcome, versions),
+            StepResult::Format(Ok(Some(item))) => {
+                self.mark_stored(now, FormatRecord::read(&item.value), versions)
             }
-            Reply::Format(Ok(None)) => self.again(now, State::Waiting),
-            Reply::Format(Err(())) => self.again(now, State::Unclear),
+            StepResult::Format(Ok(None)) => self.retry_later(now, SwitchState::Waiting),
+            StepResult::Format(Err(())) => self.retry_later(now, SwitchState::Unclear),
         }
     }
 
-    fn take_outcome(
+    fn handle_outcome(
         &mut self,
         now: Time,
-        outcome: Outcome,
+        outcome: TxnOutcome,
         versions: &mut VersionTable,
     ) -> Decision {
         match (outcome, self.state) {
-            (Outcome::Ok(_), State::Storing(record)) => self.is_stored(now, record, versions),
-            (Outcome::Conflict(failed), _) if failed.iter().any(|key| key == LEADER) => {
-                Decision::Deposed
+            (TxnOutcome::Ok(_), SwitchState::Storing(record)) => {
+                self.mark_stored(now, record, versions)
             }
-            (Outcome::NotDone | Outcome::TooLarge | Outcome::TooMany | Outcome::NoLease, _) => {
-                self.again(now, State::Waiting)
+            (TxnOutcome::Conflict(failed), _) if failed.iter().any(|key| key == LEADER_KEY) => {
+                Decision::Deposed
             }
-            (Outcome::Ok(_) | Outcome::Conflict(_) | Outcome::Unclear, _) => {
-                self.state = State::Unclear;
+            (
+                TxnOutcome::NotApplied
+                | TxnOutcome::TooLarge
+                | TxnOutcome::RateLimited
+                | TxnOutcome::NoLease,
+                _,
+            ) => self.retry_later(now, SwitchState::Waiting),
+            (TxnOutcome::Ok(_) | TxnOutcome::Conflict(_) | TxnOutcome::Unknown, _) => {
+                self.state = SwitchState::Unclear;
                 Decision::Nothing
             }
         }
     }
 
-    fn is_stored(
+    fn mark_stored(
         &mut self,
         now: Time,
         record: FormatRecord,
         versions: &mut VersionTable,
     ) -> Decision {
-        self.state = State::Stored;
+        self.state = SwitchState::Stored;
         versions.record_format(now, JOB_CHAINS);
         Decision::Compact(record)
     }
 
-    fn again(&mut self, now: Time, state: State) -> Decision {
+    fn retry_later(&mut self, now: Time, state: SwitchState) -> Decision {
         self.state = state;
-        self.not_before = now + RETRY_AFTER;
+        self.not_before = now + RETRY_DELAY;
         Decision::Nothing
     }
 }
--- a/src/versions/table.rs
+++ b/src/versions/table.rs
@@ -1,7 +1,7 @@
 //! Which version each controller runs, from what its processes have said.
 
-use super::{OWN, reads};
-use crate::ids::{ControllerVersion, Instance, Label};
+use super::{OWN_VERSION, newest_readable_format};
+use crate::ids::{ControllerId, ControllerVersion, Instance};
 use crate::store::RecordFormat;
 use crate::time::{Span, Time};
 use hookworks_membership::ReportedVersion;
@@ -9,7 +9,7 @@
 
 /// A controller that was heard by a ping within this time is not looked up in the
 /// state service: pings come twice a second, and are newer.
-const HEARD_LATELY: Span = Span(2_000_000);
+const RECENT_PING: Span = Span(2_000_000);
 
 /// How the version of a controller is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
@@ -25,7 +25,7 @@
 
 /// A version that a controller was found to run, other than by a ping.
 #[derive(Clone, Copy, Debug)]
-struct Recorded {
+struct StoredEvidence {
     instance: Option<Instance>,
     version: ControllerVersion,
     source: VersionSource,
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default)]
 struct Evidence {
     ping: Option<ReportedVersion>,
-    record: Option<Recorded>,
+    record: Option<StoredEvidence>,
 }
 
 impl Evidence {
@@ -45,7 +45,7 @@
     /// the record was first read is of a later process, unless it is of the same one.
     fn version(&self) -> Option<(ControllerVersion, VersionSource)> {
         let by_ping = |p: ReportedVersion| (p.version, VersionSource::Ping);
-        let by_record = |r: Recorded| (r.version, r.source);
+        let by_record = |r: StoredEvidence| (r.version, r.source);
         match (self.ping, self.record) {
             (Some(p), Some(r)) if p.instance.is_some() && p.instance == r.instance => {
                 Some(by_ping(p))
@@ -60,16 +60,16 @@
 /// The versions of all controllers of the settings.
 #[derive(Clone, Debug)]
 pub struct VersionTable {
-    own: (Label, ControllerVersion),
-    others: BTreeMap<Label, Evidence>,
+    own: (ControllerId, ControllerVersion),
+    others: BTreeMap<ControllerId, Evidence>,
 }
 
 impl VersionTable {
     /// Nothing is known of the others yet.
-    pub fn new(me: Label, others: impl IntoIterator<Item = Label>) -> VersionTable {
+    pub fn new(me: ControllerId, others: impl IntoIterator<Item = ControllerId>) -> VersionTable {
         let unknown = |label| (label, Evidence::default());
         VersionTable {
-            own: (me, OWN),
+            own: (me, OWN_VERSION),
             others: others.into_iter().map(unknown).collect(),
         }
     }
@@ -78,7 +78,7 @@
     /// Returns the controller's version if that was not known before.
     pub fn record_ping(
         &mut self,
-        label: &Label,
+        label: &ControllerId,
         reported: ReportedVersion,
     ) -> Option<ControllerVersion> {
         self.update(label, |evidence| evidence.ping = Some(reported))
@@ -89,14 +89,14 @@
     pub fn record_stored(
         &mut self,
         now: Time,
-        label: &Label,
+        label: &ControllerId,
         instance: Instance,
         version: ControllerVersion,
     ) -> Option<ControllerVersion> {
         self.update(label, |evidence| {
             let known = evidence.record.and_then(|r| r.instance) == Some(instance);
             if !known {
-                evidence.record = Some(Recorded {
+                evidence.record = Some(StoredEvidence {
                     instance: Some(instance),
                     version,
                     source: VersionSource::Record,
@@ -111,7 +111,7 @@
     pub fn record_format(&mut self, now: Time, version: ControllerVersion) {
         for evidence in self.others.values_mut() {
             if evidence.version().is_none_or(|(v, _)| v < version) {
-                evidence.record = Some(Recorded {
+                evidence.record = Some(StoredEvidence {
                     instance: None,
                     version,
                     source: VersionSource::Format,
@@ -123,7 +123,7 @@
 
     fn update(
         &mut self,
-        label: &Label,
+        label: &ControllerId,
         change: impl FnOnce(&mut Evidence),
     ) -> Option<ControllerVersion> {
         // Controllers that the settings don't name don't count.
@@ -135,12 +135,12 @@
     }
 
     /// The version of a controller, and how it is known.
-    pub fn version(&self, label: &Label) -> Option<(ControllerVersion, VersionSource)> {
+    pub fn version(&self, label: &ControllerId) -> Option<(ControllerVersion, VersionSource)> {
         self.others.get(label)?.version()
     }
 
     /// Whether a controller is known to understand what needs this version.
-    pub fn understands(&self, label: &Label, needs: ControllerVersion) -> bool {
+    pub fn understands(&self, label: &ControllerId, needs: ControllerVersion) -> bool {
         needs == super::EARLIEST || self.version(label).is_some_and(|(v, _)| v >= needs)
     }
 
@@ -148,15 +148,17 @@
     pub fn all_read(&self, format: RecordFormat) -> bool {
         let versions = self.others.values().map(|e| e.version().map(|(v, _)| v));
         let mut all = versions.chain([Some(self.own.1)]);
-        all.all(|version| version.is_some_and(|v| reads(v) >= format))
+        all.all(|version| version.is_some_and(|v| newest_readable_format(v) >= format))
     }
 
     /// Some controller is neither known to read this form nor in touch: what its
     /// process may have written to the state service can tell.
-    pub fn is_record_needed(&self, now: Time, format: RecordFormat) -> bool {
+    pub fn needs_stored_versions(&self, now: Time, format: RecordFormat) -> bool {
         self.others.values().any(|evidence| {
-            let known = evidence.version().is_some_and(|(v, _)| reads(v) >= format);
-            let heard = evidence.ping.is_some_and(|p| now - p.at < HEARD_LATELY);
+            let known = evidence
+                .version()
+                .is_some_and(|(v, _)| newest_readable_format(v) >= format);
+            let heard = evidence.ping.is_some_and(|p| now - p.at < RECENT_PING);
             !known && !heard
         })
     }
@@ -164,7 +166,7 @@
     /// All controllers, this one included, with their versions as far as known.
     pub fn all(
         &self,
-    ) -> impl Iterator<Item = (&Label, Option<(ControllerVersion, VersionSource)>)> {
+    ) -> impl Iterator<Item = (&ControllerId, Option<(ControllerVersion, VersionSource)>)> {
         let others = self.others.iter().map(|(l, e)| (l, e.version()));
         // What a process says of itself needs no proof.
         others.chain([(&self.own.0, Some((self.own.1, VersionSource::Ping)))])
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,22 +1,22 @@
 //! Talk with the cloud.
 
-use crate::ids::{Build, Host, Zone};
+use crate::ids::{Host, MachineTypeId, Zone};
 use serde::{Deserialize, Serialize};
 
 /// The answer to the question for machine types.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Flavors {
+pub struct MachineTypes {
     /// All machine types.
     #[serde(rename = "Builds")]
-    pub builds: Vec<Flavor>,
+    pub builds: Vec<MachineType>,
 }
 
 /// A machine type.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Flavor {
+pub struct MachineType {
     /// Its name.
     #[serde(rename = "Label")]
-    pub build: Build,
+    pub build: MachineTypeId,
     /// CPUs of a node.
     #[serde(rename = "Vcpus")]
     pub cpus: f64,
@@ -48,13 +48,13 @@
 
 /// A request to rent nodes; sent again under the same name it rents nothing more.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hire {
+pub struct RentalRequest {
     /// Name of the request, by which the cloud knows a repetition.
     #[serde(rename = "Hire")]
     pub name: String,
     /// The machine type.
     #[serde(rename = "Build")]
-    pub build: Build,
+    pub build: MachineTypeId,
     /// The zone.
     #[serde(rename = "Yard")]
     pub zone: Zone,
@@ -79,7 +79,7 @@
 pub struct HostList {
     /// The nodes of this page.
     #[serde(rename = "Hosts")]
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedHost>,
     /// Whether another page follows.
     #[serde(rename = "Truncated", default)]
     pub more: bool,
@@ -87,7 +87,7 @@
 
 /// A node as the cloud lists it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedHost {
     /// Its name.
     #[serde(rename = "Id")]
     pub host: Host,
@@ -96,7 +96,7 @@
     pub addr: Option<String>,
     /// Its machine type.
     #[serde(rename = "Build")]
-    pub build: Build,
+    pub build: MachineTypeId,
     /// Its zone.
     #[serde(rename = "Yard")]
     pub zone: Zone,
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -9,7 +9,7 @@
 
 /// What a controller passes on to the leader.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Ask {
+pub enum Request {
     Submit(Vec<u8>),
     Poll(String),
     Cancel(String),
@@ -24,36 +24,40 @@
     Events(String),
 }
 
-impl Ask {
+impl Request {
     /// The version from which on a controller understands this.
-    pub fn needs(&self) -> ControllerVersion {
+    pub fn min_version(&self) -> ControllerVersion {
         match self {
-            Ask::Submit(body) if user::awaits_others(body) => JOB_CHAINS,
-            Ask::Submit(_) | Ask::Poll(_) | Ask::Cancel(_) | Ask::Report(_) => EARLIEST,
-            Ask::Hold(..) | Ask::Release(..) | Ask::Show(_) | Ask::List(_) | Ask::Events(_) => {
-                JOB_LIFECYCLE
+            Request::Submit(body) if user::has_dependencies(body) => JOB_CHAINS,
+            Request::Submit(_) | Request::Poll(_) | Request::Cancel(_) | Request::Report(_) => {
+                EARLIEST
             }
+            Request::Hold(..)
+            | Request::Release(..)
+            | Request::Show(_)
+            | Request::List(_)
+            | Request::Events(_) => JOB_LIFECYCLE,
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum PeerMsg {
+pub enum PeerMessage {
     /// Sent twice a second: who leads, whom the sender hears, and how many
     /// workers report to it.
     Ping {
         from: String,
         leader: Option<(String, u64)>,
-        hears: Vec<String>,
+        reachable: Vec<String>,
         workers: u32,
     },
-    Ask {
+    Request {
         id: u64,
         from: String,
         to: String,
-        ask: Ask,
+        request: Request,
     },
-    Tell {
+    Response {
         id: u64,
         to: String,
         answer: Answer,
@@ -63,16 +67,16 @@
 /// Follows a ping in its frame. Earlier versions neither send nor read it, and
 /// ignore what stands behind a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct PingMore {
+pub struct PingExtension {
     /// How many workers the sender can hold.
-    pub workers_most: Option<u32>,
+    pub max_workers: Option<u32>,
     /// Its version, see [`crate::versions`].
-    pub speaks: u32,
+    pub version: u32,
 }
 
 /// Follows that in turn; the release before ignores it as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct PingSelf {
+pub struct PingIdentity {
     /// Tells the sending process from an earlier one under the same label.
     pub instance: u64,
 }
--- a/src/wire/peer_frame.rs
+++ b/src/wire/peer_frame.rs
@@ -1,26 +1,30 @@
 //! Frames between controllers: four bytes of length, a message, and behind a ping what
 //! earlier versions neither send nor read.
 
-use super::peer::{PeerMsg, PingMore, PingSelf};
+use super::peer::{PeerMessage, PingExtension, PingIdentity};
 use std::io::{Error, Read, Result};
 
 /// Bytes of a message at the most; a longer one is refused.
 pub const MAX_FRAME_BYTES: usize = 128 * 1024;
 
 /// What follows a ping; the latter is not sent by earlier versions.
-pub type PingTail = (PingMore, Option<PingSelf>);
+pub type PingTail = (PingExtension, Option<PingIdentity>);
 
 /// Appends the frame of a message to `out`.
 ///
 /// # Errors
 /// When the message can't be encoded.
-pub fn encode(message: &PeerMsg, tail: (PingMore, PingSelf), out: &mut Vec<u8>) -> Result<()> {
+pub fn encode(
+    message: &PeerMessage,
+    tail: (PingExtension, PingIdentity),
+    out: &mut Vec<u8>,
+) -> Result<()> {
     let start = out.len();
     out.extend_from_slice(&[0; 4]);
     let config = bincode::config::standard();
     let failed = |e: bincode::error::EncodeError| Error::other(e.to_string());
     let mut length = bincode::encode_into_std_write(message, out, config).map_err(failed)?;
-    if matches!(message, PeerMsg::Ping { .. }) {
+    if matches!(message, PeerMessage::Ping { .. }) {
         length += bincode::encode_into_std_write(tail, out, config).map_err(failed)?;
     }
     out[start..start + 4].copy_from_slice(&(length as u32).to_be_bytes());
@@ -31,7 +35,7 @@
 ///
 /// # Errors
 /// When the connection has ended, or the frame is too long or no message.
-pub fn read(from: &mut impl Read) -> Result<(PeerMsg, PingTail)> {
+pub fn read(from: &mut impl Read) -> Result<(PeerMessage, PingTail)> {
     let mut length = [0; 4];
     from.read_exact(&mut length)?;
     let length = u32::from_be_bytes(length) as usize;
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,6 +1,6 @@
 //! Talk with the state service.
 
-use crate::ids::Stamp;
+use crate::ids::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -15,7 +15,7 @@
     pub value: Value,
     /// The revision of its latest change.
     #[serde(rename = "Stamp")]
-    pub stamp: Stamp,
+    pub revision: Revision,
     /// The lease that the key goes with, if any.
     #[serde(rename = "Permit", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
@@ -40,7 +40,7 @@
     pub key: String,
     /// The revision that it must have.
     #[serde(rename = "Stamp")]
-    pub stamp: Stamp,
+    pub revision: Revision,
 }
 
 /// A change of one key.
@@ -89,15 +89,15 @@
 
 /// The answer to a compare-and-swap that was carried out.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Applied {
+pub struct TxnApplied {
     /// The revision of all that it changed.
     #[serde(rename = "Ledger")]
-    pub revision: Stamp,
+    pub revision: Revision,
 }
 
 /// The answer to a compare-and-swap whose conditions did not hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Failed {
+pub struct TxnFailed {
     /// Keys whose conditions failed.
     pub failed: Vec<String>,
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,6 +1,6 @@
 //! Talk with users.
 
-use crate::ids::{Build, Class, Image, JobId, Team, Zone};
+use crate::ids::{Class, Image, JobId, MachineTypeId, Team, Zone};
 use hookworks_job_lifecycle::{HistoryEntry, Hold, JobEvent};
 use hookworks_listing::Line;
 use serde::{Deserialize, Deserializer, Serialize, de};
@@ -11,9 +11,9 @@
 /// Longest duration in seconds, and largest image in GB, of a job.
 const MAX_AMOUNT: f64 = 1e9;
 /// Needed jobs that a line of a list names.
-const NEEDS_IN_LINE: usize = 10;
+const MAX_LISTED_DEPENDENCIES: usize = 10;
 /// Most conditions that a job may wait for.
-pub const MAX_AFTER: usize = 16;
+pub const MAX_START_CONDITIONS: usize = 16;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
@@ -24,7 +24,7 @@
     #[serde(rename = "Crew")]
     pub team: Team,
     #[serde(rename = "Shape")]
-    pub kind: Kind,
+    pub kind: JobKind,
     #[serde(rename = "Urgency")]
     pub priority: Priority,
     #[serde(rename = "Pieces")]
@@ -40,7 +40,7 @@
     #[serde(rename = "SizeGb")]
     pub image_gb: f64,
     #[serde(rename = "Builds", default, skip_serializing_if = "Option::is_none")]
-    pub builds: Option<Vec<Build>>,
+    pub builds: Option<Vec<MachineTypeId>>,
     #[serde(rename = "Yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Zone>,
     #[serde(rename = "OneZone")]
@@ -62,24 +62,24 @@
     pub limit_s: Option<f64>,
     /// What must come about before the job starts anything; ours.
     #[serde(rename = "After", default, skip_serializing_if = "Vec::is_empty")]
-    pub after: Vec<After>,
+    pub start_conditions: Vec<StartCondition>,
     /// Jobs of any team that must be done before any task of this one starts
     /// (DAG dependency). Empty in records: what is not met is kept beside the spec.
     #[serde(
         rename = "Awaits",
         default,
-        deserialize_with = "job_ids",
+        deserialize_with = "deserialize_job_ids",
         skip_serializing_if = "Vec::is_empty"
     )]
-    pub needs: Vec<JobId>,
+    pub dependencies: Vec<JobId>,
 }
 
 /// A list of well-formed ids, each once; null is none.
-fn job_ids<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<JobId>, D::Error> {
+fn deserialize_job_ids<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<JobId>, D::Error> {
     let names = Option::<Vec<String>>::deserialize(d)?.unwrap_or_default();
     let mut ids = BTreeSet::new();
     for name in names {
-        if !JobId::well_formed(&name) {
+        if !JobId::is_well_formed(&name) {
             return Err(de::Error::custom("must be a list of ids, job- and digits"));
         }
         ids.insert(JobId::from(name.as_str()));
@@ -89,11 +89,11 @@
 
 /// A condition on another job of the same team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct After {
+pub struct StartCondition {
     #[serde(rename = "Job")]
     pub job: JobId,
     #[serde(rename = "When")]
-    pub when: When,
+    pub when: ConditionTrigger,
     /// Each task waits for the task of the same number, not for all.
     #[serde(rename = "Each", default, skip_serializing_if = "is_false")]
     pub each: bool,
@@ -110,7 +110,7 @@
 /// What a job may wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum When {
+pub enum ConditionTrigger {
     /// A task of it has run.
     Start,
     /// It is over, done or cancelled.
@@ -121,19 +121,19 @@
     Failure,
 }
 
-impl std::fmt::Display for When {
+impl std::fmt::Display for ConditionTrigger {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            When::Start => "start",
-            When::End => "end",
-            When::Success => "success",
-            When::Failure => "failure",
+            ConditionTrigger::Start => "start",
+            ConditionTrigger::End => "end",
+            ConditionTrigger::Success => "success",
+            ConditionTrigger::Failure => "failure",
         })
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     #[serde(rename = "batch")]
     Array,
     #[serde(rename = "gang")]
@@ -198,7 +198,7 @@
 
 /// Run time times what a task takes of its machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct TaskSeconds {
+pub struct ResourceSeconds {
     #[serde(rename = "CpuS")]
     pub cpu: f64,
     #[serde(rename = "AcceleratorS")]
@@ -235,10 +235,10 @@
     pub held: Vec<Hold>,
     /// Jobs that are to be done before this one starts; the first of them.
     #[serde(rename = "Awaits", default, skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<JobId>,
+    pub dependencies: Vec<JobId>,
     /// How many there are.
     #[serde(rename = "AwaitsCount", default, skip_serializing_if = "is_zero")]
-    pub needs_count: usize,
+    pub dependency_count: usize,
     /// The job that it needed and whose cancellation cancelled it.
     #[serde(
         rename = "CancelledWith",
@@ -249,9 +249,9 @@
     #[serde(rename = "Counts", default)]
     pub counts: BTreeMap<JobEvent, u32>,
     #[serde(rename = "Useful", default)]
-    pub useful: TaskSeconds,
+    pub useful: ResourceSeconds,
     #[serde(rename = "Lost", default)]
-    pub lost: TaskSeconds,
+    pub lost: ResourceSeconds,
     #[serde(rename = "History", default)]
     pub history: Vec<HistoryEntry>,
 }
@@ -259,13 +259,13 @@
 impl JobDetail {
     /// The line of a list. Whether an unfinished job is late depends on when
     /// it is read.
-    pub fn line(self) -> Line {
+    pub fn into_line(self) -> Line {
         let count = |w: JobEvent| self.counts.get(&w).copied().unwrap_or(0);
         let hold = |h: &Hold| match h.why.as_str() {
             "" => h.by.clone(),
             why => format!("{}: {why}", h.by),
         };
-        let awaits = self.needs.iter().take(NEEDS_IN_LINE);
+        let awaits = self.dependencies.iter().take(MAX_LISTED_DEPENDENCIES);
         Line {
             id: self.job.id.to_string(),
             status: self.job.state.as_str().into(),
@@ -282,25 +282,27 @@
             late: matches!((self.due_ms, self.ended_ms), (Some(d), Some(e)) if e > d),
             held: self.held.iter().map(hold).collect(),
             awaits: awaits.map(JobId::to_string).collect(),
-            awaits_count: self.needs_count,
+            awaits_count: self.dependency_count,
             cancelled_with: self.cancelled_with.as_ref().map(JobId::to_string),
         }
     }
 }
 
 /// The field of a submission with the jobs that have to be done before it starts.
-const AWAITS: &str = "Awaits";
+const DEPENDENCIES_FIELD: &str = "Awaits";
 
 /// Whether a submission names jobs that have to be done before it starts. A version
 /// that doesn't know the field would take it for a job that may start at once.
-pub fn awaits_others(body: &[u8]) -> bool {
+pub fn has_dependencies(body: &[u8]) -> bool {
     #[derive(Deserialize)]
     struct Submission {
         #[serde(rename = "Awaits", default)]
         awaits: serde_json::Value,
     }
     // The name of a field may be written with escapes.
-    let named = body.windows(AWAITS.len()).any(|w| w == AWAITS.as_bytes());
+    let named = body
+        .windows(DEPENDENCIES_FIELD.len())
+        .any(|w| w == DEPENDENCIES_FIELD.as_bytes());
     if !named && !body.contains(&b'\\') {
         return false;
     }
@@ -328,7 +330,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        if !JobId::well_formed(self.id.as_str()) {
+        if !JobId::is_well_formed(self.id.as_str()) {
             return Err("Id: must be job- and digits".into());
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
@@ -373,17 +375,17 @@
         {
             return Err("LimitS: must be 1 or more".into());
         }
-        if self.after.len() > MAX_AFTER {
-            return Err(format!("After: at most {MAX_AFTER} conditions"));
+        if self.start_conditions.len() > MAX_START_CONDITIONS {
+            return Err(format!("After: at most {MAX_START_CONDITIONS} conditions"));
         }
-        if self.after.iter().filter(|a| a.each).count() > 1 {
+        if self.start_conditions.iter().filter(|a| a.each).count() > 1 {
             return Err("After.Each: at most one such condition".into());
         }
-        for a in &self.after {
-            if !JobId::well_formed(a.job.as_str()) {
+        for a in &self.start_conditions {
+            if !JobId::is_well_formed(a.job.as_str()) {
                 return Err("After.Job: must be job- and digits".into());
             }
-            if a.each && (a.when != When::Success || self.kind != Kind::Array) {
+            if a.each && (a.when != ConditionTrigger::Success || self.kind != JobKind::Array) {
                 return Err("After.Each: only for arrays, and for success".into());
             }
             if a.job == self.id {
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,6 +1,6 @@
 //! Talk with workers.
 
-use crate::ids::{Attempt, Build, Host, Label, Seq, Session, TaskId, Token, Zone};
+use crate::ids::{Attempt, ControllerId, Host, MachineTypeId, Seq, Session, TaskId, Token, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A worker's heartbeat with all that runs on its node.
@@ -14,7 +14,7 @@
     pub addr: Option<String>,
     /// The node's machine type.
     #[serde(rename = "Build")]
-    pub build: Build,
+    pub build: MachineTypeId,
     /// The node's zone.
     #[serde(rename = "Yard")]
     pub zone: Zone,
@@ -102,7 +102,7 @@
 /// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "Verb")]
-pub enum Order {
+pub enum Command {
     /// Start a task; nothing happens if that attempt is there already.
     #[serde(rename = "run")]
     Run {
@@ -140,18 +140,18 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct ReportResponse {
     /// The leader's fencing token for this worker.
     #[serde(rename = "Baton")]
     pub token: Token,
     /// What the worker is to do.
     #[serde(rename = "Orders")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
 }
 
 /// Commands that go straight to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct Commands {
     /// The leader's fencing token: the worker refuses a smaller one than it has heard.
     #[serde(rename = "Baton")]
     pub token: Token,
@@ -160,7 +160,7 @@
     pub session: Session,
     /// What the worker is to do.
     #[serde(rename = "Orders")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
 }
 
 /// Sends a worker to the leader.
@@ -168,5 +168,5 @@
 pub struct Redirect {
     /// The controller to report to.
     #[serde(rename = "Foreman", default, skip_serializing_if = "Option::is_none")]
-    pub leader: Option<Label>,
+    pub leader: Option<ControllerId>,
 }
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -1,8 +1,8 @@
 //! Client of workers, for direct calls.
 
 use crate::sched::DirectResult;
-use crate::store::client::{agent, finish};
-use crate::wire::worker::Orders;
+use crate::store::client::{http_agent, read_response};
+use crate::wire::worker::Commands;
 use std::io::ErrorKind;
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 impl WorkerClient {
     /// Nothing is sent yet.
     pub fn new() -> WorkerClient {
-        WorkerClient(agent(CALL_TIMEOUT, MAX_IDLE_CONNECTIONS))
+        WorkerClient(http_agent(CALL_TIMEOUT, MAX_IDLE_CONNECTIONS))
     }
 
     /// Sends commands to the worker at `addr` and tells what is proven by its answer.
-    pub fn send_orders(&self, addr: &str, orders: &Orders) -> DirectResult {
+    pub fn send_orders(&self, addr: &str, orders: &Commands) -> DirectResult {
         let Ok(body) = serde_json::to_vec(orders) else {
             return DirectResult::Refused;
         };
@@ -34,7 +34,7 @@
         {
             return DirectResult::Refused;
         }
-        match finish(answer) {
+        match read_response(answer) {
             Some((200, body)) => match serde_json::from_slice(&body) {
                 Ok(report) => DirectResult::Done(Box::new(report)),
                 Err(_) => DirectResult::Unclear,
--- a/tests/accelerators.rs
+++ b/tests/accelerators.rs
@@ -5,15 +5,15 @@
 
 use hookworks::ids::*;
 use hookworks::sched::{Effect, Event, HireResult};
-use hookworks::wire::cloud::Flavor;
-use hookworks::wire::cloud::Hire;
-use hookworks::wire::user::{JobSpec, Kind, Priority};
+use hookworks::wire::cloud::MachineType;
+use hookworks::wire::cloud::RentalRequest;
+use hookworks::wire::user::{JobKind, JobSpec, Priority};
 use hookworks::wire::worker::*;
 use world::desk::{Desk, ended, report, task};
 use world::job;
 
 /// 16 CPUs and two accelerators.
-fn g2() -> Flavor {
+fn g2() -> MachineType {
     serde_json::from_value(serde_json::json!({
         "Label": "g2", "Vcpus": 16, "Accelerators": 2, "RamGb": 64, "LocalGb": 70,
         "FetchGbPerS": 0.5, "Hourly": 7.0, "SpotPrice": 2.5, "BootS": 45,
@@ -68,14 +68,14 @@
         ("Vcpus", with(4, &|j| j.cpus = 17.0)),
         (
             "Accelerators",
-            with(5, &|j| (j.kind, j.tasks) = (Kind::Gang, 41)),
+            with(5, &|j| (j.kind, j.tasks) = (JobKind::Gang, 41)),
         ),
         ("Builds", with(6, &|j| j.builds = Some(vec!["x".into()]))),
         ("Yard", with(7, &|j| j.zone = Some("elsewhere".into()))),
         (
             "Scatter",
             with(8, &|j| {
-                (j.kind, j.spread, j.one_zone) = (Kind::Service, true, true)
+                (j.kind, j.spread, j.one_zone) = (JobKind::Service, true, true)
             }),
         ),
     ];
@@ -96,7 +96,7 @@
 /// A replica: it may not use spot machines.
 fn service(n: u64, tasks: u32) -> JobSpec {
     let mut j = half(n, tasks);
-    (j.kind, j.priority, j.spot) = (Kind::Service, Priority::Production, false);
+    (j.kind, j.priority, j.spot) = (JobKind::Service, Priority::Production, false);
     (j.class, j.image, j.estimate_s) = ("quick".into(), "live".into(), 0.0);
     j
 }
@@ -104,14 +104,14 @@
 /// Each task takes a machine, all in one zone.
 fn gang(n: u64, tasks: u32) -> JobSpec {
     let mut j = half(n, tasks);
-    (j.kind, j.spot, j.one_zone) = (Kind::Gang, false, true);
+    (j.kind, j.spot, j.one_zone) = (JobKind::Gang, false, true);
     (j.cpus, j.gpus, j.memory_gb) = (14.0, 2.0, 50.0);
     (j.image, j.team) = ("gang".into(), "blue".into());
     j
 }
 
 /// Rental requests made since the last look.
-fn take_hires(d: &mut Desk) -> Vec<Hire> {
+fn take_hires(d: &mut Desk) -> Vec<RentalRequest> {
     let one = |e: &Effect| match e {
         Effect::Hire(h) => Some(h.clone()),
         _ => None,
@@ -345,13 +345,13 @@
     first.submit(&anywhere);
     let record = {
         let j = first.s.jobs.get_mut(&JobId::from("job-000001")).unwrap();
-        j.live.remove(&TaskIx(2));
+        j.live.remove(&TaskIndex(2));
         j.encode(0)
     };
     let now = hookworks::time::Time(4_000_000_000);
-    let wall = hookworks::time::Wall(1_000_000);
+    let wall = hookworks::time::WallTime(1_000_000);
     let job = hookworks::sched::job::Job::decode(&record, now, wall).unwrap();
-    let a = job.live[&TaskIx(0)].attempt;
+    let a = job.live[&TaskIndex(0)].attempt;
     let mut d = Desk::set_up(2, vec![job], |c| c.teams[1].cpus_max = 0.0);
     d.event(Event::Flavors(vec![g2()]));
     d.beat(&machine(3, "a", false, 2));
@@ -397,7 +397,7 @@
     first.submit(&half(1, 2));
     let record = first.s.jobs[&JobId::from("job-000001")].encode(0);
     let now = hookworks::time::Time(4_060_000_000);
-    let wall = hookworks::time::Wall(1_060_000);
+    let wall = hookworks::time::WallTime(1_060_000);
     let job = hookworks::sched::job::Job::decode(&record, now, wall).unwrap();
     let mut d = Desk::with(2, vec![job]);
     d.event(Event::Flavors(vec![g2()]));
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -6,10 +6,10 @@
 
 use hookworks::election::{Candidate, ElectionOutcome, Elector};
 use hookworks::ids::*;
-use hookworks::store::Outcome;
+use hookworks::store::TxnOutcome;
 use hookworks::store::commit::{Committer, Step};
 use hookworks::time::{Span, Time};
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::{JobSpec, JobState};
 use hookworks::wire::worker::{Cause, TaskState};
 use rand::RngExt;
@@ -40,16 +40,16 @@
     }
 }
 
-fn submits(w: &mut World, j: &JobSpec) -> Ask {
+fn submits(w: &mut World, j: &JobSpec) -> Request {
     w.specs.insert(j.id.clone(), j.clone());
-    Ask::Submit(serde_json::to_vec(j).unwrap())
+    Request::Submit(serde_json::to_vec(j).unwrap())
 }
 
 /// Users repeat this at every controller, and ask, for so many seconds.
 fn ask_everywhere(w: &mut World, id: &str, from_s: f64, for_s: f64) {
     let n = (for_s / 0.06) as usize;
     for k in 0..n {
-        let ask = Ask::Poll(id.into());
+        let ask = Request::Poll(id.into());
         w.at(from_s + 0.06 * k as f64, Ev::UserVia(k % 3, ask));
     }
 }
@@ -88,7 +88,7 @@
         ask_everywhere(&mut w, j.id.as_str(), at, 45.0);
         for k in (0..8).filter(|_| number % 2 == 0) {
             let at = 5.0 + 0.7 * n as f64 + k as f64;
-            let cancel = Ask::Cancel(j.id.to_string());
+            let cancel = Request::Cancel(j.id.to_string());
             w.at(at, Ev::UserVia(third, cancel));
         }
     }
@@ -151,26 +151,26 @@
 
 /// The next transaction gets this outcome if one is given, and what the store says
 /// otherwise; it is carried out unless it is refused.
-fn write(s: &Handle, c: &mut Committer, d: &mut Desk, outcome: Option<Outcome>) -> bool {
+fn write(s: &Handle, c: &mut Committer, d: &mut Desk, outcome: Option<TxnOutcome>) -> bool {
     d.now += 300_000;
-    let Some((id, txn)) = c.next(Time(d.now), &mut d.s) else {
+    let Some((id, txn)) = c.next_txn(Time(d.now), &mut d.s) else {
         return false;
     };
     let o = match outcome {
-        Some(Outcome::NotDone) => Outcome::NotDone,
+        Some(TxnOutcome::NotApplied) => TxnOutcome::NotApplied,
         Some(o) => {
             s.apply(&txn);
             o
         }
         None => s.apply(&txn),
     };
-    let (mut events, steps) = c.finished(Time(d.now), id, o, &mut d.s);
+    let (mut events, steps) = c.handle_outcome(Time(d.now), id, o, &mut d.s);
     for step in steps {
         let Step::Read(key) = step else {
             panic!("{step:?}")
         };
         let item = s.read(&key);
-        events.extend(c.read_back(key, item, &mut d.s).0);
+        events.extend(c.handle_read(key, item, &mut d.s).0);
     }
     for e in events {
         d.event(e);
@@ -204,13 +204,13 @@
     let s = Handle::default();
     let mut c = committer(&s);
     let mut d = about_to_be_done(&s, &mut c);
-    let before = d.ask(Ask::Poll(JOB.into()));
+    let before = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(before), Some(200), "nothing of it was sent yet");
-    assert!(write(&s, &mut c, &mut d, Some(Outcome::Unclear)));
+    assert!(write(&s, &mut c, &mut d, Some(TxnOutcome::Unknown)));
     let asked = [
-        d.ask(Ask::Poll(JOB.into())),
+        d.ask(Request::Poll(JOB.into())),
         d.submit(&job(1, 1)),
-        d.ask(Ask::Cancel(JOB.into())),
+        d.ask(Request::Cancel(JOB.into())),
     ];
     for req in asked {
         assert_eq!(d.status(req), None, "it may be older than what is stored");
@@ -230,14 +230,14 @@
     let mut c = committer(&s);
     let mut d = about_to_be_done(&s, &mut c);
     for _ in 0..5 {
-        assert!(write(&s, &mut c, &mut d, Some(Outcome::NotDone)));
-        let poll = d.ask(Ask::Poll(JOB.into()));
+        assert!(write(&s, &mut c, &mut d, Some(TxnOutcome::NotApplied)));
+        let poll = d.ask(Request::Poll(JOB.into()));
         assert_eq!(d.status(poll), Some(200));
     }
     // One without an answer among them may yet be carried out.
-    assert!(write(&s, &mut c, &mut d, Some(Outcome::Unclear)));
-    assert!(write(&s, &mut c, &mut d, Some(Outcome::NotDone)));
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    assert!(write(&s, &mut c, &mut d, Some(TxnOutcome::Unknown)));
+    assert!(write(&s, &mut c, &mut d, Some(TxnOutcome::NotApplied)));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(poll), None);
     while write(&s, &mut c, &mut d, None) {}
     assert_eq!(d.status(poll), Some(200));
@@ -251,7 +251,7 @@
     ask_everywhere(&mut w, JOB, 1.0, 40.0);
     w.run(45.0);
     w.assert_rules();
-    let polls = w.answers.iter().filter(|a| matches!(a.0, Ask::Poll(_)));
+    let polls = w.answers.iter().filter(|a| matches!(a.0, Request::Poll(_)));
     let (fine, refused): (Vec<_>, Vec<_>) = polls.partition(|a| a.1.status == 200);
     assert!(fine.len() > 600, "{}", fine.len());
     assert!(refused.is_empty(), "{:?}", refused.first());
@@ -292,7 +292,7 @@
             let at = (end as i64 + by_ms * 1000 - w.now as i64) as f64 / 1e6;
             let again = submits(&mut w, &job(1, 2));
             for i in 0..3 {
-                let cancel = Ask::Cancel(JOB.into());
+                let cancel = Request::Cancel(JOB.into());
                 w.at(at + 0.003 * i as f64, Ev::UserVia(i, again.clone()));
                 w.at(at + 0.004 * i as f64, Ev::UserVia(i, cancel));
             }
@@ -401,7 +401,7 @@
     let i = (w.leader().unwrap() + 1) % 3;
     cut_from_peers(&mut w, i, Link::Cut);
     for id in [JOB, "job-000002", "job-000009"] {
-        w.at(0.1, Ev::UserVia(i, Ask::Poll(id.into())));
+        w.at(0.1, Ev::UserVia(i, Request::Poll(id.into())));
     }
     let before = w.answers.len();
     w.run(1.0);
--- a/tests/attempt_places.rs
+++ b/tests/attempt_places.rs
@@ -2,7 +2,7 @@
 
 use hookworks::sched::job::Job;
 use hookworks::sched::places::{Place, Places};
-use hookworks::time::{Time, Wall};
+use hookworks::time::{Time, WallTime};
 use hookworks::wire::user::JobSpec;
 
 fn place(zone: &str) -> Place {
@@ -24,7 +24,7 @@
     let spec = JobSpec::parse(spec.to_string().as_bytes()).unwrap();
     let mut record = serde_json::json!({"spec": spec, "at": 0, "seq": 1, "part_size": 64});
     record["first"] = parts;
-    Job::decode(&record, Time(9_000_000), Wall(9_000)).unwrap()
+    Job::decode(&record, Time(9_000_000), WallTime(9_000)).unwrap()
 }
 
 #[test]
@@ -38,7 +38,7 @@
         l.place = Some(place(zone));
     }
     let record = j.encode(0);
-    let again = Job::decode(&record, Time(9_000_000), Wall(9_000)).unwrap();
+    let again = Job::decode(&record, Time(9_000_000), WallTime(9_000)).unwrap();
     let places: Vec<_> = again
         .live
         .values()
@@ -49,7 +49,7 @@
     // the zones would have been those of other machines.
     let mut stale = record.clone();
     stale["first"]["a"][1][2] = "n-3".into();
-    let stale = Job::decode(&stale, Time(9_000_000), Wall(9_000)).unwrap();
+    let stale = Job::decode(&stale, Time(9_000_000), WallTime(9_000)).unwrap();
     assert!(stale.live.values().all(|l| l.place.is_none()));
     // They give way where a record is full.
     assert!(Places::of(j.live.values(), 20).is_none());
--- a/tests/broken.rs
+++ b/tests/broken.rs
@@ -5,7 +5,7 @@
 use hookworks::ids::*;
 use hookworks::sched::Effect;
 use hookworks::sched::job::Job;
-use hookworks::time::{Time, Wall};
+use hookworks::time::{Time, WallTime};
 use hookworks::wire::user::JobState;
 use hookworks::wire::worker::*;
 use world::desk::{Desk, ended, report};
@@ -91,7 +91,7 @@
     assert_eq!(d.s.jobs[&id].state(), JobState::Queued);
     // The next leader knows it from the record.
     let j = &d.s.jobs[&id];
-    let again = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
+    let again = Job::decode(&j.encode(0), Time(d.now), WallTime(d.now / 1000)).unwrap();
     assert!(again.fails_everywhere());
     // Another job is none the worse, and a success is the end of all doubt. The
     // machines of before were given back.
--- a/tests/chain_histories.rs
+++ b/tests/chain_histories.rs
@@ -7,8 +7,8 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::versions::OWN;
-use hookworks::wire::peer::Ask;
+use hookworks::versions::OWN_VERSION;
+use hookworks::wire::peer::Request;
 use hookworks::wire::state::{Change, Txn};
 use hookworks::wire::user::{JobSpec, JobState, Priority};
 use rand::RngExt;
@@ -95,15 +95,15 @@
         let body = serde_json::to_vec(&j).unwrap();
         w.specs.insert(j.id.clone(), j.clone());
         for k in 0..8 {
-            w.at(at + 6.0 * k as f64, Ev::User(Ask::Submit(body.clone())));
+            w.at(at + 6.0 * k as f64, Ev::User(Request::Submit(body.clone())));
         }
         for k in 1..40 {
             let at = at + 5.0 * k as f64;
-            w.at(at, Ev::UserVia(k % 3, Ask::Poll(j.id.to_string())));
+            w.at(at, Ev::UserVia(k % 3, Request::Poll(j.id.to_string())));
         }
         if w.rng.random_bool(0.2) {
             let at = at + w.rng.random_range(0.0..60.0);
-            w.insists(at, Ask::Cancel(j.id.to_string()));
+            w.insists(at, Request::Cancel(j.id.to_string()));
         }
     }
 }
@@ -142,7 +142,7 @@
             w.at(early + 0.5, Ev::Restart(i));
         }
         let back = pick(w, &[0.3, 1.0, 6.0]);
-        w.replace(i, at, back, OWN);
+        w.replace(i, at, back, OWN_VERSION);
         at += pick(w, &[0.2, 1.5, 8.0, 20.0]);
     }
 }
@@ -191,14 +191,14 @@
             w.at(0.1, Ev::Restart(i));
         }
         if !w.is_new(i) {
-            w.replace(i, 2.0 + 3.0 * i as f64, 0.5, OWN);
+            w.replace(i, 2.0 + 3.0 * i as f64, 0.5, OWN_VERSION);
         }
     }
     let ids: Vec<JobId> = w.specs.keys().cloned().collect();
     for id in &ids {
         for k in 0..(REST_S / 8.0) as usize {
             let at = 8.0 * k as f64 + w.rng.random_range(0.0..4.0);
-            w.at(at, Ev::UserVia(k % 3, Ask::Poll(id.to_string())));
+            w.at(at, Ev::UserVia(k % 3, Request::Poll(id.to_string())));
         }
     }
     w.run(REST_S);
@@ -377,7 +377,7 @@
         ids.len(),
         "not all are accepted after two minutes"
     );
-    w.insists(0.0, Ask::Cancel(ids[0].to_string()));
+    w.insists(0.0, Request::Cancel(ids[0].to_string()));
     while w.told_over(&ids[0]).is_none() {
         w.run(0.005);
     }
@@ -397,7 +397,7 @@
         let id = &ids[k % ids.len()];
         w.at(
             0.05 * k as f64,
-            Ev::UserVia(k % 3, Ask::Poll(id.to_string())),
+            Ev::UserVia(k % 3, Request::Poll(id.to_string())),
         );
     }
     w.run(60.0);
@@ -472,10 +472,10 @@
     if news == News::LastReplaced {
         let last = w.leader().filter(|_| w.rng.random_bool(0.6)).unwrap_or(0);
         for turn in 1..3 {
-            w.replace((last + turn) % 3, 2.0 * turn as f64, 0.5, OWN);
+            w.replace((last + turn) % 3, 2.0 * turn as f64, 0.5, OWN_VERSION);
         }
         let back_s = pick(w, &[0.3, 1.0, 6.0]);
-        w.replace(last, 12.0, back_s, OWN);
+        w.replace(last, 12.0, back_s, OWN_VERSION);
         return 12.0 + back_s;
     }
     for _ in 0..600 {
@@ -490,7 +490,7 @@
     match news {
         News::NeededEnds => ends,
         News::NeededCancelled => {
-            w.insists(any, Ask::Cancel(needed.to_string()));
+            w.insists(any, Request::Cancel(needed.to_string()));
             any
         }
         News::SubmittedLate => {
@@ -499,7 +499,7 @@
             at
         }
         News::SubmittedAfterCancel => {
-            w.insists(any, Ask::Cancel(needed.to_string()));
+            w.insists(any, Request::Cancel(needed.to_string()));
             let at = any + w.rng.random_range(-0.1..3.0);
             submit_needing(w, at.max(0.0), needed);
             at
@@ -521,7 +521,7 @@
     for k in 0..8 {
         w.at(
             in_s + 2.0 * k as f64,
-            Ev::UserVia(k % 3, Ask::Submit(body.clone())),
+            Ev::UserVia(k % 3, Request::Submit(body.clone())),
         );
     }
 }
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -8,9 +8,9 @@
 use hookworks::sched::needs::Needs;
 use hookworks::sched::{Config, Effect, Event, Key};
 use hookworks::store::RecordFormat;
-use hookworks::time::{Time, Wall};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobSpec, JobState, Kind, Priority};
+use hookworks::time::{Time, WallTime};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, JobSpec, JobState, Priority};
 use hookworks::wire::worker::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -24,7 +24,7 @@
 
 fn needing(n: u64, needs: impl IntoIterator<Item = u64>) -> JobSpec {
     let mut j = job(n, 1);
-    j.needs = needs.into_iter().map(id).collect();
+    j.dependencies = needs.into_iter().map(id).collect();
     j
 }
 
@@ -53,7 +53,7 @@
 }
 
 fn poll(d: &mut Desk, n: u64) -> (u16, String) {
-    let asked = d.ask(Ask::Poll(id(n).to_string()));
+    let asked = d.ask(Request::Poll(id(n).to_string()));
     let a = d.answer(asked).expect("answered");
     let v: serde_json::Value = serde_json::from_str(&a.body).unwrap_or_default();
     (a.status, v["Status"].as_str().unwrap_or_default().into())
@@ -86,7 +86,7 @@
 /// A job as a later leader finds it.
 fn on_record(d: &Desk, n: u64) -> Job {
     let v = d.s.jobs[&id(n)].encode(0);
-    let mut j = Job::decode(&v, Time(d.now), Wall(d.now / 1000)).unwrap();
+    let mut j = Job::decode(&v, Time(d.now), WallTime(d.now / 1000)).unwrap();
     (j.parts[0].ver, j.parts[0].stored) = (1, 1);
     j
 }
@@ -95,7 +95,7 @@
     Final { state, done: 0 }
 }
 
-fn reads(d: &Desk) -> Vec<(ReqId, JobId)> {
+fn reads(d: &Desk) -> Vec<(RequestId, JobId)> {
     let read = |f: &Effect| match f {
         Effect::ReadRecord(r, i) => Some((*r, i.clone())),
         _ => None,
@@ -104,7 +104,7 @@
 }
 
 /// Everything asked for so far for this request has this answer.
-fn answer_reads(d: &mut Desk, req: ReqId, answer: Result<Option<serde_json::Value>, ()>) {
+fn answer_reads(d: &mut Desk, req: RequestId, answer: Result<Option<serde_json::Value>, ()>) {
     let ours = reads(d).into_iter().filter(|(r, _)| *r == req);
     for (_, i) in ours.collect::<Vec<_>>() {
         d.event(Event::RecordRead(req, i, answer.clone()));
@@ -131,10 +131,10 @@
         assert!(e.contains("Awaits"), "{wrong}: {e}");
     }
     for none in [json!(null), json!([])] {
-        assert!(JobSpec::parse(&body(none)).unwrap().needs.is_empty());
+        assert!(JobSpec::parse(&body(none)).unwrap().dependencies.is_empty());
     }
     let twice = JobSpec::parse(&body(json!(["job-2", "job-1", "job-2"]))).unwrap();
-    assert_eq!(twice.needs, ["job-1".into(), "job-2".into()]);
+    assert_eq!(twice.dependencies, ["job-1".into(), "job-2".into()]);
 }
 
 #[test]
@@ -262,7 +262,13 @@
         (c.smallest.value_kb, c.smallest.txn_ops, c.most_jobs) = (2.0, 4, 10_000);
     };
     let unfinished = |n: u64| {
-        let mut j = Job::new(job(n * 199, 1), n, Time(4_000_000_000), Wall(1_000_000), 64);
+        let mut j = Job::new(
+            job(n * 199, 1),
+            n,
+            Time(4_000_000_000),
+            WallTime(1_000_000),
+            64,
+        );
         (j.parts[0].ver, j.parts[0].stored) = (1, 1);
         j
     };
@@ -366,7 +372,7 @@
     d.submit(&needing(3, [2]));
     run(&mut d, 1, 10);
     d.stores = false;
-    let asked = d.ask(Ask::Cancel(id(1).to_string()));
+    let asked = d.ask(Request::Cancel(id(1).to_string()));
     assert_eq!(state(&mut d, 3), "queued", "not confirmed, and may go back");
     while d.status(asked).is_none() {
         assert!(d.store_one());
@@ -418,13 +424,13 @@
     d.submit(&needing(2, [1]));
     run(&mut d, 1, 10);
     let show = |d: &mut Desk| {
-        let asked = d.ask(Ask::Show(id(2).to_string()));
+        let asked = d.ask(Request::Show(id(2).to_string()));
         let v: serde_json::Value = serde_json::from_str(&d.answer(asked).unwrap().body).unwrap();
         v
     };
     assert_eq!(show(&mut d)["Awaits"], json!(["job-000001"]));
     d.stores = false;
-    d.ask(Ask::Cancel(id(1).to_string()));
+    d.ask(Request::Cancel(id(1).to_string()));
     d.store_one();
     let v = show(&mut d);
     assert_eq!(v["Status"], "cancelled");
@@ -442,7 +448,7 @@
     d.submit(&job(1, 1));
     run(&mut d, 1, 10);
     // Cancelled, its task still on the machine.
-    d.ask(Ask::Cancel(id(1).to_string()));
+    d.ask(Request::Cancel(id(1).to_string()));
     let asked = d.submit(&needing(2, [1]));
     let a = d.answer(asked).unwrap();
     assert!(a.status == 201 && a.body.contains("cancelled"), "{a:?}");
@@ -468,7 +474,7 @@
         d.submit(&needing(2, [1]));
         run(&mut d, 1, 10);
         d.stores = false;
-        let cancel = |d: &mut Desk| d.ask(Ask::Cancel(id(1).to_string()));
+        let cancel = |d: &mut Desk| d.ask(Request::Cancel(id(1).to_string()));
         let asked = match cancel_first {
             true => {
                 let asked = cancel(&mut d);
@@ -494,7 +500,7 @@
         d.submit(&job(1, 1));
         d.submit(&needing(2, [1]));
         d.stores = false;
-        d.ask(Ask::Cancel(id(1).to_string()));
+        d.ask(Request::Cancel(id(1).to_string()));
         d.event(Event::AlreadyFinal(id(1), over(stored)));
         d.stores = true;
         d.wait(2.0);
@@ -513,7 +519,7 @@
         run(&mut d, 1, 10);
         d.stores = false;
         finish(&mut d, 1, 20);
-        d.ask(Ask::Cancel(id(2).to_string()));
+        d.ask(Request::Cancel(id(2).to_string()));
         let version = d.s.jobs[&id(2)].parts[0].ver;
         let mut keys = [(Key::Final(id(1)), 0), (Key::Part(id(2), 0), version)];
         if !done_first {
@@ -544,7 +550,7 @@
     }
     run(&mut d, 1, 10);
     d.stores = false;
-    let asked = d.ask(Ask::Cancel(id(1).to_string()));
+    let asked = d.ask(Request::Cancel(id(1).to_string()));
     while d.status(asked).is_none() {
         d.store_one();
     }
@@ -628,7 +634,7 @@
     next.wait(10.0);
     assert_eq!(state(&mut next, 2), "queued");
     assert!(!placed(&next, 2));
-    assert_eq!(next.s.jobs[&id(2)].detail().needs, [id(1)]);
+    assert_eq!(next.s.jobs[&id(2)].detail().dependencies, [id(1)]);
 }
 
 /// Two ways of other lengths to the last job: the longest counts.
@@ -682,7 +688,7 @@
     next.wait(0.25);
     assert_eq!(next.s.jobs[&id(1)].priority(), Priority::High);
     // It is called off: the others count as before.
-    d.ask(Ask::Cancel(id(3).to_string()));
+    d.ask(Request::Cancel(id(3).to_string()));
     assert_eq!(d.now, now);
     assert_eq!(d.s.jobs[&id(1)].priority(), Priority::Normal);
     assert_eq!(due(&d, 1), None);
@@ -788,14 +794,14 @@
     machines(&mut d, 2);
     d.submit(&job(1, 1));
     let mut gang = needing(2, [1]);
-    (gang.kind, gang.tasks) = (Kind::Gang, 2);
+    (gang.kind, gang.tasks) = (JobKind::Gang, 2);
     let mut service = needing(3, [1]);
-    service.kind = Kind::Service;
+    service.kind = JobKind::Service;
     assert_eq!(submit(&mut d, &gang), Some(201));
     assert_eq!(submit(&mut d, &service), Some(201));
     d.wait(1.0);
     assert!(!placed(&d, 2) && !placed(&d, 3));
-    let host = d.s.jobs[&id(1)].live[&TaskIx(0)].host.clone();
+    let host = d.s.jobs[&id(1)].live[&TaskIndex(0)].host.clone();
     assert_eq!(host, report(1, 1, Token(0)).host);
     run(&mut d, 1, 10);
     finish(&mut d, 1, 20);
@@ -821,7 +827,7 @@
     next.wait(2.0);
     assert!(!placed(&next, 2));
     assert_eq!(state(&mut next, 2), "queued");
-    assert_eq!(next.s.jobs[&id(2)].detail().needs, [id(1)]);
+    assert_eq!(next.s.jobs[&id(2)].detail().dependencies, [id(1)]);
     // A further one may name it all the same.
     assert_eq!(submit(&mut next, &needing(3, [1])), Some(201));
     // What can be read of it says that it was cancelled.
--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -5,11 +5,11 @@
 
 use hookworks::ids::*;
 use hookworks::sched::job::Final;
-use hookworks::store::{Outcome, final_key};
-use hookworks::wire::peer::{Answer, Ask};
+use hookworks::store::{TxnOutcome, final_key};
+use hookworks::wire::peer::{Answer, Request};
 use hookworks::wire::state::{Change, Txn};
-use hookworks::wire::user::{After, JobSpec, JobState, Kind, When};
-use hookworks::wire::worker::{Order, Orders};
+use hookworks::wire::user::{ConditionTrigger, JobKind, JobSpec, JobState, StartCondition};
+use hookworks::wire::worker::{Command, Commands};
 use world::store::{Handle, Limits, Why};
 use world::submissions::Verdict;
 use world::{Ev, World, job};
@@ -33,7 +33,7 @@
 fn task(ix: u32) -> TaskId {
     TaskId {
         job: JOB.into(),
-        ix: TaskIx(ix),
+        index: TaskIndex(ix),
     }
 }
 
@@ -42,10 +42,10 @@
     let host = Host::from(format!("n-9{ix:05}").as_str());
     let mut m = world::worker::Worker::new(host.clone(), zone.into(), spot, w.now);
     m.up = true;
-    let orders = Orders {
+    let orders = Commands {
         token: Token(u64::MAX / 4),
         session: Session(1),
-        orders: vec![Order::Run {
+        commands: vec![Command::Run {
             task: task(ix),
             attempt: Attempt(attempt),
         }],
@@ -60,7 +60,7 @@
 }
 
 /// A user is told this, whoever says so.
-fn told(w: &mut World, ask: Ask, status: u16, state: &str) {
+fn told(w: &mut World, ask: Request, status: u16, state: &str) {
     let id = JOB;
     let body = format!(r#"{{"Id":"{id}","Status":"{state}","done":0,"running":0}}"#);
     w.told_by_mistake(ask, Answer::new(status, body));
@@ -98,7 +98,7 @@
         starts_elsewhere(&mut w, zone, true, ix, 7);
     }
     assert!(noticed(&w, "wrong_place"), "{:?}", w.broken);
-    let mut w = running(|j| (j.kind, j.tasks, j.spread) = (Kind::Service, 4, true));
+    let mut w = running(|j| (j.kind, j.tasks, j.spread) = (JobKind::Service, 4, true));
     for ix in 0..4 {
         starts_elsewhere(&mut w, "a", true, ix, 7);
     }
@@ -109,13 +109,13 @@
 #[test]
 fn a_task_that_outlives_its_cancellation() {
     let mut w = running(|_| {});
-    told(&mut w, Ask::Cancel(JOB.into()), 200, "cancelled");
+    told(&mut w, Request::Cancel(JOB.into()), 200, "cancelled");
     w.run(41.9);
     assert!(!noticed(&w, "ran_cancelled"));
     w.run(0.3);
     assert!(noticed(&w, "ran_cancelled"));
     let mut w = running(|_| {});
-    w.user(Ask::Cancel(JOB.into()));
+    w.user(Request::Cancel(JOB.into()));
     w.run(60.0);
     assert!(!noticed(&w, "ran_cancelled"), "{:?}", w.broken);
     // It starts long after: out of nowhere, on a machine that then hangs.
@@ -143,7 +143,7 @@
             w.at(hangs_s, Ev::Hang(h, false));
         }
         w.run(0.1);
-        w.user(Ask::Cancel(JOB.into()));
+        w.user(Request::Cancel(JOB.into()));
         w.run(41.9);
         assert!(!noticed(&w, "ran_cancelled"));
         w.run(30.0);
@@ -155,7 +155,7 @@
 fn an_accepted_job_that_is_not_known() {
     for status in [400, 404, 422] {
         let mut w = running(|_| {});
-        told(&mut w, Ask::Poll(JOB.into()), status, "queued");
+        told(&mut w, Request::Poll(JOB.into()), status, "queued");
         assert!(noticed(&w, "forgotten"), "{status}");
     }
     // No answer for 75 s, once all troubles are over.
@@ -164,7 +164,7 @@
         w.ignores_one_in = Some(1);
         w.all_quiet();
         w.run(silent_s);
-        w.user(Ask::Poll(JOB.into()));
+        w.user(Request::Poll(JOB.into()));
         w.run(0.1);
         assert_eq!(noticed(&w, "forgotten"), forgotten, "{:?}", w.broken);
     }
@@ -177,7 +177,7 @@
     let body = serde_json::to_vec(&j).unwrap();
     w.specs.insert(j.id.clone(), j);
     let view = r#"{"Id":"job-000002","Status":"queued","done":0,"running":0}"#;
-    w.told_by_mistake(Ask::Submit(body), Answer::new(201, view.into()));
+    w.told_by_mistake(Request::Submit(body), Answer::new(201, view.into()));
 }
 
 /// For 90 s, with all troubles over, beside one machine with room for it.
@@ -192,9 +192,9 @@
     };
     assert!(!neglected(|_| {}, 89.0));
     assert!(neglected(|_| {}, 93.0));
-    assert!(neglected(|j| (j.kind, j.tasks) = (Kind::Gang, 2), 93.0));
+    assert!(neglected(|j| (j.kind, j.tasks) = (JobKind::Gang, 2), 93.0));
     // Too large for the room there is, as a whole, by itself or beside its team's.
-    assert!(!neglected(|j| (j.kind, j.tasks) = (Kind::Gang, 3), 93.0));
+    assert!(!neglected(|j| (j.kind, j.tasks) = (JobKind::Gang, 3), 93.0));
     assert!(!neglected(|j| j.cpus = 5.0, 93.0));
     assert!(!neglected(|j| j.gpus = 2.5, 93.0));
     // On no machine that there is.
@@ -207,8 +207,8 @@
 fn a_job_that_may_not_start_is_not_left_waiting() {
     let mut w = running(|_| {});
     hidden(&mut w, |j| {
-        let (job, when, each) = (JOB.into(), When::End, false);
-        j.after = vec![After { job, when, each }];
+        let (job, when, each) = (JOB.into(), ConditionTrigger::End, false);
+        j.start_conditions = vec![StartCondition { job, when, each }];
     });
     w.all_quiet();
     w.run(120.0);
@@ -218,14 +218,14 @@
 #[test]
 fn a_job_that_nobody_submitted() {
     let mut w = World::new(3, 3);
-    told(&mut w, Ask::Poll(JOB.into()), 200, "queued");
+    told(&mut w, Request::Poll(JOB.into()), 200, "queued");
     assert!(noticed(&w, "invented"));
 }
 
 #[test]
 fn a_job_called_done_too_early() {
     let mut w = running(|_| {});
-    told(&mut w, Ask::Poll(JOB.into()), 200, "done");
+    told(&mut w, Request::Poll(JOB.into()), 200, "done");
     assert!(noticed(&w, "not_done"));
 }
 
@@ -233,14 +233,14 @@
 fn an_older_answer_after_a_newer_one() {
     for (first, then) in [("cancelled", "running"), ("cancelled", "done")] {
         let mut w = running(|_| {});
-        told(&mut w, Ask::Cancel(JOB.into()), 200, first);
+        told(&mut w, Request::Cancel(JOB.into()), 200, first);
         assert!(!noticed(&w, "went_back"));
-        told(&mut w, Ask::Poll(JOB.into()), 200, then);
+        told(&mut w, Request::Poll(JOB.into()), 200, then);
         assert!(noticed(&w, "went_back"));
     }
     // Called cancelled, though its user never asked for that.
     let mut w = running(|_| {});
-    told(&mut w, Ask::Poll(JOB.into()), 200, "cancelled");
+    told(&mut w, Request::Poll(JOB.into()), 200, "cancelled");
     assert!(noticed(&w, "went_back"), "{:?}", w.broken);
 }
 
@@ -275,7 +275,7 @@
             let mut w = World::new(3, 1);
             w.specs.insert(JOB.into(), job(1, 2));
             assert_eq!(w.verdict(&body), verdict, "{text}");
-            told(&mut w, Ask::Submit(body.clone()), status, "queued");
+            told(&mut w, Request::Submit(body.clone()), status, "queued");
             let right = match verdict {
                 Verdict::Accepted => 201,
                 Verdict::Malformed => 400,
@@ -295,7 +295,7 @@
 fn a_submission_that_is_answered_in_two_ways() {
     let mut body = job(1, 2);
     body.team = "nobody".into();
-    let ask = Ask::Submit(serde_json::to_vec(&body).unwrap());
+    let ask = Request::Submit(serde_json::to_vec(&body).unwrap());
     let text = |why: &str| Answer::error(422, why);
     let says = |second: Answer| {
         let mut w = World::new(3, 1);
@@ -315,7 +315,7 @@
     for status in [400, 422] {
         let mut w = running(|_| {});
         let body = serde_json::to_vec(&w.specs[&JobId::from(JOB)]).unwrap();
-        told(&mut w, Ask::Submit(body), status, "queued");
+        told(&mut w, Request::Submit(body), status, "queued");
         assert!(noticed(&w, "forgotten"), "{status}");
     }
 }
@@ -324,20 +324,20 @@
 /// starts a task with none under way. One that left before may be carried out late.
 #[test]
 fn a_start_after_a_confirmed_cancellation() {
-    let run = |ix| Order::Run {
+    let run = |ix| Command::Run {
         task: task(ix),
         attempt: Attempt(7),
     };
     let host = Host::from("n-900007");
     let mut w = running(|j| j.tasks = 9);
     w.commands_leave(&host, &[run(7)]);
-    told(&mut w, Ask::Cancel(JOB.into()), 200, "cancelled");
+    told(&mut w, Request::Cancel(JOB.into()), 200, "cancelled");
     starts_elsewhere(&mut w, "a", true, 7, 7);
     assert!(!noticed(&w, "started_cancelled"), "{:?}", w.broken);
     w.commands_leave(&host, &[run(8)]);
     assert!(noticed(&w, "started_cancelled"));
     let mut w = running(|j| j.tasks = 9);
-    told(&mut w, Ask::Cancel(JOB.into()), 200, "cancelled");
+    told(&mut w, Request::Cancel(JOB.into()), 200, "cancelled");
     starts_elsewhere(&mut w, "a", true, 8, 7);
     assert!(noticed(&w, "started_cancelled"));
 }
@@ -346,12 +346,12 @@
 #[test]
 fn an_answer_older_than_one_told_before_the_question_was_sent() {
     let view = |state: &str| format!(r#"{{"Id":"{JOB}","Status":"{state}","done":0,"running":0}}"#);
-    let poll = || Ask::Poll(JOB.into());
+    let poll = || Request::Poll(JOB.into());
     for (sent_later, went_back) in [(true, true), (false, false)] {
         let mut w = running(|_| {});
         let before = w.now;
         w.run(1.0);
-        told(&mut w, Ask::Cancel(JOB.into()), 200, "cancelled");
+        told(&mut w, Request::Cancel(JOB.into()), 200, "cancelled");
         w.run(1.0);
         let sent = if sent_later { w.now } else { before };
         w.told_by_mistake_since(poll(), Answer::new(200, view("running")), sent);
@@ -364,7 +364,7 @@
         for (sent_later, forgotten) in [(true, true), (false, false)] {
             let mut w = running(|_| {});
             let sent = if sent_later { w.now } else { 1 };
-            let again = Ask::Submit(serde_json::to_vec(&w.specs[&JobId::from(JOB)]).unwrap());
+            let again = Request::Submit(serde_json::to_vec(&w.specs[&JobId::from(JOB)]).unwrap());
             for ask in [poll(), again] {
                 let a = Answer::new(status, "{}".into());
                 w.told_by_mistake_since(ask, a, sent);
@@ -385,7 +385,7 @@
 fn other_task(id: &JobId) -> TaskId {
     TaskId {
         job: id.clone(),
-        ix: TaskIx(0),
+        index: TaskIndex(0),
     }
 }
 
@@ -394,10 +394,10 @@
     let host = Host::from("n-900100");
     let mut m = world::worker::Worker::new(host.clone(), "a".into(), true, w.now);
     m.up = true;
-    let orders = Orders {
+    let orders = Commands {
         token: Token(u64::MAX / 4),
         session: Session(1),
-        orders: vec![Order::Run {
+        commands: vec![Command::Run {
             task: other_task(id),
             attempt: Attempt(7),
         }],
@@ -436,7 +436,7 @@
         if stored {
             w.store.put(&final_key(&JOB.into()), end(JobState::Done));
         }
-        let run = Order::Run {
+        let run = Command::Run {
             task: other_task(&id),
             attempt: Attempt(7),
         };
@@ -476,20 +476,20 @@
         for (direct, cancelled_first) in [(true, false), (false, false), (true, true)] {
             let mut w = running(|_| {});
             if cancelled_first {
-                told(&mut w, Ask::Cancel(JOB.into()), 200, "cancelled");
+                told(&mut w, Request::Cancel(JOB.into()), 200, "cancelled");
             }
             let mut id = needs_the_first(&mut w);
             if !direct {
                 let parent = std::mem::replace(&mut id, "job-000003".into());
                 w.specs.insert(id.clone(), job(3, 1));
-                w.told_by_mistake(Ask::Poll(id.to_string()), view(id.as_str(), "queued"));
+                w.told_by_mistake(Request::Poll(id.to_string()), view(id.as_str(), "queued"));
                 w.add_needs(&id, [parent].into());
             }
             if !cancelled_first {
-                told(&mut w, Ask::Cancel(JOB.into()), 200, "cancelled");
+                told(&mut w, Request::Cancel(JOB.into()), 200, "cancelled");
             }
             let poll = |w: &mut World| {
-                let ask = Ask::Poll(id.to_string());
+                let ask = Request::Poll(id.to_string());
                 w.told_by_mistake(ask, view(id.as_str(), state));
             };
             w.run(41.9);
@@ -509,9 +509,9 @@
 fn a_cancellation_answered_with_done_takes_nothing_along() {
     let mut w = running(|_| {});
     let id = needs_the_first(&mut w);
-    told(&mut w, Ask::Cancel(JOB.into()), 200, "done");
+    told(&mut w, Request::Cancel(JOB.into()), 200, "done");
     w.run(60.0);
-    w.told_by_mistake(Ask::Poll(id.to_string()), view(id.as_str(), "queued"));
+    w.told_by_mistake(Request::Poll(id.to_string()), view(id.as_str(), "queued"));
     assert!(!noticed(&w, "orphaned"), "{:?}", w.broken);
 }
 
@@ -522,9 +522,12 @@
         let mut w = running(|_| {});
         let id = needs_the_first(&mut w);
         if asked {
-            w.user(Ask::Cancel(JOB.into()));
+            w.user(Request::Cancel(JOB.into()));
         }
-        w.told_by_mistake(Ask::Poll(id.to_string()), view(id.as_str(), "cancelled"));
+        w.told_by_mistake(
+            Request::Poll(id.to_string()),
+            view(id.as_str(), "cancelled"),
+        );
         assert_eq!(noticed(&w, "went_back"), !asked, "{:?}", w.broken);
     }
 }
@@ -543,7 +546,7 @@
         let mut w = running(|_| {});
         w.specs.insert("job-000005".into(), job(5, 1));
         let a = view("job-000005", "queued");
-        w.told_by_mistake(Ask::Submit(body.to_vec()), Answer::new(status, a.body));
+        w.told_by_mistake(Request::Submit(body.to_vec()), Answer::new(status, a.body));
         w
     };
     let cases = [
@@ -579,7 +582,7 @@
         conditions: vec![],
         changes,
     };
-    let carried_out = |o: Outcome| matches!(o, Outcome::Ok(_));
+    let carried_out = |o: TxnOutcome| matches!(o, TxnOutcome::Ok(_));
     let store = Handle::default();
     store.at(1_000_000);
     let large = txn(vec![put("a", 8 * 1024)]);
--- a/tests/controller_requests.rs
+++ b/tests/controller_requests.rs
@@ -1,13 +1,13 @@
 //! Requests that controllers pass on among themselves, across the ends of processes.
 
-use hookworks::ids::{Epoch, Instance, Label};
+use hookworks::ids::{ControllerId, Epoch, Instance};
 use hookworks::node::{first_request, replaced};
 
 /// Reports that a leader was asked before it ended waited for its answer until
 /// their workers gave up, though it led again under the same name.
 #[test]
 fn a_leader_that_leads_again_has_forgotten_what_it_was_asked() {
-    let of = |l: &str, e| (Label::from(l), Epoch(e));
+    let of = |l: &str, e| (ControllerId::from(l), Epoch(e));
     let asked = of("a", 4);
     assert!(replaced(&asked, Some(&of("a", 5))));
     assert!(!replaced(&asked, Some(&of("a", 4))));
--- a/tests/cut_off.rs
+++ b/tests/cut_off.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::JobSpec;
 use rand::RngExt;
 use world::links::Link;
@@ -36,7 +36,7 @@
 /// A user cancels until somebody confirms.
 fn cancel(w: &mut World, n: u64, in_s: f64) {
     for k in 0..10 {
-        let ask = Ask::Cancel(id(n));
+        let ask = Request::Cancel(id(n));
         w.at(in_s + 4.0 * f64::from(k), Ev::User(ask));
     }
 }
@@ -46,7 +46,7 @@
     w.all_quiet();
     for n in 1..=jobs {
         for k in 0..40 {
-            w.at(5.0 * f64::from(k), Ev::User(Ask::Poll(id(n))));
+            w.at(5.0 * f64::from(k), Ev::User(Request::Poll(id(n))));
         }
     }
     w.run(210.0);
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -5,19 +5,19 @@
 use hookworks::ids::*;
 use hookworks::sched::job::{Final, Job};
 use hookworks::sched::{Effect, Event};
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{After, JobSpec, JobState, When};
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{ConditionTrigger, JobSpec, JobState, StartCondition};
 use hookworks::wire::worker::*;
 use serde_json::json;
 use world::desk::{Desk, ended, report, task};
 use world::job;
 
-fn waits(n: u64, parent: u64, when: When) -> JobSpec {
+fn waits(n: u64, parent: u64, when: ConditionTrigger) -> JobSpec {
     let mut j = job(n, 1);
     let job = JobId::from(format!("job-{parent:06}").as_str());
     let each = false;
-    j.after = vec![After { job, when, each }];
+    j.start_conditions = vec![StartCondition { job, when, each }];
     j
 }
 
@@ -61,10 +61,10 @@
     machine(&mut d);
     d.submit(&job(1, 1));
     for (n, when) in [
-        (2, When::Start),
-        (3, When::End),
-        (4, When::Success),
-        (5, When::Failure),
+        (2, ConditionTrigger::Start),
+        (3, ConditionTrigger::End),
+        (4, ConditionTrigger::Success),
+        (5, ConditionTrigger::Failure),
     ] {
         let asked = d.submit(&waits(n, 1, when));
         assert_eq!(d.status(asked), Some(201));
@@ -96,9 +96,9 @@
     let mut d = Desk::new(5);
     machine(&mut d);
     d.submit(&job(1, 1));
-    d.submit(&waits(2, 1, When::Failure));
-    d.submit(&waits(3, 1, When::Success));
-    d.ask(Ask::Cancel(id(1).to_string()));
+    d.submit(&waits(2, 1, ConditionTrigger::Failure));
+    d.submit(&waits(3, 1, ConditionTrigger::Success));
+    d.ask(Request::Cancel(id(1).to_string()));
     d.wait(2.0);
     assert!(placed(&d, 2) && !placed(&d, 3) && d.s.jobs[&id(3)].held());
 }
@@ -109,10 +109,10 @@
 fn a_released_hold_stays_released_and_none_is_shown_before_it_is_stored() {
     let mut d = Desk::new(5);
     d.submit(&job(1, 1));
-    d.submit(&waits(2, 1, When::Success));
-    let shown = |d: &Desk| d.s.jobs[&id(2)].detail().line().held.len();
+    d.submit(&waits(2, 1, ConditionTrigger::Success));
+    let shown = |d: &Desk| d.s.jobs[&id(2)].detail().into_line().held.len();
     d.stores = false;
-    d.ask(Ask::Cancel(id(1).to_string()));
+    d.ask(Request::Cancel(id(1).to_string()));
     while !d.s.jobs[&id(2)].held() {
         assert!(d.store_one());
     }
@@ -120,12 +120,12 @@
     d.store();
     assert_eq!(shown(&d), 1);
     let body = r#"{"By":"ops","Kind":"system"}"#;
-    d.ask(Ask::Release(id(2).to_string(), body.into()));
+    d.ask(Request::Release(id(2).to_string(), body.into()));
     assert_eq!(shown(&d), 1, "the release is not stored yet");
     d.store();
     assert_eq!(shown(&d), 0);
     let record = d.s.jobs[&id(2)].encode(0);
-    let mut found = Job::decode(&record, Time(d.now), Wall(1)).unwrap();
+    let mut found = Job::decode(&record, Time(d.now), WallTime(1)).unwrap();
     (found.parts[0].ver, found.parts[0].stored) = (1, 1);
     let mut next = Desk::with(6, vec![found]);
     let f = Final {
@@ -143,10 +143,10 @@
 fn what_is_met_is_stored_and_what_ended_in_a_take_over_is_read() {
     let mut d = Desk::new(5);
     d.submit(&job(1, 1));
-    d.submit(&waits(2, 1, When::End));
+    d.submit(&waits(2, 1, ConditionTrigger::End));
     let found = |d: &Desk, n| {
         let v = d.s.jobs[&id(n)].encode(0);
-        let mut j = Job::decode(&v, Time(d.now), Wall(1)).unwrap();
+        let mut j = Job::decode(&v, Time(d.now), WallTime(1)).unwrap();
         (j.parts[0].ver, j.parts[0].stored) = (1, 1);
         j
     };
@@ -176,7 +176,7 @@
 #[test]
 fn unknown_jobs_and_those_of_other_teams_are_refused() {
     let mut d = Desk::new(5);
-    let asked = d.submit(&waits(2, 1, When::End));
+    let asked = d.submit(&waits(2, 1, ConditionTrigger::End));
     assert_eq!(d.status(asked), None, "refused without a consistent read");
     let reads: Vec<JobId> =
         d.fx.iter()
@@ -197,13 +197,13 @@
     // Finished long ago, of the same and of another team.
     let record = |team: &str| json!({"state": "done", "done": 1, "j": {"t": team}});
     for (n, team, status) in [(3, "blue", 422), (4, "red", 201)] {
-        let asked = d.submit(&waits(n, 9, When::Success));
+        let asked = d.submit(&waits(n, 9, ConditionTrigger::Success));
         d.event(Event::RecordRead(asked, id(9), Ok(Some(record(team)))));
         d.event(Event::RecordRead(asked, id(n), Ok(None)));
         assert_eq!(d.status(asked), Some(status), "{team}");
     }
     // One whose own record says that it is over: never refused.
-    let asked = d.submit(&waits(5, 8, When::End));
+    let asked = d.submit(&waits(5, 8, ConditionTrigger::End));
     d.event(Event::RecordRead(asked, id(8), Ok(None)));
     d.event(Event::RecordRead(
         asked,
@@ -213,8 +213,8 @@
     let a = d.answer(asked).unwrap();
     assert!(a.status == 200 && a.body.contains("done"), "{a:?}");
     let body = |s: &str| s.replace("\"Id\":\"job-000002\"", "\"Id\":\"job-000001\"");
-    let text = serde_json::to_string(&waits(2, 1, When::End)).unwrap();
-    let asked = d.ask(Ask::Submit(body(&text).into_bytes()));
+    let text = serde_json::to_string(&waits(2, 1, ConditionTrigger::End)).unwrap();
+    let asked = d.ask(Request::Submit(body(&text).into_bytes()));
     let a = d.answer(asked).unwrap();
     assert!(a.status == 400 && a.body.contains("itself"), "{a:?}");
 }
@@ -225,8 +225,8 @@
     let mut d = Desk::new(5);
     machine(&mut d);
     d.submit(&job(1, 3));
-    let mut child = waits(2, 1, When::Success);
-    (child.tasks, child.after[0].each) = (3, true);
+    let mut child = waits(2, 1, ConditionTrigger::Success);
+    (child.tasks, child.start_conditions[0].each) = (3, true);
     let asked = d.submit(&child);
     assert_eq!(d.status(asked), Some(201));
     let live = |d: &Desk, n: u64| {
@@ -251,7 +251,7 @@
     // A new leader finds out by the other's record.
     let found = |d: &Desk, n| {
         let v = d.s.jobs[&id(n)].encode(0);
-        let mut j = Job::decode(&v, Time(d.now), Wall(1)).unwrap();
+        let mut j = Job::decode(&v, Time(d.now), WallTime(1)).unwrap();
         (j.parts[0].ver, j.parts[0].stored) = (1, 1);
         j
     };
@@ -268,8 +268,8 @@
     last.event(Event::FinalRead(id(1), Ok(Some(f))));
     assert_eq!(last.s.jobs[&id(2)].pending(), 2);
     // An array of another size has no counterparts.
-    let mut odd = waits(3, 2, When::Success);
-    (odd.tasks, odd.after[0].each) = (4, true);
+    let mut odd = waits(3, 2, ConditionTrigger::Success);
+    (odd.tasks, odd.start_conditions[0].each) = (4, true);
     let asked = d.submit(&odd);
     assert_eq!(d.status(asked), Some(422));
 }
@@ -281,13 +281,13 @@
     let mut d = Desk::new(5);
     let mut statuses = vec![];
     for n in 1..=5u64 {
-        let mut j = waits(n, 100, When::End);
-        let named = |k| After {
+        let mut j = waits(n, 100, ConditionTrigger::End);
+        let named = |k| StartCondition {
             job: id(100 * n + k),
-            when: When::End,
+            when: ConditionTrigger::End,
             each: false,
         };
-        j.after = (1..=16).map(named).collect();
+        j.start_conditions = (1..=16).map(named).collect();
         let asked = d.submit(&j);
         statuses.push(d.status(asked));
     }
@@ -302,11 +302,11 @@
     let mut d = Desk::new(5);
     d.submit(&job(1, 1));
     for n in 2..=400 {
-        let asked = d.submit(&waits(n, n - 1, When::End));
+        let asked = d.submit(&waits(n, n - 1, ConditionTrigger::End));
         assert_eq!(d.status(asked), Some(201), "{n}");
     }
     let written = d.written;
-    d.ask(Ask::Cancel(id(1).to_string()));
+    d.ask(Request::Cancel(id(1).to_string()));
     d.wait(1.0);
     assert!(!d.s.jobs[&id(2)].blocked() && d.s.jobs[&id(3)].blocked());
     assert!(d.written - written <= 6, "{}", d.written - written);
@@ -330,9 +330,9 @@
     for k in 0..50 {
         d.now += Span::secs(1.0).0;
         r.seq = Seq(20 + k);
-        d.event(Event::Tick(Wall(d.now / 1000)));
-        let orders = d.beat(&r).unwrap().orders;
-        if let [Order::Kill { leeway_s, .. }] = orders[..] {
+        d.event(Event::Tick(WallTime(d.now / 1000)));
+        let orders = d.beat(&r).unwrap().commands;
+        if let [Command::Kill { leeway_s, .. }] = orders[..] {
             told.push((k, leeway_s));
         }
     }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -6,11 +6,11 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Final;
 use hookworks::sched::{Event, Key};
-use hookworks::store::client::{ReadError, State};
+use hookworks::store::client::{ReadError, StateStore};
 use hookworks::store::commit::{Committer, Step};
-use hookworks::store::{EPOCH, LEADER, Outcome};
+use hookworks::store::{EPOCH_KEY, LEADER_KEY, TxnOutcome};
 use hookworks::time::{Span, Time};
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 use hookworks::wire::state::{Change, Item, Page, Txn};
 use hookworks::wire::user::JobState;
 use std::cell::Cell;
@@ -70,7 +70,7 @@
         a.step(|| Time(0)),
         ElectionOutcome::Elected { .. }
     ));
-    assert!(s.read(LEADER).unwrap().is_some());
+    assert!(s.read(LEADER_KEY).unwrap().is_some());
 }
 
 fn bound_address(addr: &str, system: Option<&str>) -> BoundAddress {
@@ -176,9 +176,9 @@
     };
     let txn = hookworks::wire::state::Txn {
         conditions: vec![],
-        changes: vec![put(LEADER, late, Some(lease))],
+        changes: vec![put(LEADER_KEY, late, Some(lease))],
     };
-    assert!(matches!(s.apply(&txn), Outcome::Ok(_)));
+    assert!(matches!(s.apply(&txn), TxnOutcome::Ok(_)));
     assert!(matches!(
         a.step(|| Time(0)),
         ElectionOutcome::Elected { .. }
@@ -198,11 +198,11 @@
     };
     let (_, _, txn, _) = submitted(stamp);
     // Its lease is ended, nobody leads yet.
-    let lease = s.read(LEADER).unwrap().unwrap().lease.unwrap();
+    let lease = s.read(LEADER_KEY).unwrap().unwrap().lease.unwrap();
     s.revoke(lease);
-    assert!(matches!(s.apply(&txn), Outcome::Conflict(_)));
+    assert!(matches!(s.apply(&txn), TxnOutcome::Conflict(_)));
     candidate(&s, "a", 2, at()).step(|| Time(0));
-    assert!(matches!(s.apply(&txn), Outcome::Conflict(_)));
+    assert!(matches!(s.apply(&txn), TxnOutcome::Conflict(_)));
     assert!(!s.keys().iter().any(|k| k.contains(JOB)));
     // Nor does a renewal under way bring the lease back.
     assert_eq!(s.renew(lease), Ok(false));
@@ -226,12 +226,14 @@
 }
 
 /// A new job through scheduler and committer, up to its transaction.
-fn submitted(stamp: Stamp) -> (Desk, Committer, hookworks::wire::state::Txn, TxnId) {
+fn submitted(stamp: Revision) -> (Desk, Committer, hookworks::wire::state::Txn, TxnId) {
     let mut d = Desk::new(1);
     d.stores = false;
     d.submit(&job(1, 2));
     let mut c = Committer::new(stamp, &settings("x").platform.params.state);
-    let (id, txn) = c.next(Time(d.now), &mut d.s).expect("something to write");
+    let (id, txn) = c
+        .next_txn(Time(d.now), &mut d.s)
+        .expect("something to write");
     (d, c, txn, id)
 }
 
@@ -251,7 +253,7 @@
     // The late transaction arrives: even a new key is not written.
     let o = s.apply(&txn);
     assert!(!s.keys().iter().any(|k| k.contains(JOB)));
-    let (events, steps) = c.finished(Time(d.now), id, o, &mut d.s);
+    let (events, steps) = c.handle_outcome(Time(d.now), id, o, &mut d.s);
     assert!(events.is_empty());
     assert_eq!(steps, vec![Step::Deposed]);
 }
@@ -265,21 +267,21 @@
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
     s.apply(&txn);
-    let (events, _) = c.finished(Time(d.now), id, Outcome::Unclear, &mut d.s);
+    let (events, _) = c.handle_outcome(Time(d.now), id, TxnOutcome::Unknown, &mut d.s);
     assert!(events.is_empty(), "an unclear outcome told as stored");
     d.now += 500_000;
-    let (id, txn) = c.next(Time(d.now), &mut d.s).unwrap();
+    let (id, txn) = c.next_txn(Time(d.now), &mut d.s).unwrap();
     let o = s.apply(&txn);
-    assert!(matches!(o, Outcome::Conflict(_)));
-    let (_, steps) = c.finished(Time(d.now), id, o, &mut d.s);
+    assert!(matches!(o, TxnOutcome::Conflict(_)));
+    let (_, steps) = c.handle_outcome(Time(d.now), id, o, &mut d.s);
     for step in steps {
         let Step::Read(key) = step else { panic!() };
         let item = s.read(&key).unwrap();
-        c.read_back(key, Ok(item), &mut d.s);
+        c.handle_read(key, Ok(item), &mut d.s);
     }
-    let (id, txn) = c.next(Time(d.now), &mut d.s).unwrap();
+    let (id, txn) = c.next_txn(Time(d.now), &mut d.s).unwrap();
     let o = s.apply(&txn);
-    let (events, _) = c.finished(Time(d.now), id, o, &mut d.s);
+    let (events, _) = c.handle_outcome(Time(d.now), id, o, &mut d.s);
     assert!(matches!(&events[..], [Event::Stored(Key::Part(j, 0), _)] if j.as_str() == JOB));
 }
 
@@ -291,15 +293,15 @@
         d.submit(&job(n, 1));
     }
     let limits = settings("x").platform.params.state;
-    let mut c = Committer::new(Stamp(1), &limits);
+    let mut c = Committer::new(Revision(1), &limits);
     let mut changes = 0;
     for step in 0..40 {
         let now = Time(d.now + step * 25_000);
-        while let Some((id, txn)) = c.next(now, &mut d.s) {
+        while let Some((id, txn)) = c.next_txn(now, &mut d.s) {
             assert!(txn.changes.len() <= limits.txn_ops);
             assert!(txn.conditions.len() <= 4 * limits.txn_ops);
             changes += txn.changes.len();
-            c.finished(now, id, Outcome::Ok(Stamp(9)), &mut d.s);
+            c.handle_outcome(now, id, TxnOutcome::Ok(Revision(9)), &mut d.s);
         }
     }
     // A second's worth and the burst that the service allows.
@@ -314,23 +316,23 @@
     let mut d = Desk::new(1);
     d.stores = false;
     let limits = settings("x").platform.params.state;
-    let mut c = Committer::new(Stamp(1), &limits);
+    let mut c = Committer::new(Revision(1), &limits);
     for n in 0..2000 {
-        c.add_litter(format!("hookworks/part/job-900000/{n:06}"), Stamp(1));
+        c.add_garbage(format!("hookworks/part/job-900000/{n:06}"), Revision(1));
     }
     for n in 0..200 {
         d.submit(&job(100 + n, 1));
     }
     d.store();
     for n in 0..200 {
-        d.ask(Ask::Cancel(format!("job-{:06}", 100 + n)));
+        d.ask(Request::Cancel(format!("job-{:06}", 100 + n)));
     }
     // The cancellations themselves are stored; the ends wait.
     let lengths = d.s.dirty.lengths();
     assert!(lengths[0] + lengths[2] >= 200, "{lengths:?}");
     let (mut swept, mut ended, mut longest) = (0, 0, 0);
-    let mut waiting: Option<(ReqId, u64)> = None;
-    let mut burst: Vec<ReqId> = vec![];
+    let mut waiting: Option<(RequestId, u64)> = None;
+    let mut burst: Vec<RequestId> = vec![];
     for step in 0..800 {
         d.now += 25_000;
         let now = Time(d.now);
@@ -345,10 +347,10 @@
         if step % 20 == 0 && waiting.is_none() && step > 200 && step < 700 {
             waiting = Some((d.submit(&job(1000 + step, 1)), d.now));
         }
-        while let Some((id, txn)) = c.next(now, &mut d.s) {
+        while let Some((id, txn)) = c.next_txn(now, &mut d.s) {
             let litter = |x: &&Change| x.key().contains("job-900000");
             swept += txn.changes.iter().filter(litter).count();
-            let (events, _) = c.finished(now, id, Outcome::Ok(Stamp(9)), &mut d.s);
+            let (events, _) = c.handle_outcome(now, id, TxnOutcome::Ok(Revision(9)), &mut d.s);
             for e in events {
                 ended += matches!(&e, Event::Stored(Key::Final(_), _)) as u32;
                 let fx = d.s.handle(now, e);
@@ -388,7 +390,7 @@
     }
 }
 
-impl State for Dying {
+impl StateStore for Dying {
     fn get(&self, key: &str) -> Result<Option<Item>, ReadError> {
         self.ask(|s| s.get(key)).unwrap_or(Err(ReadError::Failed))
     }
@@ -396,8 +398,8 @@
         let page = self.ask(|s| s.page(prefix, after, limit));
         page.unwrap_or(Err(ReadError::Failed))
     }
-    fn txn(&self, t: &Txn) -> Outcome {
-        self.ask(|s| s.txn(t)).unwrap_or(Outcome::Unclear)
+    fn txn(&self, t: &Txn) -> TxnOutcome {
+        self.ask(|s| s.txn(t)).unwrap_or(TxnOutcome::Unknown)
     }
     fn grant(&self, ttl_ms: u64) -> Result<u64, ReadError> {
         let lease = self.ask(|s| s.grant(ttl_ms));
@@ -438,11 +440,11 @@
             let ElectionOutcome::Elected { epoch, stamp, .. } = third.step(|| Time(0)) else {
                 panic!("not at once: {left} {carried_out}");
             };
-            let key = s.read(LEADER).unwrap().unwrap();
-            assert_eq!(key.stamp, stamp);
+            let key = s.read(LEADER_KEY).unwrap().unwrap();
+            assert_eq!(key.revision, stamp);
             assert_eq!(key.value["instance"], 3);
             assert!(epoch > Epoch(if won { 2 } else { 1 }));
-            assert_eq!(s.read(EPOCH).unwrap().unwrap().value, epoch.0);
+            assert_eq!(s.read(EPOCH_KEY).unwrap().unwrap().value, epoch.0);
         }
     }
 }
@@ -458,23 +460,23 @@
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
-    assert!(matches!(s.apply(&txn), Outcome::Ok(_)));
-    c.finished(Time(d.now), id, Outcome::Unclear, &mut d.s);
-    d.ask(hookworks::wire::peer::Ask::Cancel(JOB.into()));
+    assert!(matches!(s.apply(&txn), TxnOutcome::Ok(_)));
+    c.handle_outcome(Time(d.now), id, TxnOutcome::Unknown, &mut d.s);
+    d.ask(hookworks::wire::peer::Request::Cancel(JOB.into()));
     for _ in 0..6 {
         d.now += 300_000;
-        let Some((id, txn)) = c.next(Time(d.now), &mut d.s) else {
+        let Some((id, txn)) = c.next_txn(Time(d.now), &mut d.s) else {
             break;
         };
         let outcome = s.apply(&txn);
-        let (events, steps) = c.finished(Time(d.now), id, outcome, &mut d.s);
+        let (events, steps) = c.handle_outcome(Time(d.now), id, outcome, &mut d.s);
         for e in events {
             d.event(e);
         }
         for step in steps {
             let Step::Read(key) = step else { panic!() };
             let item = s.read(&key);
-            let (events, _) = c.read_back(key, item, &mut d.s);
+            let (events, _) = c.handle_read(key, item, &mut d.s);
             for e in events {
                 d.event(e);
             }
@@ -492,7 +494,7 @@
     let mut d = Desk::new(6);
     d.stores = false;
     let submitted = d.submit(&job(1, 7));
-    let cancelled = d.ask(hookworks::wire::peer::Ask::Cancel(JOB.into()));
+    let cancelled = d.ask(hookworks::wire::peer::Request::Cancel(JOB.into()));
     let f = Final {
         state: JobState::Done,
         done: 7,
@@ -502,7 +504,7 @@
         let a = d.answer(req).expect("answered");
         assert!(a.status == 200 && a.body.contains(DONE), "{a:?}");
     }
-    let poll = d.ask(hookworks::wire::peer::Ask::Poll(JOB.into()));
+    let poll = d.ask(hookworks::wire::peer::Request::Poll(JOB.into()));
     assert!(d.answer(poll).unwrap().body.contains(DONE));
     assert!(d.s.jobs.is_empty());
 }
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -6,9 +6,9 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
 use hookworks::sched::{Event, FenceRecord, Key};
-use hookworks::time::{Time, Wall};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::worker::{Cause, Order, Report, ReportAnswer, TaskState};
+use hookworks::time::{Time, WallTime};
+use hookworks::wire::peer::Request;
+use hookworks::wire::worker::{Cause, Command, Report, ReportResponse, TaskState};
 use world::desk::{Desk, ended, report, task};
 use world::job;
 
@@ -30,7 +30,7 @@
     d.beat(&report(2, 1, Token(0)));
     d.submit(&job(1, 1));
     let v = d.s.jobs[&JobId::from(JOB)].encode(0);
-    let j = Job::decode(&v, Time(d.now), Wall(DAY)).unwrap();
+    let j = Job::decode(&v, Time(d.now), WallTime(DAY)).unwrap();
     assert_eq!(j.live.len(), 1);
     j
 }
@@ -95,7 +95,7 @@
         addr: None,
         ..report(2, seq, Token(0))
     };
-    let send = |d: &mut Desk, seq| d.ask(Ask::Report(serde_json::to_vec(&b(seq)).unwrap()));
+    let send = |d: &mut Desk, seq| d.ask(Request::Report(serde_json::to_vec(&b(seq)).unwrap()));
     let waits = send(&mut d, 1);
     assert_eq!(d.status(waits), None);
     let (second, ver) = d.s.fences_to_write().unwrap();
@@ -141,7 +141,7 @@
         tasks: vec![stray.clone(), over.clone()],
         ..report(2, seq, Token(Epoch(6).base()))
     };
-    let send = |d: &mut Desk, seq| d.ask(Ask::Report(serde_json::to_vec(&b(seq)).unwrap()));
+    let send = |d: &mut Desk, seq| d.ask(Request::Report(serde_json::to_vec(&b(seq)).unwrap()));
     let newer = send(&mut d, 5);
     d.wait(1.5);
     assert_eq!(d.status(newer), Some(503));
@@ -150,16 +150,18 @@
     d.event(Event::Stored(Key::Fences, ver));
     let orders = |d: &Desk, req| {
         let body = &d.answer(req).expect("answered").body;
-        serde_json::from_str::<ReportAnswer>(body).unwrap().orders
+        serde_json::from_str::<ReportResponse>(body)
+            .unwrap()
+            .commands
     };
-    let kill = Order::Kill {
+    let kill = Command::Kill {
         task: stray.task.clone(),
         attempt: Attempt(7),
         leeway_s: 0.0,
     };
     assert_eq!(orders(&d, older), std::slice::from_ref(&kill));
     let newest = send(&mut d, 6);
-    let clear = Order::Clear {
+    let clear = Command::Clear {
         task: over.task.clone(),
         attempt: Attempt(8),
     };
--- a/tests/flood.rs
+++ b/tests/flood.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::JobState;
 use world::handover::{Act, Change, Conditions};
 use world::{Ev, World, job};
@@ -25,13 +25,13 @@
         let body = serde_json::to_vec(&j).unwrap();
         let id = j.id.to_string();
         w.specs.insert(j.id.clone(), j);
-        w.insists(at, Ask::Submit(body));
+        w.insists(at, Request::Submit(body));
         if n % 5 == 0 {
             let early = (n / 5 % 16) as f64 * 0.4;
-            w.insists(at + early, Ask::Cancel(id.clone()));
+            w.insists(at + early, Request::Cancel(id.clone()));
         }
         for k in 0..12 {
-            w.at(at + 5.0 * k as f64, Ev::User(Ask::Poll(id.clone())));
+            w.at(at + 5.0 * k as f64, Ev::User(Request::Poll(id.clone())));
         }
     }
 }
--- a/tests/gap.rs
+++ b/tests/gap.rs
@@ -6,8 +6,8 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobState, Kind};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, JobState};
 use world::{Ev, World, job, settings};
 
 const JOB: &str = "job-000001";
@@ -65,8 +65,8 @@
     for n in 1..=jobs {
         let mut j = job(n, 4);
         match n % 4 {
-            2 => (j.kind, j.tasks, j.one_zone) = (Kind::Gang, 3, true),
-            3 => (j.kind, j.tasks) = (Kind::Service, 2),
+            2 => (j.kind, j.tasks, j.one_zone) = (JobKind::Gang, 3, true),
+            3 => (j.kind, j.tasks) = (JobKind::Service, 2),
             _ => {}
         }
         w.submit(j);
@@ -122,12 +122,12 @@
         report_to(w, 0.3, None);
     }
     for id in ids {
-        w.user(Ask::Cancel(id.clone()));
+        w.user(Request::Cancel(id.clone()));
     }
     let mut waited = 0;
     let cancelled = |w: &World| {
         let told = w.answers[told_before..].iter();
-        let mut told = told.filter(|(a, r)| matches!(a, Ask::Cancel(_)) && r.status == 200);
+        let mut told = told.filter(|(a, r)| matches!(a, Request::Cancel(_)) && r.status == 200);
         told.next().is_some()
     };
     while !cancelled(w) && waited < 300 {
@@ -161,10 +161,10 @@
     // Users go on asking and cancelling, by way of both.
     for k in 0..20 {
         for id in ids {
-            w.at(2.0 * k as f64, Ev::UserVia(old, Ask::Poll(id.clone())));
+            w.at(2.0 * k as f64, Ev::UserVia(old, Request::Poll(id.clone())));
             w.at(
                 2.0 * k as f64 + 1.0,
-                Ev::UserVia(new, Ask::Cancel(id.clone())),
+                Ev::UserVia(new, Request::Cancel(id.clone())),
             );
         }
     }
--- a/tests/handover/main.rs
+++ b/tests/handover/main.rs
@@ -280,7 +280,7 @@
         w.run(20.0);
         let task = TaskId {
             job: "job-000001".into(),
-            ix: TaskIx(0),
+            index: TaskIndex(0),
         };
         let at = w.workers.values().find(|m| m.present().contains(&task));
         let host = at.expect("it runs").host.clone();
--- a/tests/handover/orders.rs
+++ b/tests/handover/orders.rs
@@ -4,8 +4,8 @@
 use crate::world::job;
 use hookworks::ids::*;
 use hookworks::sched::{DirectResult, Event};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::Kind;
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::JobKind;
 use hookworks::wire::worker::*;
 
 const FIRST: &str = "job-000001";
@@ -13,9 +13,9 @@
 
 /// Attempts that direct commands under way tell to run.
 fn runs(d: &mut Desk) -> Vec<(TaskId, Attempt)> {
-    let orders = d.direct().into_iter().flat_map(|(_, _, o)| o.orders);
+    let orders = d.direct().into_iter().flat_map(|(_, _, o)| o.commands);
     let run = |o| match o {
-        Order::Run { task, attempt } => Some((task, attempt)),
+        Command::Run { task, attempt } => Some((task, attempt)),
         _ => None,
     };
     orders.filter_map(run).collect()
@@ -42,8 +42,8 @@
         tasks: shown.to_vec(),
         ..report(1, 10, Token(0))
     };
-    let orders = d.beat(&r).expect("an answer").orders;
-    let run = |o: &Order| matches!(o, Order::Run { attempt, .. } if *attempt == told);
+    let orders = d.beat(&r).expect("an answer").commands;
+    let run = |o: &Command| matches!(o, Command::Run { attempt, .. } if *attempt == told);
     assert!(orders.iter().any(run), "{orders:?}");
     d.refuses = false;
     // Longer than a refused call keeps others back, shorter than its report counts.
@@ -60,7 +60,7 @@
     let mut d = Desk::set_up(5, vec![], |c| c.teams[0].cpus_max = 99.0);
     d.beat(&report(1, 1, Token(0)));
     let mut gang = job(1, 2);
-    gang.kind = Kind::Gang;
+    gang.kind = JobKind::Gang;
     d.submit(&gang);
     let shown = begins(&mut d, FIRST, 2, 5);
     d.refuses = true;
@@ -84,7 +84,7 @@
     d.refuses = true;
     d.submit(&job(1, 2));
     let told = told_in_an_answer(&mut d, &[], FIRST, 1);
-    d.ask(Ask::Cancel(FIRST.into()));
+    d.ask(Request::Cancel(FIRST.into()));
     let under_way = runs(&mut d);
     assert!(under_way.iter().all(|r| r.1 != told), "{under_way:?}");
 }
--- a/tests/handover/work.rs
+++ b/tests/handover/work.rs
@@ -4,8 +4,8 @@
 use crate::world::handover::Conditions;
 use crate::world::{Chaos, Ev, World, job};
 use hookworks::ids::*;
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobSpec, JobState, Kind, Priority};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, JobSpec, JobState, Priority};
 use rand::RngExt;
 
 /// Users send the job until it is taken, and ask how it goes.
@@ -15,13 +15,13 @@
     let (id, body) = (j.id.to_string(), serde_json::to_vec(&j).unwrap());
     w.specs.insert(j.id.clone(), j);
     for k in 0..12 {
-        let e = Ev::User(Ask::Submit(body.clone()));
+        let e = Ev::User(Request::Submit(body.clone()));
         w.at(at + 5.0 * k as f64, e);
     }
     for k in 0..80 {
         let at = at + 1.7 * k as f64;
         let via = w.rng.random_range(0..4);
-        let poll = Ask::Poll(id.clone());
+        let poll = Request::Poll(id.clone());
         let e = match via {
             3 => Ev::User(poll),
             i => Ev::UserVia(i, poll),
@@ -38,7 +38,7 @@
         let tasks = w.rng.random_range(1..4);
         send(w, n, at, tasks, |j| {
             match n % 6 {
-                1 => (j.kind, j.tasks, j.one_zone) = (Kind::Gang, 2, true),
+                1 => (j.kind, j.tasks, j.one_zone) = (JobKind::Gang, 2, true),
                 2 => j.one_zone = true,
                 3 => j.zone = Some("b".into()),
                 _ => {}
@@ -57,7 +57,7 @@
 /// any controller.
 pub fn cancel(w: &mut World, id: &str, at: f64) {
     for k in 0..6 {
-        let ask = Ask::Cancel(id.into());
+        let ask = Request::Cancel(id.into());
         let e = match w.rng.random_range(0..4) {
             3 => Ev::User(ask),
             i => Ev::UserVia(i, ask),
@@ -103,9 +103,12 @@
     let ids: Vec<JobId> = w.specs.keys().cloned().collect();
     for id in &ids {
         let body = serde_json::to_vec(&w.specs[id]).unwrap();
-        w.at(1.0, Ev::User(Ask::Submit(body)));
+        w.at(1.0, Ev::User(Request::Submit(body)));
         for k in 0..(within_s / 5.0) as u32 {
-            w.at(2.0 + 5.0 * k as f64, Ev::User(Ask::Poll(id.to_string())));
+            w.at(
+                2.0 + 5.0 * k as f64,
+                Ev::User(Request::Poll(id.to_string())),
+            );
         }
     }
     w.run(within_s);
