--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -6,9 +6,9 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
 use hookworks::sched::{DirectResult, Event};
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::cloud::Listed;
-use hookworks::wire::peer::Ask;
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::cloud::ListedHost;
+use hookworks::wire::peer::Request;
 use hookworks::wire::worker::*;
 use std::collections::BTreeSet;
 use world::desk::{Desk, report, task};
@@ -68,10 +68,10 @@
     // lease must be over, or a later session is there.
     d.beat(&report(2, 1, Token(0)));
     assert_eq!(
-        d.s.jobs[&"job-000003".into()].live[&TaskIx(0)].host,
+        d.s.jobs[&"job-000003".into()].live[&TaskIndex(0)].host,
         host(2)
     );
-    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].live[&TaskIx(0)].host == host(1);
+    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].live[&TaskIndex(0)].host == host(1);
     assert!(there(&d));
     let mut r = runs(seq, a);
     r.session = Session(2);
@@ -91,7 +91,7 @@
     let (mut d, a) = at_work();
     let mut seq = goes_deaf(&mut d, a);
     let answered = d.s.machines[&host(1)].answered;
-    d.ask(Ask::Cancel(JOB.into()));
+    d.ask(Request::Cancel(JOB.into()));
     let cancelled = d.now;
     while d.attempt(JOB, 0).is_some() {
         assert!(d.beat(&runs(seq, a)).is_none(), "its lease was renewed");
@@ -200,7 +200,7 @@
     d.submit(&job(1, 1));
     let a = d.attempt(JOB, 0).unwrap();
     let j = &d.s.jobs[&JOB.into()];
-    let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
+    let mut j = Job::decode(&j.encode(0), Time(d.now), WallTime(d.now / 1000)).unwrap();
     (j.parts[0].ver, j.parts[0].stored) = (1, 1);
     let mut d = Desk::with(6, vec![j]);
     d.refuses = true;
@@ -247,7 +247,7 @@
     assert_eq!(d.attempt(JOB, 0), None, "placed on a ghost");
     assert!(d.s.machines[&host(1)].notice_until.is_none());
     // Listed, it is there after all.
-    let listed = Listed {
+    let listed = ListedHost {
         host: host(1),
         addr: None,
         build: "m8".into(),
@@ -285,7 +285,7 @@
 fn a_leader_alone_with_its_workers_sends_them_away() {
     for (alone, busy) in [(true, false), (false, false), (true, true)] {
         let others = [("b", "a"), ("c", "b")];
-        let others = others.map(|(l, z)| (Label::from(l), Zone::from(z)));
+        let others = others.map(|(l, z)| (ControllerId::from(l), Zone::from(z)));
         let mut d = Desk::set_up(5, vec![], |c| {
             c.controllers = others.iter().cloned().collect()
         });
@@ -293,7 +293,7 @@
         d.proves = false;
         for n in 2..20 {
             let away = if alone { vec!["b", "c"] } else { vec!["b"] };
-            let away = away.into_iter().map(Label::from).collect();
+            let away = away.into_iter().map(ControllerId::from).collect();
             d.event(Event::OutOfReach(away));
             if busy {
                 d.event(Event::Behind);
@@ -319,7 +319,7 @@
     d.wait(1.0);
     // Less than a lease, and more than the patience with a silent machine.
     d.now += 14_000_000;
-    d.event(Event::Tick(Wall(d.now / 1000)));
+    d.event(Event::Tick(WallTime(d.now / 1000)));
     // More than half of them report before the others.
     for n in 1..=3 {
         d.beat(&report(n, 2, Token(0)));
@@ -355,7 +355,7 @@
         pause(&mut d, 1);
         d.wait(0.25);
         pause(&mut d, 2);
-        let poll = d.ask(Ask::Poll(JOB.into()));
+        let poll = d.ask(Request::Poll(JOB.into()));
         let beat = d.beat(&report(1, 2, Token(0)));
         assert_ne!(d.status(poll), Some(200), "pause at {pause_at}");
         assert!(d.direct().is_empty());
@@ -363,7 +363,7 @@
             assert_eq!(d.status(req), Some(503));
         }
         // The lease of the workers goes on for the grace, and no command leaves.
-        assert!(beat.is_none_or(|a| a.orders.is_empty()));
+        assert!(beat.is_none_or(|a| a.commands.is_empty()));
     }
 }
 
@@ -376,7 +376,7 @@
     d.beat(&report(1, 900, Token(3)));
     d.wait(0.25);
     let (call, h, orders) = d.direct().remove(0);
-    assert!(orders.orders.is_empty(), "asked for nothing but its word");
+    assert!(orders.commands.is_empty(), "asked for nothing but its word");
     let mut r = report(1, 3, orders.token);
     r.session = Session(2);
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
--- a/tests/inbox.rs
+++ b/tests/inbox.rs
@@ -3,7 +3,7 @@
 use hookworks::node::inbox::inbox;
 use hookworks::node::is_expired;
 use hookworks::time::Span;
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 
 /// Heartbeats of some 4,000 machines that came faster than they were handled.
 const BACKLOG: u32 = 4000;
@@ -67,9 +67,9 @@
 /// overload that had delayed them.
 #[test]
 fn request_whose_sender_has_given_up_is_not_worked_off() {
-    let question = Ask::Poll("job-000412".into());
-    let heartbeat = Ask::Report(vec![]);
-    let submission = Ask::Submit(vec![]);
+    let question = Request::Poll("job-000412".into());
+    let heartbeat = Request::Report(vec![]);
+    let submission = Request::Submit(vec![]);
     // By the protocol a user waits 2 s for an answer, a worker 4 s, a submission 5 s.
     assert!(is_expired(&question, Span::secs(2.0)));
     assert!(is_expired(&heartbeat, Span::secs(4.0)));
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -6,11 +6,11 @@
 use hookworks::ids::*;
 use hookworks::node::load::load;
 use hookworks::sched::{DirectResult, Event, Purpose};
-use hookworks::store::client::State;
+use hookworks::store::client::StateStore;
 use hookworks::store::commit::{Committer, Step};
-use hookworks::store::{FENCES, Outcome};
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::peer::Ask;
+use hookworks::store::{FENCES_KEY, TxnOutcome};
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::JobState;
 use hookworks::wire::worker::*;
 use world::desk::{Desk, ended, report, task};
@@ -21,7 +21,7 @@
 const PART: &str = "hookworks/part/job-000001/000001";
 
 /// A store with a leader, and the stamp of its key.
-fn led(s: &Handle) -> Stamp {
+fn led(s: &Handle) -> Revision {
     let me = Candidate {
         label: "a".into(),
         instance: Instance(1),
@@ -37,17 +37,17 @@
 fn write_all(s: &Handle, c: &mut Committer, d: &mut Desk) {
     for _ in 0..20 {
         d.now += 300_000;
-        let Some((id, txn)) = c.next(Time(d.now), &mut d.s) else {
+        let Some((id, txn)) = c.next_txn(Time(d.now), &mut d.s) else {
             continue;
         };
         let outcome = s.apply(&txn);
-        let (mut events, steps) = c.finished(Time(d.now), id, outcome, &mut d.s);
+        let (mut events, steps) = c.handle_outcome(Time(d.now), id, outcome, &mut d.s);
         for step in steps {
             let Step::Read(key) = step else {
                 panic!("{step:?}")
             };
             let item = s.read(&key);
-            events.extend(c.read_back(key, item, &mut d.s).0);
+            events.extend(c.handle_read(key, item, &mut d.s).0);
         }
         for e in events {
             d.event(e);
@@ -64,15 +64,15 @@
     let s = Handle::default();
     let leader = led(&s);
     s.put(PART, serde_json::json!({"left": "by an earlier leader"}));
-    let l = load(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
+    let l = load(&s, Epoch(5), leader, Time(1), WallTime(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
     for (key, stamp) in l.litter {
-        c.add_litter(key, stamp);
+        c.add_garbage(key, stamp);
     }
     let mut d = Desk::new(5);
     d.stores = false;
-    let (id, late) = c.next(Time(d.now), &mut d.s).expect("it is swept");
-    c.finished(Time(d.now), id, Outcome::Unclear, &mut d.s);
+    let (id, late) = c.next_txn(Time(d.now), &mut d.s).expect("it is swept");
+    c.handle_outcome(Time(d.now), id, TxnOutcome::Unknown, &mut d.s);
     d.submit(&job(1, 300));
     let j = d.s.jobs.get_mut(&JobId::from(JOB)).unwrap();
     assert!(j.parts.len() > 1);
@@ -82,7 +82,7 @@
     assert!(written.value.get("left").is_none(), "{written:?}");
     assert_eq!(d.s.jobs[&JobId::from(JOB)].parts[1].stored, 1);
     let outcome = s.apply(&late);
-    assert!(matches!(outcome, Outcome::Conflict(_)), "{outcome:?}");
+    assert!(matches!(outcome, TxnOutcome::Conflict(_)), "{outcome:?}");
     assert!(s.get(PART).unwrap().is_some());
 }
 
@@ -92,10 +92,10 @@
     let s = Handle::default();
     let leader = led(&s);
     s.put(PART, serde_json::json!({}));
-    let l = load(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
+    let l = load(&s, Epoch(5), leader, Time(1), WallTime(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
     for (key, stamp) in l.litter {
-        c.add_litter(key, stamp);
+        c.add_garbage(key, stamp);
     }
     write_all(&s, &mut c, &mut Desk::new(5));
     assert!(s.get(PART).unwrap().is_none());
@@ -106,10 +106,10 @@
 #[test]
 fn a_slow_read_says_nothing_of_what_came_to_its_end_meanwhile() {
     let mut d = Desk::new(5);
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(poll), None, "it is looked up");
     let submitted = d.submit(&job(1, 1));
-    let cancelled = d.ask(Ask::Cancel(JOB.into()));
+    let cancelled = d.ask(Request::Cancel(JOB.into()));
     assert_eq!(d.status(submitted), Some(201));
     assert_eq!(d.status(cancelled), Some(200));
     assert!(d.s.jobs.is_empty(), "it is over");
@@ -128,22 +128,22 @@
     d.submit(&job(1, 1));
     let attempt = d.attempt(JOB, 0).unwrap();
     let (call, host, held) = d.direct().remove(0);
-    assert!(matches!(&held.orders[..], [Order::Run { .. }]));
+    assert!(matches!(&held.commands[..], [Command::Run { .. }]));
     d.event(Event::Direct(call, host, DirectResult::Unclear));
-    let cancel = d.ask(Ask::Cancel(JOB.into()));
+    let cancel = d.ask(Request::Cancel(JOB.into()));
     assert_eq!(d.status(cancel), Some(200));
     // The worker had not got it when it sent this.
     let a = d
         .beat(&report(1, 2, Token(0)))
         .expect("its lease is renewed");
-    let kills = |o: &Order| {
+    let kills = |o: &Command| {
         let it = TaskId {
             job: JOB.into(),
-            ix: TaskIx(0),
+            index: TaskIndex(0),
         };
-        matches!(o, Order::Kill { task, attempt: a, .. } if *task == it && *a == attempt)
+        matches!(o, Command::Kill { task, attempt: a, .. } if *task == it && *a == attempt)
     };
-    assert!(a.orders.iter().any(kills), "{:?}", a.orders);
+    assert!(a.commands.iter().any(kills), "{:?}", a.commands);
 }
 
 /// A call renews nothing, so none is made for that alone: its answer shows no more than
@@ -155,12 +155,12 @@
     d.submit(&job(1, 1));
     let (call, host, orders) = d.direct().remove(0);
     // Cancelled meanwhile; the answer does not show the task yet.
-    d.ask(Ask::Cancel(JOB.into()));
+    d.ask(Request::Cancel(JOB.into()));
     let r = report(1, 2, orders.token);
     d.event(Event::Direct(call, host, DirectResult::Done(Box::new(r))));
     let calls = d.direct();
-    let kills = |o: &Order| matches!(o, Order::Kill { .. });
-    let any = calls.iter().any(|(_, _, o)| o.orders.iter().any(kills));
+    let kills = |o: &Command| matches!(o, Command::Kill { .. });
+    let any = calls.iter().any(|(_, _, o)| o.commands.iter().any(kills));
     assert!(!any, "{calls:?}");
 }
 
@@ -180,16 +180,16 @@
         host,
         DirectResult::Done(Box::new(passes)),
     ));
-    d.ask(Ask::Cancel(JOB.into()));
+    d.ask(Request::Cancel(JOB.into()));
     d.submit(&job(2, 1));
     let told = d
         .beat(&report(1, 2, Token(0)))
         .expect("its lease is renewed");
-    let kill = |o: &Order| matches!(o, Order::Kill { attempt, .. } if *attempt == a);
-    assert!(told.orders.iter().any(kill), "{:?}", told.orders);
+    let kill = |o: &Command| matches!(o, Command::Kill { attempt, .. } if *attempt == a);
+    assert!(told.commands.iter().any(kill), "{:?}", told.commands);
     // But it says nothing of what is there by now: nothing starts on its word.
-    let others = told.orders.iter().filter(|o| !kill(o)).count();
-    assert_eq!(others, 0, "{:?}", told.orders);
+    let others = told.commands.iter().filter(|o| !kill(o)).count();
+    assert_eq!(others, 0, "{:?}", told.commands);
 }
 
 /// A job's record could not be read for a while, and what its tasks had come to was
@@ -209,8 +209,8 @@
         let a = d.beat(&r).expect("answered");
         let cleared = |job: &str| {
             let of =
-                |o: &&Order| matches!(o, Order::Clear { task, .. } if task.job.as_str() == job);
-            a.orders.iter().filter(of).count()
+                |o: &&Command| matches!(o, Command::Clear { task, .. } if task.job.as_str() == job);
+            a.commands.iter().filter(of).count()
         };
         assert_eq!(cleared(JOB), 0, "report {seq}");
         assert_eq!(cleared("job-000009"), 1, "nobody knows that job");
@@ -225,28 +225,34 @@
     w.late_one = late_one;
     w.run_s = 25.0;
     w.run(2.0);
-    let mut at = |in_s: f64, ask: Ask| w.at(in_s, Ev::User(ask));
+    let mut at = |in_s: f64, ask: Request| w.at(in_s, Ev::User(ask));
     for n in 1..=4 {
         let j = job(n, if n == 4 { 40 } else { 3 });
         let body = serde_json::to_vec(&j).unwrap();
         for k in 0..4 {
-            at(3.0 * n as f64 + 4.0 * k as f64, Ask::Submit(body.clone()));
+            at(
+                3.0 * n as f64 + 4.0 * k as f64,
+                Request::Submit(body.clone()),
+            );
         }
         for k in 0..60 {
-            at(2.8 * k as f64, Ask::Poll(j.id.to_string()));
+            at(2.8 * k as f64, Request::Poll(j.id.to_string()));
         }
     }
     let hold = br#"{"By":"ann","Kind":"user","Why":"","Stop":true}"#.to_vec();
     let release = br#"{"By":"ann","Kind":"user"}"#.to_vec();
     for k in 0..4 {
         let again = 2.0 * k as f64;
-        at(10.0 + again, Ask::Hold("job-000002".into(), hold.clone()));
+        at(
+            10.0 + again,
+            Request::Hold("job-000002".into(), hold.clone()),
+        );
         at(
             24.0 + again,
-            Ask::Release("job-000002".into(), release.clone()),
+            Request::Release("job-000002".into(), release.clone()),
         );
-        at(16.0 + again, Ask::Cancel("job-000003".into()));
-        at(90.0 + again, Ask::Cancel("job-000004".into()));
+        at(16.0 + again, Request::Cancel("job-000003".into()));
+        at(90.0 + again, Request::Cancel("job-000004".into()));
     }
     for n in 1..=4 {
         let j = job(n, if n == 4 { 40 } else { 3 });
@@ -273,7 +279,10 @@
         let well = all_kinds_of_writes(None, another);
         let all = well.transactions;
         assert!(all > 25, "hardly any writes: {all}");
-        assert!(well.store.keys().iter().any(|k| k == FENCES), "no fence");
+        assert!(
+            well.store.keys().iter().any(|k| k == FENCES_KEY),
+            "no fence"
+        );
         for n in 1..=all {
             for by in [1.3, 9.0] {
                 let mut w = all_kinds_of_writes(Some((n, by)), another);
@@ -306,9 +315,9 @@
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
     d.stores = false;
-    let first = d.ask(Ask::Cancel(JOB.into()));
-    let second = d.ask(Ask::Cancel(JOB.into()));
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let first = d.ask(Request::Cancel(JOB.into()));
+    let second = d.ask(Request::Cancel(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert_eq!((d.status(first), d.status(second)), (None, None));
     assert_eq!(
         d.status(poll),
@@ -337,10 +346,10 @@
     d.proves = false;
     d.wait(3.0);
     d.store();
-    let told = |d: &mut Desk, seq| d.beat(&report(1, seq, Token(0))).map(|a| a.orders);
+    let told = |d: &mut Desk, seq| d.beat(&report(1, seq, Token(0))).map(|a| a.commands);
     assert_eq!(told(&mut d, 2), Some(vec![]), "within the grace");
     d.proves = true;
     d.event(Event::Wake);
     let runs = told(&mut d, 3).expect("answered");
-    assert!(matches!(&runs[..], [Order::Run { .. }]), "{runs:?}");
+    assert!(matches!(&runs[..], [Command::Run { .. }]), "{runs:?}");
 }
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -6,9 +6,9 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
 use hookworks::sched::{DirectResult, Effect, Event};
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobDetail, JobState, Kind};
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobDetail, JobKind, JobState};
 use hookworks::wire::worker::*;
 use hookworks_job_lifecycle::{Hold, HoldKind, JobEvent as What};
 use serde_json::{Value, json};
@@ -17,16 +17,16 @@
 
 const JOB: &str = "job-000001";
 
-fn hold(d: &mut Desk, body: Value) -> ReqId {
-    d.ask(Ask::Hold(JOB.into(), body.to_string().into_bytes()))
+fn hold(d: &mut Desk, body: Value) -> RequestId {
+    d.ask(Request::Hold(JOB.into(), body.to_string().into_bytes()))
 }
 
-fn release(d: &mut Desk, body: Value) -> ReqId {
-    d.ask(Ask::Release(JOB.into(), body.to_string().into_bytes()))
+fn release(d: &mut Desk, body: Value) -> RequestId {
+    d.ask(Request::Release(JOB.into(), body.to_string().into_bytes()))
 }
 
 fn show(d: &mut Desk) -> JobDetail {
-    let req = d.ask(Ask::Show(JOB.into()));
+    let req = d.ask(Request::Show(JOB.into()));
     serde_json::from_str(&d.answer(req).unwrap().body).unwrap()
 }
 
@@ -37,7 +37,7 @@
 /// The job as a new leader would find it.
 fn stored(d: &Desk) -> Job {
     let v = d.s.jobs[&JobId::from(JOB)].encode(0);
-    let mut j = Job::decode(&v, Time(d.now), Wall(d.now / 1000)).unwrap();
+    let mut j = Job::decode(&v, Time(d.now), WallTime(d.now / 1000)).unwrap();
     for p in &mut j.parts {
         (p.ver, p.stored) = (1, 1);
     }
@@ -46,7 +46,9 @@
 
 /// Where a task of the job is.
 fn placed_on(d: &Desk, ix: u32) -> Host {
-    d.s.jobs[&JobId::from(JOB)].live[&TaskIx(ix)].host.clone()
+    d.s.jobs[&JobId::from(JOB)].live[&TaskIndex(ix)]
+        .host
+        .clone()
 }
 
 /// One of the two machines, as reports count them.
@@ -55,8 +57,8 @@
 }
 
 /// Whether anything of the job is told to run.
-fn runs(orders: &[Order]) -> bool {
-    orders.iter().any(|o| matches!(o, Order::Run { .. }))
+fn runs(orders: &[Command]) -> bool {
+    orders.iter().any(|o| matches!(o, Command::Run { .. }))
 }
 
 /// A limit of three attempts, and a second's pause after the first failure.
@@ -81,7 +83,7 @@
 /// The task fails wherever it is; answers where that was.
 fn fail_once(d: &mut Desk, seq: u64) -> Option<Host> {
     let j = d.s.jobs.get(&JobId::from(JOB))?;
-    let l = j.live.get(&TaskIx(0))?;
+    let l = j.live.get(&TaskIndex(0))?;
     let (host, attempt) = (l.host.clone(), l.attempt);
     let n = number(&host);
     let mut r = report(n, seq, Token(5 << 24));
@@ -126,14 +128,14 @@
     machines(&mut d);
     d.submit(&job(1, 2));
     let (a, b) = (d.attempt(JOB, 0).unwrap(), d.attempt(JOB, 1).unwrap());
-    let host = |d: &Desk, t| d.s.jobs[&JobId::from(JOB)].live[&TaskIx(t)].host.clone();
+    let host = |d: &Desk, t| d.s.jobs[&JobId::from(JOB)].live[&TaskIndex(t)].host.clone();
     assert_eq!(host(&d, 0), host(&d, 1), "a machine of their own each");
     let n = number(&placed_on(&d, 0));
     let mut r = Report {
         addr: None,
         ..report(n, 2, Token(5 << 24))
     };
-    assert!(runs(&d.beat(&r).unwrap().orders));
+    assert!(runs(&d.beat(&r).unwrap().commands));
     // The first is seen to run; the second's command is still under way.
     r.seq = Seq(3);
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
@@ -142,9 +144,9 @@
     assert_eq!(d.status(asked), Some(200));
     r.seq = Seq(4);
     r.tasks.push(task(JOB, 1, b, TaskState::Fetching));
-    let orders = d.beat(&r).unwrap().orders;
+    let orders = d.beat(&r).unwrap().commands;
     assert!(!runs(&orders));
-    let killed = |o: &Order| matches!(o, Order::Kill { attempt, .. } if *attempt == b);
+    let killed = |o: &Command| matches!(o, Command::Kill { attempt, .. } if *attempt == b);
     assert!(orders.iter().any(killed), "{orders:?}");
     assert_eq!(orders.len(), 1, "what ran was told something: {orders:?}");
     r.seq = Seq(5);
@@ -166,15 +168,15 @@
     d.submit(&job(1, 1));
     let a = d.attempt(JOB, 0).unwrap();
     let (call, host, orders) = d.direct().remove(0);
-    assert!(runs(&orders.orders));
+    assert!(runs(&orders.commands));
     let asked = hold(&mut d, json!({"By": "ann"}));
     assert_eq!(d.status(asked), Some(200));
     d.event(Event::Direct(call, host, DirectResult::Unclear));
     assert_eq!(d.attempt(JOB, 0), Some(a), "it may still begin");
     let mut r = report(1, 2, Token(5 << 24));
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
-    let orders = d.beat(&r).unwrap().orders;
-    assert!(matches!(orders[..], [Order::Kill { .. }]), "{orders:?}");
+    let orders = d.beat(&r).unwrap().commands;
+    assert!(matches!(orders[..], [Command::Kill { .. }]), "{orders:?}");
 }
 
 #[test]
@@ -182,7 +184,7 @@
     let mut d = Desk::new(5);
     machines(&mut d);
     let mut j = job(1, 2);
-    (j.kind, j.checkpoint_s, j.save_s) = (Kind::Gang, 10.0, 4.0);
+    (j.kind, j.checkpoint_s, j.save_s) = (JobKind::Gang, 10.0, 4.0);
     d.submit(&j);
     let (a, b) = (d.attempt(JOB, 0).unwrap(), d.attempt(JOB, 1).unwrap());
     let n = number(&placed_on(&d, 0));
@@ -199,11 +201,11 @@
     d.beat(&r);
     hold(&mut d, json!({"By": "ann"}));
     r.seq = Seq(4);
-    assert_eq!(d.beat(&r).unwrap().orders, [], "a gang that runs goes on");
+    assert_eq!(d.beat(&r).unwrap().commands, [], "a gang that runs goes on");
     hold(&mut d, json!({"By": "ann", "Stop": true}));
     r.seq = Seq(5);
-    let orders = d.beat(&r).unwrap().orders;
-    let saves = |o: &&Order| matches!(o, Order::Kill { leeway_s, .. } if *leeway_s >= 4.0);
+    let orders = d.beat(&r).unwrap().commands;
+    let saves = |o: &&Command| matches!(o, Command::Kill { leeway_s, .. } if *leeway_s >= 4.0);
     assert_eq!(orders.iter().filter(saves).count(), 2, "{orders:?}");
 }
 
@@ -245,7 +247,7 @@
         ("{}", "By"),
         (r#"{"By":"a","Kind":"x"}"#, "Kind"),
     ] {
-        let asked = d.ask(Ask::Hold(JOB.into(), body.into()));
+        let asked = d.ask(Request::Hold(JOB.into(), body.into()));
         let a = d.answer(asked).unwrap();
         assert!(a.status == 400 && a.body.contains(field), "{a:?}");
     }
@@ -255,7 +257,7 @@
     d.event(Event::FinalRead(JOB.into(), Ok(None)));
     assert_eq!(d.status(asked), Some(404));
     d.submit(&job(1, 1));
-    d.ask(Ask::Cancel(JOB.into()));
+    d.ask(Request::Cancel(JOB.into()));
     for asked in [
         hold(&mut d, json!({"By": "a"})),
         release(&mut d, json!({"By": "a"})),
@@ -314,7 +316,7 @@
     for found in [before, stored(&d)] {
         let a = found
             .live
-            .get(&TaskIx(0))
+            .get(&TaskIndex(0))
             .map(|l| (l.host.clone(), l.attempt));
         let mut next = limited(6, vec![found]);
         if let Some((host, a)) = a {
@@ -335,9 +337,9 @@
     });
     d.submit(&job(1, 1));
     d.wait(1.0);
-    let host = d.s.jobs[&JobId::from(JOB)].live[&TaskIx(0)].host.clone();
+    let host = d.s.jobs[&JobId::from(JOB)].live[&TaskIndex(0)].host.clone();
     let j = d.s.jobs.get_mut(&JobId::from(JOB)).unwrap();
-    let rule = d.s.cfg.tuning.rules()[&Class::from("work")];
+    let rule = d.s.cfg.tuning.retry_policies()[&Class::from("work")];
     for _ in 0..2 {
         j.attempts.failed(
             (0, 1),
@@ -400,7 +402,7 @@
     assert!(record.to_string().len() < 1024, "{record}");
     let read: hookworks::sched::job::Final = serde_json::from_value(record.clone()).unwrap();
     assert_eq!(read, f);
-    let asked = d.ask(Ask::Show("job-000009".into()));
+    let asked = d.ask(Request::Show("job-000009".into()));
     d.event(Event::RecordRead(
         asked,
         "job-000009".into(),
@@ -412,12 +414,12 @@
         (JobState::Done, 1)
     );
     // Of one from before there were histories the state is known.
-    let asked = d.ask(Ask::Show("job-000008".into()));
+    let asked = d.ask(Request::Show("job-000008".into()));
     let old = json!({"state": "cancelled", "done": 3});
     d.event(Event::RecordRead(asked, "job-000008".into(), Ok(Some(old))));
     assert!(d.answer(asked).unwrap().body.contains("cancelled"));
     // And of one that never was, nothing; told after a consistent read.
-    let asked = d.ask(Ask::Show("job-000007".into()));
+    let asked = d.ask(Request::Show("job-000007".into()));
     assert_eq!(d.status(asked), None);
     d.event(Event::RecordRead(asked, "job-000007".into(), Ok(None)));
     assert_eq!(d.status(asked), Some(404));
@@ -429,18 +431,23 @@
 #[test]
 fn records_of_earlier_versions_load_and_what_a_later_one_adds_is_kept() {
     let mut v: Value = serde_json::from_str(OLD).unwrap();
-    let j = Job::decode(&v, Time(1), Wall(2)).expect("an old record");
+    let j = Job::decode(&v, Time(1), WallTime(2)).expect("an old record");
     assert!((j.done_count, j.live.len()) == (1, 1) && !j.held());
     // A later version's fields come back out of an earlier one's hands.
     v["later"] = json!({"x": [1, 2]});
     v["first"]["more"] = json!("y");
-    let back = Job::decode(&v, Time(1), Wall(2)).unwrap().encode(0);
+    let back = Job::decode(&v, Time(1), WallTime(2)).unwrap().encode(0);
     assert_eq!(back["later"], v["later"]);
     assert_eq!(back["first"]["more"], v["first"]["more"]);
     assert_eq!(back["first"]["a"], v["first"]["a"]);
-    let mut large = Job::new(job(1, 300), 1, Time(0), Wall(0), 128);
+    let mut large = Job::new(job(1, 300), 1, Time(0), WallTime(0), 128);
     large
-        .decode_part(1, &json!({"d": "", "a": [], "new": 5}), Time(1), Wall(1))
+        .decode_part(
+            1,
+            &json!({"d": "", "a": [], "new": 5}),
+            Time(1),
+            WallTime(1),
+        )
         .unwrap();
     assert_eq!(large.encode(1)["new"], 5);
 }
@@ -451,14 +458,14 @@
     let mut d = limited(5, vec![]);
     machines(&mut d);
     d.submit(&job(1, 1));
-    let live = d.s.jobs[&JobId::from(JOB)].live[&TaskIx(0)].clone();
-    let rule = d.s.cfg.tuning.rules()[&Class::from("work")];
-    let now = Wall(1_700_000_000_000);
+    let live = d.s.jobs[&JobId::from(JOB)].live[&TaskIndex(0)].clone();
+    let rule = d.s.cfg.tuning.retry_policies()[&Class::from("work")];
+    let now = WallTime(1_700_000_000_000);
     let mut j = Job::new(job(2, 100_000), 1, Time(1), now, size);
     for t in 0..size {
         let mut l = live.clone();
         (l.attempt, l.placed_wall) = (Attempt(Epoch(900).base() + 77), now);
-        j.live.insert(TaskIx(t), l);
+        j.live.insert(TaskIndex(t), l);
     }
     for t in 0..100_000 {
         for _ in 0..3 {
@@ -500,8 +507,8 @@
     let mut round = |seconds: f64| {
         d.wait(seconds);
         d.fx.clear();
-        let asked: Vec<ReqId> = (0..200)
-            .map(|n| d.ask(Ask::Show(format!("job-{n:06}"))))
+        let asked: Vec<RequestId> = (0..200)
+            .map(|n| d.ask(Request::Show(format!("job-{n:06}"))))
             .collect();
         let reads = d.fx.iter().filter(|f| matches!(f, Effect::ReadRecord(..)));
         let reads = reads.count();
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -9,7 +9,7 @@
 use hookworks::store::budget::Budget;
 use hookworks::store::final_key;
 use hookworks::time::{Clock, Time};
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::JobState;
 use hookworks_listing::{Board, Mark, Page, Position, Query};
 use std::sync::Arc;
@@ -48,7 +48,7 @@
     d.store();
     assert_eq!(publish(&mut d, &mut board), ["job-000051"]);
     // A cancellation is shown once it is stored, and gone with its final state.
-    d.ask(Ask::Cancel("job-000007".into()));
+    d.ask(Request::Cancel("job-000007".into()));
     publish(&mut d, &mut board);
     let seen = board.publish().page(&query("state=cancelled"), 0);
     assert!(seen.jobs.is_empty(), "{seen:?}");
@@ -57,7 +57,7 @@
     assert_eq!(board.publish().len(), 50);
     d.stores = true;
     let body = br#"{"By":"ann","Why":"x"}"#.to_vec();
-    d.ask(Ask::Hold("job-000009".into(), body));
+    d.ask(Request::Hold("job-000009".into(), body));
     assert_eq!(publish(&mut d, &mut board), ["job-000009"]);
     let held = board.publish().page(&query("state=held"), 0);
     assert_eq!(held.jobs[0].held, ["ann: x"]);
@@ -124,7 +124,7 @@
         let id = JobId::from(format!("job-{n:06}").as_str());
         let mut j = job(n, 1);
         j.team = if n % 100 == 0 { "blue" } else { "red" }.into();
-        let j = hookworks::sched::job::Job::new(j, n, Time(0), hookworks::time::Wall(n), 64);
+        let j = hookworks::sched::job::Job::new(j, n, Time(0), hookworks::time::WallTime(n), 64);
         let record = match n {
             // From before there were histories.
             5 => serde_json::to_value(f).unwrap(),
--- a/tests/machines.rs
+++ b/tests/machines.rs
@@ -6,9 +6,9 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
 use hookworks::sched::{DirectResult, Event};
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::Kind;
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::JobKind;
 use hookworks::wire::worker::*;
 use world::desk::{Desk, report, task};
 use world::{Ev, World, job};
@@ -28,8 +28,8 @@
             .iter()
             .map(|(j, a)| task(j, 0, *a, TaskState::Running));
         r.tasks.extend(shown);
-        for o in &orders.orders {
-            if let Order::Run { task: t, attempt } = o {
+        for o in &orders.commands {
+            if let Command::Run { task: t, attempt } = o {
                 let started = task(t.job.as_str(), 0, *attempt, TaskState::Fetching);
                 r.tasks.push(started);
             }
@@ -56,8 +56,8 @@
     d.submit(&job(3, 1));
     assert_eq!(d.attempt("job-000003", 0), None, "placed to die");
     let calls = d.direct();
-    let starts = |o: &Order| matches!(o, Order::Run { .. });
-    assert!(!calls.iter().any(|c| c.2.orders.iter().any(starts)));
+    let starts = |o: &Command| matches!(o, Command::Run { .. });
+    assert!(!calls.iter().any(|c| c.2.commands.iter().any(starts)));
     // It is given back as any silent one, and its tasks wait for that.
     d.wait(6.0);
     assert_eq!(d.released(), vec![host(1)]);
@@ -76,15 +76,15 @@
     d.stores = false;
     d.submit(&job(2, 1));
     assert!(d.attempt("job-000002", 0).is_some(), "placed");
-    d.ask(Ask::Cancel(JOB.into()));
+    d.ask(Request::Cancel(JOB.into()));
     answers_calls(&mut d, &mut seq, &[]);
     assert_eq!(d.attempt(JOB, 0), None, "a call ended it");
     d.wait(2.0);
     d.store();
     d.event(Event::Wake);
     let calls = d.direct();
-    let starts = |o: &Order| matches!(o, Order::Run { .. });
-    assert!(!calls.iter().any(|c| c.2.orders.iter().any(starts)));
+    let starts = |o: &Command| matches!(o, Command::Run { .. });
+    assert!(!calls.iter().any(|c| c.2.commands.iter().any(starts)));
 }
 
 /// Direct calls renew no lease: an attempt is gone with the lease that the last answer
@@ -124,8 +124,8 @@
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
     let (call, h, held) = d.direct().remove(0);
-    assert!(matches!(&held.orders[..], [Order::Run { .. }]));
-    let cancel = d.ask(Ask::Cancel(JOB.into()));
+    assert!(matches!(&held.commands[..], [Command::Run { .. }]));
+    let cancel = d.ask(Request::Cancel(JOB.into()));
     assert_eq!(d.status(cancel), Some(200));
     let a = d.beat(&report(1, 2, held.token)).expect("answered");
     assert!(a.token > held.token, "the call would be carried out");
@@ -144,7 +144,7 @@
     d.submit(&job(1, 1));
     let a = d.attempt(JOB, 0).unwrap();
     let j = &d.s.jobs[&JOB.into()];
-    let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
+    let mut j = Job::decode(&j.encode(0), Time(d.now), WallTime(d.now / 1000)).unwrap();
     (j.parts[0].ver, j.parts[0].stored) = (1, 1);
     let mut d = Desk::with(6, vec![j]);
     (d.refuses, d.hear) = (true, false);
@@ -209,7 +209,7 @@
     assert!(d.attempt(JOB, 0).is_some(), "placed, not stored");
     let ask = |d: &mut Desk, seq| {
         let body = serde_json::to_vec(&report(1, seq, Token(0))).unwrap();
-        d.ask(Ask::Report(body))
+        d.ask(Request::Report(body))
     };
     let waits = ask(&mut d, 3);
     assert_eq!(d.status(waits), None, "held");
@@ -229,10 +229,10 @@
     w.run_s = 400.0;
     change(&mut w);
     w.run(2.0);
-    w.submit_of(1, 3, "red", Kind::Array);
-    w.submit_of(2, 2, "red", Kind::Service);
-    w.submit_of(3, 4, "blue", Kind::Array);
-    w.submit_of(4, 2, "blue", Kind::Gang);
+    w.submit_of(1, 3, "red", JobKind::Array);
+    w.submit_of(2, 2, "red", JobKind::Service);
+    w.submit_of(3, 4, "blue", JobKind::Array);
+    w.submit_of(4, 2, "blue", JobKind::Gang);
     w.run(40.0);
     w.assert_rules();
     assert!(w.started >= 8, "hardly anything runs: {}", w.started);
@@ -283,8 +283,8 @@
         let body = serde_json::to_vec(&j).unwrap();
         w.specs.insert(j.id.clone(), j.clone());
         for k in 0..3 {
-            w.at(at + 0.3 * k as f64, Ev::User(Ask::Submit(body.clone())));
-            let ask = Ask::Cancel(j.id.to_string());
+            w.at(at + 0.3 * k as f64, Ev::User(Request::Submit(body.clone())));
+            let ask = Request::Cancel(j.id.to_string());
             w.at(at + 1.5 + 0.3 * k as f64, Ev::User(ask));
         }
         ids.push(j.id);
@@ -343,12 +343,12 @@
         w.run_s = 400.0;
         w.refuses_releases = seed % 3 == 0;
         w.run(2.0);
-        let old = w.submit_of(1, 6, "red", Kind::Service);
-        w.submit_of(2, 8, "blue", Kind::Service);
+        let old = w.submit_of(1, 6, "red", JobKind::Service);
+        w.submit_of(2, 8, "blue", JobKind::Service);
         w.run(45.0);
         assert_eq!((w.cpus_of("red"), w.cpus_of("blue")), (12.0, 16.0));
-        let new = w.submit_of(3, 6, "red", Kind::Service);
-        w.submit_of(4, 8, "blue", Kind::Service);
+        let new = w.submit_of(3, 6, "red", JobKind::Service);
+        w.submit_of(4, 8, "blue", JobKind::Service);
         w.run(4.0);
         w.at(0.0, Ev::CancelNow(2, Some(hang_s)));
         match seed % 5 {
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -8,8 +8,8 @@
 mod world;
 
 use hookworks::ids::*;
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::Kind;
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::JobKind;
 use rand::RngExt;
 use troubles::{TROUBLES, Trouble, near, strike};
 use world::handover::Conditions;
@@ -26,8 +26,8 @@
     for n in 0..7 {
         let mut j = job(n, w.rng.random_range(1..4));
         match n {
-            1 => (j.kind, j.tasks, j.one_zone) = (Kind::Gang, 2, w.rng.random_bool(0.5)),
-            2 => (j.kind, j.tasks) = (Kind::Service, 1),
+            1 => (j.kind, j.tasks, j.one_zone) = (JobKind::Gang, 2, w.rng.random_bool(0.5)),
+            2 => (j.kind, j.tasks) = (JobKind::Service, 1),
             3 => (j.team, j.spot) = ("blue".into(), false),
             4 => j.one_zone = true,
             5 => j.zone = Some("b".into()),
@@ -37,7 +37,7 @@
         let body = serde_json::to_vec(&j).unwrap();
         w.specs.insert(j.id.clone(), j.clone());
         for k in 0..6 {
-            w.at(at + 7.0 * k as f64, Ev::User(Ask::Submit(body.clone())));
+            w.at(at + 7.0 * k as f64, Ev::User(Request::Submit(body.clone())));
         }
         ids.push(j.id.to_string());
     }
@@ -69,8 +69,8 @@
             };
             for k in 0..4 {
                 let e = match w.rng.random_bool(0.5) {
-                    true => Ev::User(Ask::Cancel(id.clone())),
-                    false => Ev::UserVia(w.rng.random_range(0..3), Ask::Cancel(id.clone())),
+                    true => Ev::User(Request::Cancel(id.clone())),
+                    false => Ev::UserVia(w.rng.random_range(0..3), Request::Cancel(id.clone())),
                 };
                 w.at(at + 1.3 * k as f64, e);
             }
@@ -78,7 +78,7 @@
         for k in 0..60 {
             let at = 1.5 * k as f64 + w.rng.random_range(0.0..1.0);
             let i = w.rng.random_range(0..4);
-            let poll = Ask::Poll(id.clone());
+            let poll = Request::Poll(id.clone());
             w.at(
                 at,
                 if i == 3 {
@@ -99,11 +99,11 @@
     let rest = 120.0 + 4.0 * w.run_s;
     for id in &ids {
         for k in 0..(rest / 5.0) as u32 {
-            w.at(5.0 * k as f64, Ev::User(Ask::Poll(id.clone())));
+            w.at(5.0 * k as f64, Ev::User(Request::Poll(id.clone())));
         }
     }
     for k in 0..4 {
-        let end = Ev::User(Ask::Cancel(ids[2].clone()));
+        let end = Ev::User(Request::Cancel(ids[2].clone()));
         w.at(20.0 + 5.0 * k as f64, end);
     }
     w.run(rest);
--- a/tests/peer_frames.rs
+++ b/tests/peer_frames.rs
@@ -1,13 +1,13 @@
 //! Messages between controllers of different releases.
 
-use hookworks::wire::peer::{Answer, PeerMsg, PingMore, PingSelf};
+use hookworks::wire::peer::{Answer, PeerMessage, PingExtension, PingIdentity};
 use hookworks::wire::peer_frame::{PingTail, encode, read};
 
-fn ping() -> PeerMsg {
-    PeerMsg::Ping {
+fn ping() -> PeerMessage {
+    PeerMessage::Ping {
         from: "a".into(),
         leader: None,
-        hears: vec![],
+        reachable: vec![],
         workers: 3,
     }
 }
@@ -19,16 +19,16 @@
     let mut answer = Answer::later("x", 3);
     answer.valid_us = Some(1_500_000);
     let (id, to) = (5, "b".to_string());
-    let new = PeerMsg::Tell { id, to, answer };
+    let new = PeerMessage::Response { id, to, answer };
     let bytes = bincode::encode_to_vec(&new, config).unwrap();
-    let (read, _): (PeerMsg, _) = bincode::decode_from_slice(&bytes, config).unwrap();
+    let (read, _): (PeerMessage, _) = bincode::decode_from_slice(&bytes, config).unwrap();
     assert_eq!(read, new);
     // The third kind of message; its fields, as they were.
     let before = (2u32, 5u64, "b", 503u16, r#"{"error":"x"}"#, Some(3u32));
     let before = bincode::encode_to_vec(before, config).unwrap();
     assert_eq!(bytes[..before.len()], before);
-    let (read, n): (PeerMsg, _) = bincode::decode_from_slice(&before, config).unwrap();
-    let PeerMsg::Tell { answer, .. } = read else {
+    let (read, n): (PeerMessage, _) = bincode::decode_from_slice(&before, config).unwrap();
+    let PeerMessage::Response { answer, .. } = read else {
         panic!("{read:?}")
     };
     assert_eq!(
@@ -40,11 +40,11 @@
 /// Controllers are restarted one after the other, so two versions talk.
 #[test]
 fn pings_are_readable_across_versions() {
-    let more = PingMore {
-        workers_most: Some(7),
-        speaks: 1,
+    let more = PingExtension {
+        max_workers: Some(7),
+        version: 1,
     };
-    let own = PingSelf { instance: 9 };
+    let own = PingIdentity { instance: 9 };
     let mut new = vec![];
     encode(&ping(), (more, own), &mut new).unwrap();
     assert_eq!(read(&mut &new[..]).unwrap(), (ping(), (more, Some(own))));
--- a/tests/random_history/mod.rs
+++ b/tests/random_history/mod.rs
@@ -1,8 +1,8 @@
 //! Random histories of jobs among troubles, for the tests that judge them.
 
 use crate::world::{Chaos, Ev, World, job};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{After, Kind, Priority, When};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{ConditionTrigger, JobKind, Priority, StartCondition};
 use rand::RngExt;
 
 /// One history: jobs, polls and cancellations among crashes, cuts and outages,
@@ -46,10 +46,10 @@
             (j.gpus, j.memory_gb) = (1.0, 9.0);
         }
         match n % 7 {
-            3 => (j.kind, j.tasks, j.one_zone) = (Kind::Gang, j.tasks.min(4), true),
+            3 => (j.kind, j.tasks, j.one_zone) = (JobKind::Gang, j.tasks.min(4), true),
             // One of these waits for a service, until that is cancelled.
             5 => {
-                (j.kind, j.tasks) = (Kind::Service, j.tasks.min(3));
+                (j.kind, j.tasks) = (JobKind::Service, j.tasks.min(3));
                 (j.priority, j.spread) = (Priority::Production, !j.one_zone);
                 services.push(j.id.clone());
             }
@@ -58,17 +58,17 @@
         let mut at = w.rng.random_range(0.0..150.0);
         if n % 4 == 3 {
             // It waits for the end of the one before, which was sent first.
-            let (job, when) = (ids[n as usize - 1].clone(), When::End);
+            let (job, when) = (ids[n as usize - 1].clone(), ConditionTrigger::End);
             let each = false;
-            j.after = vec![After { job, when, each }];
+            j.start_conditions = vec![StartCondition { job, when, each }];
             at = last + w.rng.random_range(0.0..20.0);
         }
-        if n % 7 == 2 && w.specs[&ids[n as usize - 1]].kind == Kind::Array {
+        if n % 7 == 2 && w.specs[&ids[n as usize - 1]].kind == JobKind::Array {
             // Task by task; where the other is cancelled, so is this one.
             let other = &w.specs[&ids[n as usize - 1]];
-            let (job, when, each) = (other.id.clone(), When::Success, true);
+            let (job, when, each) = (other.id.clone(), ConditionTrigger::Success, true);
             j.tasks = other.tasks;
-            j.after = vec![After { job, when, each }];
+            j.start_conditions = vec![StartCondition { job, when, each }];
             at = last + w.rng.random_range(0.0..20.0);
             by_task.push(j.id.clone());
         }
@@ -78,20 +78,20 @@
         w.specs.insert(j.id.clone(), j);
         // Users try again until they are heard.
         for k in 0..6 {
-            w.at(at + 8.0 * k as f64, Ev::User(Ask::Submit(body.clone())));
+            w.at(at + 8.0 * k as f64, Ev::User(Request::Submit(body.clone())));
         }
     }
     for id in &ids {
         for k in 1..60 {
             let at = k as f64 * 5.0 + w.rng.random_range(0.0..2.0);
-            w.at(at, Ev::User(Ask::Poll(id.to_string())));
+            w.at(at, Ev::User(Request::Poll(id.to_string())));
         }
         if w.rng.random_bool(0.5) {
             hold_and_release(&mut w, id);
         }
         if w.rng.random_bool(0.25) {
             let at = w.rng.random_range(60.0..200.0);
-            w.at(at, Ev::User(Ask::Cancel(id.to_string())));
+            w.at(at, Ev::User(Request::Cancel(id.to_string())));
         }
     }
     for _ in 0..4 {
@@ -156,7 +156,7 @@
     for id in &ids {
         for k in 0..48 {
             let at = k as f64 * 5.0 + w.rng.random_range(0.0..2.0);
-            w.at(at, Ev::User(Ask::Poll(id.to_string())));
+            w.at(at, Ev::User(Request::Poll(id.to_string())));
         }
     }
     for i in 0..3 {
@@ -166,7 +166,7 @@
     }
     for id in services {
         for k in 0..6 {
-            let e = Ev::User(Ask::Cancel(id.to_string()));
+            let e = Ev::User(Request::Cancel(id.to_string()));
             w.at(1.0 + 8.0 * k as f64, e);
         }
     }
@@ -174,13 +174,16 @@
         // Operators let them go on, until some are given up.
         for k in 0..10 {
             let body = r#"{"By":"ops","Kind":"system"}"#.into();
-            w.at(8.0 * k as f64, Ev::User(Ask::Release(id.to_string(), body)));
+            w.at(
+                8.0 * k as f64,
+                Ev::User(Request::Release(id.to_string(), body)),
+            );
         }
     }
     by_task.extend(frail);
     for id in by_task {
         // Long enough for those that can end by themselves.
-        w.at(200.0, Ev::User(Ask::Cancel(id.to_string())));
+        w.at(200.0, Ev::User(Request::Cancel(id.to_string())));
     }
     w.run(240.0);
     w
@@ -198,21 +201,21 @@
         let stop = w.rng.random_bool(0.3);
         let hold = serde_json::json!({"By": "a", "Kind": kind, "Why": "b", "Stop": stop});
         let release = serde_json::json!({"By": "a", "Kind": kind});
-        let hold = Ask::Hold(id.to_string(), hold.to_string().into());
+        let hold = Request::Hold(id.to_string(), hold.to_string().into());
         let via = w.rng.random_range(0..3);
         w.at(at, Ev::User(hold));
         // And at the same moment by way of one that may lead no more.
-        let both = Ask::Release(id.to_string(), release.to_string().into());
+        let both = Request::Release(id.to_string(), release.to_string().into());
         if w.rng.random_bool(0.2) {
             w.at(at, Ev::UserVia(via, both));
-            w.at(at, Ev::UserVia(via, Ask::Cancel(id.to_string())));
+            w.at(at, Ev::UserVia(via, Request::Cancel(id.to_string())));
         }
         // Users try again until they are heard, also after the storm.
         for k in 0..30 {
             let body = release.to_string().into();
             let at = at + long + 10.0 * k as f64;
-            w.at(at, Ev::User(Ask::Release(id.to_string(), body)));
+            w.at(at, Ev::User(Request::Release(id.to_string(), body)));
         }
-        w.at(at + 3.0, Ev::User(Ask::Show(id.to_string())));
+        w.at(at + 3.0, Ev::User(Request::Show(id.to_string())));
     }
 }
--- a/tests/record_limits.rs
+++ b/tests/record_limits.rs
@@ -8,16 +8,19 @@
 use hookworks::sched::job::{Job, Live, compact_part_size};
 use hookworks::sched::{DirectResult, Event, FenceRecord, Sched};
 use hookworks::settings::{Platform, StateLimits};
-use hookworks::store::client::{ReadError, State};
+use hookworks::store::client::{ReadError, StateStore};
 use hookworks::store::commit::Committer;
-use hookworks::store::limits::LimitsInForce;
-use hookworks::store::pieces::{self, RecordRoom};
-use hookworks::store::{FINALS, LEADER, LIVE, Outcome, PARTS, PIECES, RecordFormat, part_key};
-use hookworks::time::{Time, Wall};
-use hookworks::wire::peer::Ask;
+use hookworks::store::limits::EffectiveLimits;
+use hookworks::store::pieces::{self, RecordLimits};
+use hookworks::store::{
+    FINALS_PREFIX, LEADER_KEY, PARTS_PREFIX, PIECES_PREFIX, RecordFormat, TxnOutcome,
+    UNFINISHED_PREFIX, part_key,
+};
+use hookworks::time::{Time, WallTime};
+use hookworks::wire::peer::Request;
 use hookworks::wire::state::{Change, Item, Page, Txn};
 use hookworks::wire::user::JobState;
-use hookworks::wire::worker::Orders;
+use hookworks::wire::worker::Commands;
 use hookworks_job_lifecycle::{Failure, Hold, HoldKind, JobEvent, WallMillis};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -28,19 +31,19 @@
 use world::{job, settings};
 
 /// The smallest limits that any service has.
-const SMALLEST: RecordRoom = RecordRoom {
-    value_bytes: 2048,
-    values: 4,
+const SMALLEST: RecordLimits = RecordLimits {
+    max_value_bytes: 2048,
+    max_values: 4,
 };
 const DAY_MS: u64 = 24 * 3_600_000;
-const WALL: Wall = Wall(1_800_000_000_000);
+const WALL: WallTime = WallTime(1_800_000_000_000);
 
 /// A started task as some leader might have left it.
 fn started() -> Live {
     let mut d = Desk::new(1);
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
-    d.s.jobs[&JobId::from("job-000001")].live[&TaskIx(0)].clone()
+    d.s.jobs[&JobId::from("job-000001")].live[&TaskIndex(0)].clone()
 }
 
 struct Shape {
@@ -59,7 +62,7 @@
     let mut spec = job(rng.random_range(1..999_999), shape.tasks);
     spec.class = "c".repeat(rng.random_range(1..=200)).as_str().into();
     spec.image = "i".repeat(rng.random_range(1..=200)).as_str().into();
-    let submitted = Wall(WALL.0 - shape.over_ms);
+    let submitted = WallTime(WALL.0 - shape.over_ms);
     let mut j = Job::new(spec, 7, Time(1), submitted, shape.part_size);
     let template = started();
     let places: Vec<_> = ["a", "b", "a-long-zone-name"]
@@ -70,7 +73,7 @@
             place
         })
         .into();
-    let rule = settings("x").tuning.rules()[&Class::from("frail")];
+    let rule = settings("x").tuning.retry_policies()[&Class::from("frail")];
     for t in 0..shape.tasks {
         for _ in 0..rng.random_range(0..4) {
             j.attempts
@@ -78,7 +81,7 @@
         }
         if !rng.random_bool(shape.running) {
             if rng.random_bool(0.5) {
-                j.set_done(TaskIx(t));
+                j.set_done(TaskIndex(t));
             }
             continue;
         }
@@ -88,11 +91,11 @@
         let at = rng.random_range(0..span);
         let mut live = template.clone();
         live.attempt = Attempt(Epoch(900 + epoch).base() + at / 200 + 1);
-        live.placed_wall = Wall(submitted.0 + epoch * span + at);
+        live.placed_wall = WallTime(submitted.0 + epoch * span + at);
         let number = rng.random_range(0..shape.machines);
         live.host = Host::from(format!("n-{number:06}").as_str());
         live.place = Some(places[rng.random_range(0..3)].clone());
-        j.live.insert(TaskIx(t), live);
+        j.live.insert(TaskIndex(t), live);
     }
     for _ in 0..rng.random_range(0..60) {
         let what = JobEvent::ALL[rng.random_range(0..8)];
@@ -116,17 +119,17 @@
 }
 
 /// All records of a job as they are stored under these limits, by their keys.
-fn stored(j: &Job, room: RecordRoom) -> BTreeMap<String, Value> {
+fn stored(j: &Job, room: RecordLimits) -> BTreeMap<String, Value> {
     let mut all = BTreeMap::new();
     for part in 0..j.parts.len() {
         let record = j.encode_compact(part, room);
-        let values = pieces::split(record, room.value_bytes);
-        assert!(values.len() <= room.values, "{} values", values.len());
+        let values = pieces::split_record(record, room.max_value_bytes);
+        assert!(values.len() <= room.max_values, "{} values", values.len());
         for v in &values {
             let bytes = v.to_string().len();
-            assert!(bytes <= room.value_bytes, "{bytes} bytes");
+            assert!(bytes <= room.max_value_bytes, "{bytes} bytes");
         }
-        let keys = pieces::keys(j.id(), part, values.len());
+        let keys = pieces::record_keys(j.id(), part, values.len());
         all.extend(keys.zip(values));
     }
     all
@@ -160,7 +163,7 @@
             now: 0,
             too_many: 0,
         };
-        s.put(LEADER, json!("a"));
+        s.put(LEADER_KEY, json!("a"));
         s
     }
 
@@ -173,8 +176,8 @@
         self.keys.insert(key.into(), (value, self.revision));
     }
 
-    fn stamp(&self, key: &str) -> Stamp {
-        Stamp(self.keys.get(key).map_or(0, |v| v.1))
+    fn stamp(&self, key: &str) -> Revision {
+        Revision(self.keys.get(key).map_or(0, |v| v.1))
     }
 
     /// Bursts of one second's worth are allowed.
@@ -184,11 +187,11 @@
         (self.left, self.now) = ((self.left + past * rate).min(rate), now);
     }
 
-    fn apply(&mut self, t: &Txn) -> Outcome {
+    fn apply(&mut self, t: &Txn) -> TxnOutcome {
         let changes = t.changes.len() as f64;
         if self.rate.is_some() && self.left < changes {
             self.too_many += 1;
-            return Outcome::TooMany;
+            return TxnOutcome::RateLimited;
         }
         self.left -= changes;
         let large = |c: &Change| match c {
@@ -200,15 +203,15 @@
             || t.changes.iter().any(large)
         {
             self.too_large += 1;
-            return Outcome::TooLarge;
+            return TxnOutcome::TooLarge;
         }
         let wrong = t
             .conditions
             .iter()
-            .filter(|c| self.stamp(&c.key) != c.stamp);
+            .filter(|c| self.stamp(&c.key) != c.revision);
         let failed: Vec<String> = wrong.map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
-            return Outcome::Conflict(failed);
+            return TxnOutcome::Conflict(failed);
         }
         self.revision += 1;
         for c in &t.changes {
@@ -222,19 +225,19 @@
                 }
             }
         }
-        Outcome::Ok(Stamp(self.revision))
+        TxnOutcome::Ok(Revision(self.revision))
     }
 }
 
 /// The same as a new leader reads it.
 struct Reader(BTreeMap<String, (Value, u64)>);
 
-impl State for Reader {
+impl StateStore for Reader {
     fn get(&self, key: &str) -> Result<Option<Item>, ReadError> {
         let found = self.0.get(key).map(|(value, stamp)| Item {
             key: key.into(),
             value: value.clone(),
-            stamp: Stamp(*stamp),
+            revision: Revision(*stamp),
             lease: None,
         });
         Ok(found)
@@ -250,8 +253,8 @@
         Ok(Page { items, more })
     }
 
-    fn txn(&self, _: &Txn) -> Outcome {
-        Outcome::NotDone
+    fn txn(&self, _: &Txn) -> TxnOutcome {
+        TxnOutcome::NotApplied
     }
     fn grant(&self, _: u64) -> Result<u64, ReadError> {
         Err(ReadError::Failed)
@@ -266,7 +269,7 @@
     /// What the next leader finds.
     fn load(&self) -> hookworks::node::load::Loaded {
         let reader = Reader(self.keys.clone());
-        load(&reader, Epoch(2), self.stamp(LEADER), Time(1), WALL).expect("it answers")
+        load(&reader, Epoch(2), self.stamp(LEADER_KEY), Time(1), WALL).expect("it answers")
     }
 }
 
@@ -309,7 +312,7 @@
         d.stores = false;
         d.s.set_format(format);
         let s = Limited::new();
-        let mut c = Committer::new(s.stamp(LEADER), limits);
+        let mut c = Committer::new(s.stamp(LEADER_KEY), limits);
         c.set_format(format);
         let rate_refused = false;
         Term {
@@ -326,7 +329,7 @@
 
     /// The next transaction, and what the scheduler was led to say by that.
     fn next(&mut self) -> Option<(TxnId, Txn)> {
-        let next = self.c.next(self.now(), &mut self.d.s);
+        let next = self.c.next_txn(self.now(), &mut self.d.s);
         self.take_effects();
         next
     }
@@ -350,10 +353,12 @@
             while let Some((id, txn)) = self.next() {
                 sent += 1;
                 let outcome = match self.rate_refused {
-                    true => Outcome::TooMany,
+                    true => TxnOutcome::RateLimited,
                     false => self.s.apply(&txn),
                 };
-                let (events, steps) = self.c.finished(self.now(), id, outcome, &mut self.d.s);
+                let (events, steps) = self
+                    .c
+                    .handle_outcome(self.now(), id, outcome, &mut self.d.s);
                 assert!(steps.is_empty(), "{steps:?}");
                 self.told(events);
             }
@@ -385,7 +390,7 @@
     assert_eq!(found.submitted, j.submitted);
     assert_eq!(found.runtimes, j.runtimes);
     assert_eq!(found.done_count, j.done_count);
-    for t in (0..j.spec.tasks).map(TaskIx) {
+    for t in (0..j.spec.tasks).map(TaskIndex) {
         assert_eq!(found.is_done(t), j.is_done(t), "{t:?}");
         assert_eq!(found.attempts.of(t.0), j.attempts.of(t.0), "{t:?}");
     }
@@ -431,12 +436,12 @@
             l.place = None;
         }
         for value_bytes in [2048, 3000, 32 * 1024] {
-            let values = SMALLEST.values;
+            let values = SMALLEST.max_values;
             let all = stored(
                 &j,
-                RecordRoom {
-                    value_bytes,
-                    values,
+                RecordLimits {
+                    max_value_bytes: value_bytes,
+                    max_values: values,
                 },
             );
             let loaded = load_of(&all);
@@ -480,15 +485,15 @@
         let mut live = template.clone();
         let pass = t as u64 / 8;
         live.attempt = Attempt(Epoch(3).base() + 4_000 + t as u64 + 40 * pass);
-        live.placed_wall = Wall(WALL.0 + 110 * pass);
+        live.placed_wall = WallTime(WALL.0 + 110 * pass);
         let number = 300 + rng.random_range(0..730);
         live.host = Host::from(format!("n-{number:06}").as_str());
-        j.live.insert(TaskIx(t), live);
+        j.live.insert(TaskIndex(t), live);
     }
     let before = Job::new(job(1, 512), 1, Time(1), WALL, 512);
-    let room = RecordRoom {
-        value_bytes: 32 * 1024,
-        values: 1,
+    let room = RecordLimits {
+        max_value_bytes: 32 * 1024,
+        max_values: 1,
     };
     let size = |j: &Job| j.encode_compact(0, room).to_string().len();
     let each = (size(&j) - size(&before)) as f64 / 512.0;
@@ -513,7 +518,7 @@
     j.cancelled = true;
     let first = stored(&j, SMALLEST);
     for l in j.live.values_mut() {
-        l.placed_wall = Wall(l.placed_wall.0 + 1);
+        l.placed_wall = WallTime(l.placed_wall.0 + 1);
     }
     let second = stored(&j, SMALLEST);
     let id = j.id().clone();
@@ -525,15 +530,15 @@
                 false => mixed.insert(key.clone(), first[key].clone()),
             };
             let loaded = load_of(&mixed);
-            let of_first = key.starts_with(LIVE) || key.contains("/000000/");
-            if of_first && missing && key.starts_with(LIVE) {
+            let of_first = key.starts_with(UNFINISHED_PREFIX) || key.contains("/000000/");
+            if of_first && missing && key.starts_with(UNFINISHED_PREFIX) {
                 assert!(loaded.jobs.is_empty(), "never accepted, as far as is known");
             } else if of_first {
                 // Known, left alone, and told as what it certainly is.
                 assert!(loaded.jobs.is_empty());
                 assert_eq!(loaded.unreadable[&id], JobState::Cancelled);
                 assert!(loaded.litter.is_empty(), "it may be mended");
-            } else if missing && key.starts_with(PARTS) {
+            } else if missing && key.starts_with(PARTS_PREFIX) {
                 // As if nothing had been started there yet, as without any pieces.
                 assert!(!loaded.jobs[0].damaged);
             } else {
@@ -543,7 +548,7 @@
     }
 }
 
-fn submit_array(t: &mut Term, n: u64, tasks: u32) -> ReqId {
+fn submit_array(t: &mut Term, n: u64, tasks: u32) -> RequestId {
     t.d.submit(&job(n, tasks))
 }
 
@@ -559,12 +564,12 @@
 fn limits_that_fall_with_a_transaction_under_way_cost_a_retry_and_nothing_else() {
     let mut t = Term::new(&announced(), RecordFormat::Compact, vec![]);
     machines(&mut t, 3000);
-    let asked: Vec<ReqId> = (1..=8).map(|n| submit_array(&mut t, n, 300)).collect();
+    let asked: Vec<RequestId> = (1..=8).map(|n| submit_array(&mut t, n, 300)).collect();
     let (id, txn) = t.next().unwrap();
     assert!(txn.changes.len() > 4, "{}", txn.changes.len());
     t.s.fall(2048, 4);
     let outcome = t.s.apply(&txn);
-    let (events, _) = t.c.finished(t.now(), id, outcome, &mut t.d.s);
+    let (events, _) = t.c.handle_outcome(t.now(), id, outcome, &mut t.d.s);
     assert!(events.is_empty(), "nobody is told to come again");
     t.write(15.0);
     assert!(t.s.too_large <= 3, "{} refused", t.s.too_large);
@@ -580,7 +585,7 @@
     let mut t = Term::new(&limits(None), RecordFormat::Compact, vec![]);
     machines(&mut t, 1600);
     t.s.fall(2048, 4);
-    let asked: Vec<ReqId> = (1..=8).map(|n| submit_array(&mut t, n, 200)).collect();
+    let asked: Vec<RequestId> = (1..=8).map(|n| submit_array(&mut t, n, 200)).collect();
     t.write(15.0);
     assert!(t.s.too_large < 12, "{} refused", t.s.too_large);
     assert!(asked.iter().all(|r| t.d.status(*r) == Some(201)));
@@ -597,7 +602,7 @@
         submit_array(&mut t, n, 10);
     }
     t.write(5.0);
-    assert_eq!(*t.c.limits().values(), announced().now());
+    assert_eq!(*t.c.limits().values(), announced().current());
     assert_eq!(t.s.too_large, 0);
     t.check_stored();
 }
@@ -624,7 +629,7 @@
     let loaded = s.load();
     let mut t = Term::new(&announced(), RecordFormat::Compact, loaded.jobs);
     for (key, stamp) in loaded.stamps {
-        t.c.know(key, stamp);
+        t.c.record_revision(key, stamp);
     }
     t.s = s;
     let id = old.id().clone();
@@ -632,25 +637,29 @@
         touch(&mut t.d.s, &id, part);
     }
     t.write(4.0);
-    assert!(t.s.too_large < 4 && t.c.set_aside() == 0);
-    assert!(t.keys(PIECES).len() > 6);
+    assert!(t.s.too_large < 4 && t.c.oversized_records() == 0);
+    assert!(t.keys(PIECES_PREFIX).len() > 6);
     t.check_stored();
     // Smaller again, it leaves pieces behind; over, it leaves nothing.
-    t.d.ask(Ask::Cancel(id.to_string()));
-    let all: Vec<TaskIx> = t.d.s.jobs[&id].live.keys().copied().collect();
+    t.d.ask(Request::Cancel(id.to_string()));
+    let all: Vec<TaskIndex> = t.d.s.jobs[&id].live.keys().copied().collect();
     if let Some(j) = t.d.s.jobs.get_mut(&id) {
         all.iter().for_each(|ix| drop(j.live.remove(ix)));
     }
     (0..old.parts.len()).for_each(|part| touch(&mut t.d.s, &id, part));
     t.write(2.0);
     t.check_stored();
-    t.d.event(Event::Tick(Wall(WALL.0)));
+    t.d.event(Event::Tick(WallTime(WALL.0)));
     let j = t.d.s.jobs.get_mut(&id).unwrap();
     j.closing = Some(JobState::Cancelled);
     touch(&mut t.d.s, &id, 0);
     t.write(40.0);
-    assert_eq!(t.keys(FINALS).len(), 1);
-    assert!(t.keys(LIVE).is_empty() && t.keys(PARTS).is_empty() && t.keys(PIECES).is_empty());
+    assert_eq!(t.keys(FINALS_PREFIX).len(), 1);
+    assert!(
+        t.keys(UNFINISHED_PREFIX).is_empty()
+            && t.keys(PARTS_PREFIX).is_empty()
+            && t.keys(PIECES_PREFIX).is_empty()
+    );
 }
 
 /// A part is to be written, as after a change in it.
@@ -668,15 +677,15 @@
     machines(&mut t, 320);
     t.s.fall(2048, 4);
     let large = submit_array(&mut t, 1, 300);
-    let small: Vec<ReqId> = (2..=6).map(|n| submit_array(&mut t, n, 2)).collect();
+    let small: Vec<RequestId> = (2..=6).map(|n| submit_array(&mut t, n, 2)).collect();
     let sent = t.write(12.0);
     assert!(small.iter().all(|r| t.d.status(*r) == Some(201)));
     assert_eq!(t.d.status(large), Some(503), "told to come again");
-    assert!(t.c.set_aside() > 0 && sent < 40, "{sent} sent");
+    assert!(t.c.oversized_records() > 0 && sent < 40, "{sent} sent");
     t.c.set_format(RecordFormat::Compact);
     t.d.s.set_format(RecordFormat::Compact);
     t.write(3.0);
-    assert_eq!(t.c.set_aside(), 0);
+    assert_eq!(t.c.oversized_records(), 0);
     t.check_stored();
 }
 
@@ -714,10 +723,10 @@
 /// second, until what is sent is allowed.
 #[test]
 fn refusals_without_a_pause_lower_the_rate_for_as_long_as_they_come() {
-    let mut limits = LimitsInForce::new(&limits(None));
+    let mut limits = EffectiveLimits::new(&limits(None));
     let mut rates = vec![];
     for quarter in 0..40 {
-        limits.refused_rate(Time(quarter * 250_000));
+        limits.handle_rate_refusal(Time(quarter * 250_000));
         rates.push(limits.values().write_rps);
     }
     assert!(rates[3] > 35.0, "once within the first second: {rates:?}");
@@ -729,7 +738,7 @@
 fn a_record_that_is_always_refused_is_set_aside() {
     let mut t = Term::new(&announced(), RecordFormat::Compact, vec![]);
     machines(&mut t, 40);
-    let asked: Vec<ReqId> = (1..=6).map(|n| submit_array(&mut t, n, 1)).collect();
+    let asked: Vec<RequestId> = (1..=6).map(|n| submit_array(&mut t, n, 1)).collect();
     let bad = part_key(&"job-000003".into(), 0);
     let mut sent = 0;
     for _ in 0..100 {
@@ -737,10 +746,10 @@
             sent += 1;
             let refused = txn.changes.iter().any(|c| c.key() == bad);
             let outcome = match refused {
-                true => Outcome::TooLarge,
+                true => TxnOutcome::TooLarge,
                 false => t.s.apply(&txn),
             };
-            let (events, _) = t.c.finished(t.now(), id, outcome, &mut t.d.s);
+            let (events, _) = t.c.handle_outcome(t.now(), id, outcome, &mut t.d.s);
             t.told(events);
         }
         t.d.now += 50_000;
@@ -749,7 +758,7 @@
         let expected = if n == 2 { 503 } else { 201 };
         assert_eq!(t.d.status(*req), Some(expected));
     }
-    assert!(t.c.set_aside() == 1 && sent < 30, "{sent} sent");
+    assert!(t.c.oversized_records() == 1 && sent < 30, "{sent} sent");
 }
 
 #[test]
@@ -770,7 +779,10 @@
         assert!(e.contains(&format!("params.state.next.{field}")), "{e}");
     }
     let p = parse(json!({"txn_ops": 4})).unwrap();
-    let (now, next) = (p.params.state.now(), p.params.state.announced().unwrap());
+    let (now, next) = (
+        p.params.state.current(),
+        p.params.state.announced().unwrap(),
+    );
     assert_eq!((next.txn_ops, next.value_kb), (4, now.value_kb));
     assert!(
         parse(Value::Null)
@@ -833,8 +845,8 @@
     t: Term,
     workers: Vec<Worker>,
     specs: BTreeMap<JobId, hookworks::wire::user::JobSpec>,
-    calls: VecDeque<(CallId, Host, Orders)>,
-    waiting: Vec<(ReqId, u64)>,
+    calls: VecDeque<(CallId, Host, Commands)>,
+    waiting: Vec<(RequestId, u64)>,
     /// How long submissions waited, in microseconds.
     waited: Vec<u64>,
 }
@@ -915,11 +927,14 @@
             .collect();
         due.into_iter().for_each(|n| self.beat(n));
         if now.is_multiple_of(250_000) {
-            self.t.d.event(Event::Tick(Wall(now / 1000)));
+            self.t.d.event(Event::Tick(WallTime(now / 1000)));
         }
         while let Some((id, txn)) = self.t.next() {
             let outcome = self.t.s.apply(&txn);
-            let (events, steps) = self.t.c.finished(Time(now), id, outcome, &mut self.t.d.s);
+            let (events, steps) = self
+                .t
+                .c
+                .handle_outcome(Time(now), id, outcome, &mut self.t.d.s);
             assert!(steps.is_empty());
             self.t.told(events);
         }
@@ -982,7 +997,7 @@
         "{} jobs are left",
         site.t.d.s.jobs.len()
     );
-    assert_eq!(site.t.keys(FINALS).len() as u64, n);
+    assert_eq!(site.t.keys(FINALS_PREFIX).len() as u64, n);
 }
 
 /// A name that takes six bytes for each of its own on record.
@@ -1004,7 +1019,7 @@
         let req = t.d.submit(spec);
         t.write(1.0);
         assert_eq!(t.d.status(req), Some(201));
-        t.d.ask(Ask::Cancel(spec.id.to_string()));
+        t.d.ask(Request::Cancel(spec.id.to_string()));
         if let Some(j) = t.d.s.jobs.get_mut(&spec.id) {
             j.live.clear();
             j.closing = Some(JobState::Cancelled);
@@ -1012,8 +1027,8 @@
         touch(&mut t.d.s, &spec.id, 0);
         t.write(2.0);
     }
-    assert_eq!(t.keys(FINALS).len(), 2);
-    assert!(t.keys(LIVE).is_empty() && t.keys(PIECES).is_empty());
+    assert_eq!(t.keys(FINALS_PREFIX).len(), 2);
+    assert!(t.keys(UNFINISHED_PREFIX).is_empty() && t.keys(PIECES_PREFIX).is_empty());
     let zones = (0..200).map(|n| (Zone::from(format!("zone-{n}").as_str()), WALL.0));
     let all = FenceRecord {
         epoch: Epoch(3),
--- a/tests/rentals.rs
+++ b/tests/rentals.rs
@@ -6,14 +6,14 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
 use hookworks::sched::{Effect, Event, HireResult};
-use hookworks::time::{Time, Wall};
-use hookworks::wire::cloud::{Hire, Listed};
+use hookworks::time::{Time, WallTime};
+use hookworks::wire::cloud::{ListedHost, RentalRequest};
 use hookworks::wire::worker::Report;
 use world::desk::{Desk, report};
 use world::job;
 
 /// Machines asked for so far.
-fn hires(d: &Desk) -> Vec<Hire> {
+fn hires(d: &Desk) -> Vec<RentalRequest> {
     let h = |f: &Effect| match f {
         Effect::Hire(h) => Some(h.clone()),
         _ => None,
@@ -78,7 +78,7 @@
     first.submit(&job(1, 3));
     first.wait(1.0);
     let record = first.s.jobs[&JobId::from("job-000001")].encode(0);
-    let loaded = Job::decode(&record, Time(first.now), Wall(1_000_000)).unwrap();
+    let loaded = Job::decode(&record, Time(first.now), WallTime(1_000_000)).unwrap();
     let mut d = Desk::with(6, vec![loaded]);
     d.wait(5.5);
     assert_eq!(hires(&d), []);
@@ -97,7 +97,7 @@
 fn a_machine_rented_long_ago_has_time_to_report_to_a_new_leader() {
     let mut d = Desk::new(5);
     d.refuses = true;
-    d.event(Event::Listed(vec![Listed {
+    d.event(Event::Listed(vec![ListedHost {
         host: "n-000007".into(),
         addr: Some("10.1.0.7:9000".into()),
         build: "small".into(),
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use hookworks::ids::JobId;
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::{JobState, Priority};
 use world::{Ev, World, job};
 
@@ -21,10 +21,10 @@
         w.specs.insert(j.id.clone(), j);
         for k in 0..8 {
             let at = n as f64 * 2.0 + 4.0 * k as f64;
-            w.at(at, Ev::User(Ask::Submit(body.clone())));
+            w.at(at, Ev::User(Request::Submit(body.clone())));
         }
         for k in 0..30 {
-            let poll = Ask::Poll(format!("job-{n:06}"));
+            let poll = Request::Poll(format!("job-{n:06}"));
             w.at(3.0 * k as f64, Ev::User(poll));
         }
     }
@@ -206,7 +206,7 @@
             j.team = "blue".into();
             let body = serde_json::to_vec(&j).unwrap();
             w.specs.insert(j.id.clone(), j);
-            w.at(1.5 * (n - 7) as f64, Ev::User(Ask::Submit(body)));
+            w.at(1.5 * (n - 7) as f64, Ev::User(Request::Submit(body)));
         }
         let from = w.now;
         let all: usize = w.specs.values().map(|s| s.tasks as usize).sum();
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -5,9 +5,9 @@
 use hookworks::ids::*;
 use hookworks::sched::job::{Final, Job};
 use hookworks::sched::{DirectResult, Effect, Event, HireResult, Key, Sched};
-use hookworks::store::client::State;
-use hookworks::time::{Time, Wall};
-use hookworks::wire::peer::Ask;
+use hookworks::store::client::StateStore;
+use hookworks::time::{Time, WallTime};
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::JobState;
 use hookworks::wire::worker::*;
 use world::desk::{Desk, ended, report, task};
@@ -16,13 +16,13 @@
 
 const JOB: &str = "job-000001";
 
-fn runs(orders: &[Order]) -> usize {
-    let run = |o: &&Order| matches!(o, Order::Run { .. });
+fn runs(orders: &[Command]) -> usize {
+    let run = |o: &&Command| matches!(o, Command::Run { .. });
     orders.iter().filter(run).count()
 }
 
-fn clears(orders: &[Order]) -> usize {
-    let clear = |o: &&Order| matches!(o, Order::Clear { .. });
+fn clears(orders: &[Command]) -> usize {
+    let clear = |o: &&Command| matches!(o, Command::Clear { .. });
     orders.iter().filter(clear).count()
 }
 
@@ -59,11 +59,11 @@
     // Placed already, so that one write holds both; no way sends `run` yet.
     assert!(d.attempt(JOB, 0).is_some());
     let a = d.beat(&report(1, 2, Token(0))).unwrap();
-    assert_eq!(runs(&a.orders), 0, "run before its attempt was stored");
+    assert_eq!(runs(&a.commands), 0, "run before its attempt was stored");
     assert!(d.direct().is_empty());
     assert!(d.store_one());
     assert_eq!(d.status(req), Some(201));
-    assert_eq!(runs(&d.direct()[0].2.orders), 1);
+    assert_eq!(runs(&d.direct()[0].2.commands), 1);
     assert!(!d.store_one(), "one write was to do for all of it");
 }
 
@@ -74,14 +74,14 @@
     d.stores = false;
     let mut r = report(1, 3, Token(0));
     r.tasks = vec![ended(JOB, 0, a, Cause::Done)];
-    assert_eq!(clears(&d.beat(&r).unwrap().orders), 0);
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    assert_eq!(clears(&d.beat(&r).unwrap().commands), 0);
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert!(!d.answer(poll).unwrap().body.contains("done\","));
     d.store();
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert!(d.answer(poll).unwrap().body.contains("\"Status\":\"done\""));
     r.seq = Seq(4);
-    assert_eq!(clears(&d.beat(&r).unwrap().orders), 1);
+    assert_eq!(clears(&d.beat(&r).unwrap().commands), 1);
 }
 
 #[test]
@@ -89,15 +89,15 @@
     let (mut d, _) = one_task(false);
     d.beat(&report(1, 2, Token(0)));
     d.stores = false;
-    let cancel = d.ask(Ask::Cancel(JOB.into()));
+    let cancel = d.ask(Request::Cancel(JOB.into()));
     assert_eq!(d.status(cancel), None);
     d.event(Event::NotStored(JOB.into()));
     assert_eq!(d.status(cancel), Some(503), "the user waits in vain");
     assert_eq!(d.answer(cancel).unwrap().retry_after, Some(1));
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(poll), Some(503), "told before it was stored");
     d.store();
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert!(d.answer(poll).unwrap().body.contains("cancelled"));
 }
 
@@ -136,7 +136,7 @@
     for n in 1..=4u32 {
         let body = serde_json::to_vec(&report(n, 1, Token(0))).unwrap();
         let by = if n == 1 { "near" } else { "cut" };
-        d.event(Event::Relayed(ReqId(900 + n as u64), by.into(), body));
+        d.event(Event::Relayed(RequestId(900 + n as u64), by.into(), body));
     }
     let mut r = report(1, 2, Token(0));
     for seq in 2..6 {
@@ -144,7 +144,7 @@
         d.event(Event::OutOfReach(vec!["cut".into()]));
         r.seq = Seq(seq);
         let body = serde_json::to_vec(&r).unwrap();
-        d.event(Event::Relayed(ReqId(910 + seq), "near".into(), body));
+        d.event(Event::Relayed(RequestId(910 + seq), "near".into(), body));
     }
     // Three of four are silent: that is put down to the leader's side.
     for n in 5..=20 {
@@ -198,9 +198,9 @@
     // Each report says by itself what its worker has heard.
     d.hear = false;
     let (call, host, orders) = d.direct().remove(0);
-    assert_eq!(runs(&orders.orders), 1);
+    assert_eq!(runs(&orders.commands), 1);
     d.event(Event::Direct(call, host, DirectResult::Unclear));
-    d.ask(Ask::Cancel(JOB.into()));
+    d.ask(Request::Cancel(JOB.into()));
     let old = orders.token;
     let next = d.beat(&report(1, 2, old)).unwrap();
     assert!(next.token > old, "the late run could still be carried out");
@@ -224,10 +224,10 @@
     // Stored by now, yet the late run would start it again.
     r.seq = Seq(3);
     let next = d.beat(&r).unwrap();
-    assert_eq!(clears(&next.orders), 0);
+    assert_eq!(clears(&next.commands), 0);
     r.seq = Seq(4);
     r.token = next.token;
-    assert_eq!(clears(&d.beat(&r).unwrap().orders), 1);
+    assert_eq!(clears(&d.beat(&r).unwrap().commands), 1);
 }
 
 // 5. The lease of leadership.
@@ -240,13 +240,13 @@
     d.proves = false;
     d.wait(4.0);
     d.submit(&job(2, 1));
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(poll), Some(503));
     let before = d.attempt(JOB, 0);
     let mut r = report(2, 1, Token(0));
     assert!(d.beat(&r).is_some(), "workers keep their leases");
     let a = d.beat(&report(1, 2, Token(0))).unwrap();
-    assert_eq!(runs(&a.orders), 0, "nothing new starts");
+    assert_eq!(runs(&a.commands), 0, "nothing new starts");
     assert_eq!(d.attempt(JOB, 0), before);
     assert!(!d.s.jobs.contains_key(&JobId::from("job-000002")));
     // Beyond the grace a cancelled task could outlive what users were told.
@@ -263,7 +263,7 @@
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
     d.beat(&r);
     let j = &d.s.jobs[&JobId::from(JOB)];
-    let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
+    let mut j = Job::decode(&j.encode(0), Time(d.now), WallTime(d.now / 1000)).unwrap();
     (j.parts[0].ver, j.parts[0].stored) = (1, 1);
     j
 }
@@ -302,12 +302,12 @@
 #[test]
 fn not_found_needs_a_consistent_read() {
     let mut d = Desk::new(5);
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(poll), None);
     assert!(d.fx.contains(&Effect::ReadFinal(JOB.into())));
     d.event(Event::FinalRead(JOB.into(), Err(())));
     assert_eq!(d.status(poll), Some(503));
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     d.event(Event::FinalRead(JOB.into(), Ok(None)));
     assert_eq!(d.status(poll), Some(404));
 }
@@ -318,7 +318,7 @@
     let mut d = Desk::new(5);
     let (mut reads, mut refused) = (0, 0);
     for n in 0..500 {
-        let req = d.ask(Ask::Poll(format!("job-{n:06}")));
+        let req = d.ask(Request::Poll(format!("job-{n:06}")));
         let read = |f: &Effect| matches!(f, Effect::ReadFinal(_));
         reads += d.fx.iter().filter(|f| read(f)).count();
         d.fx.retain(|f| !read(f));
@@ -335,7 +335,7 @@
     assert_eq!(reads + refused, 500);
     // One that is live costs none.
     d.submit(&job(900, 1));
-    let req = d.ask(Ask::Poll("job-000900".into()));
+    let req = d.ask(Request::Poll("job-000900".into()));
     assert_eq!(d.status(req), Some(200));
 }
 
@@ -369,7 +369,7 @@
     let mut large = job(2, 1);
     large.memory_gb = 500.0;
     let mut gang = job(3, 9);
-    gang.kind = hookworks::wire::user::Kind::Gang;
+    gang.kind = hookworks::wire::user::JobKind::Gang;
     for j in [unknown, large, gang] {
         let req = d.submit(&j);
         d.event(Event::FinalRead(j.id.clone(), Ok(None)));
@@ -377,9 +377,9 @@
     }
     let cfg = hookworks::sched::Config::from(&settings("x"));
     let now = Time(d.now);
-    let mut s = Sched::new(cfg, Epoch(1), now, now, Wall(1));
+    let mut s = Sched::new(cfg, Epoch(1), now, now, WallTime(1));
     let body = serde_json::to_vec(&job(4, 1)).unwrap();
-    let fx = s.handle(now, Event::Ask(ReqId(1), Ask::Submit(body)));
+    let fx = s.handle(now, Event::Ask(RequestId(1), Request::Submit(body)));
     assert!(matches!(&fx[..], [Effect::Answer(_, a)] if a.status == 503));
 }
 
@@ -394,20 +394,20 @@
     s.put("hookworks/live/job-000001", serde_json::json!({"spec": 7}));
     s.put("hookworks/live/job-000002", good);
     s.put("hookworks/part/job-000009/000001", serde_json::json!({}));
-    let l = hookworks::node::load::load(&s, Epoch(2), Stamp(1), Time(1), Wall(1)).unwrap();
+    let l = hookworks::node::load::load(&s, Epoch(2), Revision(1), Time(1), WallTime(1)).unwrap();
     assert_eq!(l.jobs.len(), 1);
     assert_eq!(l.unreadable[&JobId::from(JOB)], JobState::Queued);
     let part = s.get("hookworks/part/job-000009/000001").unwrap().unwrap();
-    assert_eq!(l.litter, vec![(part.key, part.stamp)]);
+    assert_eq!(l.litter, vec![(part.key, part.revision)]);
     let mut d = Desk::new(2);
     let now = Time(d.now);
     d.s.load(now, l.jobs, l.unreadable);
     // It was accepted, so it is known: with 503 for good it counted as forgotten.
-    let req = d.ask(Ask::Poll(JOB.into()));
+    let req = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(req), Some(200));
     let req = d.submit(&job(1, 1));
     assert_eq!(d.status(req), Some(200));
-    let req = d.ask(Ask::Cancel(JOB.into()));
+    let req = d.ask(Request::Cancel(JOB.into()));
     assert_eq!(d.status(req), Some(503));
     assert!(s.get("hookworks/live/job-000001").unwrap().is_some());
 }
@@ -418,10 +418,10 @@
     let s = Handle::default();
     let damaged = serde_json::json!({"spec": 7, "cancelled": true});
     s.put("hookworks/live/job-000001", damaged);
-    let l = hookworks::node::load::load(&s, Epoch(2), Stamp(1), Time(1), Wall(1)).unwrap();
+    let l = hookworks::node::load::load(&s, Epoch(2), Revision(1), Time(1), WallTime(1)).unwrap();
     let mut d = Desk::new(2);
     d.s.load(Time(d.now), l.jobs, l.unreadable);
-    for ask in [Ask::Poll(JOB.into()), Ask::Cancel(JOB.into())] {
+    for ask in [Request::Poll(JOB.into()), Request::Cancel(JOB.into())] {
         let req = d.ask(ask);
         assert!(d.answer(req).unwrap().body.contains("\"cancelled\""));
     }
@@ -441,7 +441,7 @@
         "hookworks/part/job-000001/000001",
         serde_json::json!({"a": "x"}),
     );
-    let l = hookworks::node::load::load(&s, Epoch(2), Stamp(1), Time(1), Wall(1)).unwrap();
+    let l = hookworks::node::load::load(&s, Epoch(2), Revision(1), Time(1), WallTime(1)).unwrap();
     assert!(l.unreadable.is_empty() && l.stamps.len() == 2);
     let mut d = Desk::new(2);
     d.refuses = true;
@@ -450,7 +450,7 @@
         j.live.clear();
     }
     d.s.load(Time(d.now), jobs, l.unreadable);
-    let poll = d.ask(Ask::Poll(JOB.into()));
+    let poll = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(poll), Some(200));
     let began = d.now;
     let mut seq = 1u32;
@@ -470,7 +470,7 @@
     let mut d = Desk::new(5);
     d.stores = false;
     let submit = d.submit(&job(1, 1));
-    let cancel = d.ask(Ask::Cancel(JOB.into()));
+    let cancel = d.ask(Request::Cancel(JOB.into()));
     d.event(Event::Stored(Key::Part(JOB.into(), 0), 1));
     assert_eq!(d.status(submit), Some(201));
     assert!(d.answer(submit).unwrap().body.contains("queued"));
@@ -533,11 +533,11 @@
     let (mut d, a) = one_task(true);
     let (_, host, _) = d.direct().remove(0);
     assert!(d.s.machines[&host].direct.is_some());
-    d.ask(Ask::Cancel(JOB.into()));
+    d.ask(Request::Cancel(JOB.into()));
     let mut r = report(1, 2, Token(0));
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
-    let orders = d.beat(&r).unwrap().orders;
-    let kills = |o: &&Order| matches!(o, Order::Kill { .. });
+    let orders = d.beat(&r).unwrap().commands;
+    let kills = |o: &&Command| matches!(o, Command::Kill { .. });
     assert_eq!(orders.iter().filter(kills).count(), 1, "{orders:?}");
     assert_eq!((runs(&orders), clears(&orders)), (0, 0));
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -6,11 +6,11 @@
 use hookworks::sched::Event;
 use hookworks::sched::job::part_size;
 use hookworks::settings::{Platform, Tuning};
-use hookworks::store::client::Outcome;
+use hookworks::store::client::TxnOutcome;
 use hookworks::store::commit::Committer;
 use hookworks::time::Time;
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobSpec, Kind, Priority};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, JobSpec, Priority};
 use hookworks::wire::worker::*;
 use std::collections::BTreeSet;
 use world::desk::{Desk, ended, report, task};
@@ -112,7 +112,7 @@
     for n in 1..=2 {
         all_run(&mut d, n, 2);
     }
-    d.ask(Ask::Cancel("job-000001".into()));
+    d.ask(Request::Cancel("job-000001".into()));
     d.submit(&job(2, 1));
     assert!(d.s.jobs[&JobId::from("job-000002")].live.is_empty());
     for n in 1..=2 {
@@ -123,7 +123,7 @@
 
 fn gang(n: u64, tasks: u32) -> JobSpec {
     let mut j = job(n, tasks);
-    j.kind = Kind::Gang;
+    j.kind = JobKind::Gang;
     j.team = "blue".into();
     j
 }
@@ -159,9 +159,9 @@
     }
     let a = d.beat(&r).unwrap();
     let kills = a
-        .orders
+        .commands
         .iter()
-        .filter(|o| matches!(o, Order::Kill { .. }))
+        .filter(|o| matches!(o, Command::Kill { .. }))
         .count();
     assert!(kills > 0);
     assert_eq!(d.s.jobs[&id].live.len(), 5);
@@ -209,9 +209,9 @@
     d.beat(&seen(2, &[alone, on(1), on(2)]));
     assert_eq!(d.attempt("job-000001", 0), Some(old), "replaced");
     let a = d.beat(&seen(3, &[on(1), on(2)])).unwrap();
-    assert!(a.orders.iter().any(|o| matches!(o, Order::Run { .. })));
+    assert!(a.commands.iter().any(|o| matches!(o, Command::Run { .. })));
     d.beat(&seen(4, &[on(0), lost(1), lost(2)]));
-    assert!(d.s.jobs[&id].live[&TaskIx(0)].stop.is_some());
+    assert!(d.s.jobs[&id].live[&TaskIndex(0)].stop.is_some());
     assert_eq!(d.s.jobs[&id].live.len(), 1, "none joins it any more");
     d.beat(&report(1, 5, Token(0)));
     let again = d.attempt("job-000001", 0).unwrap();
@@ -270,7 +270,7 @@
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
     let mut s = job(1, 1);
-    (s.kind, s.estimate_s) = (Kind::Service, 0.0);
+    (s.kind, s.estimate_s) = (JobKind::Service, 0.0);
     d.submit(&s);
     all_run(&mut d, 1, 2);
     d.beat(&report(2, 1, Token(0)));
@@ -284,7 +284,7 @@
     r.tasks = vec![ended("job-000001", 0, a, Cause::Stopped)];
     d.beat(&r);
     assert_eq!(hosts_of(&d, "job-000001"), vec![host(2)]);
-    d.ask(Ask::Cancel("job-000001".into()));
+    d.ask(Request::Cancel("job-000001".into()));
     d.beat(&report(2, 2, Token(0)));
     assert!(d.s.jobs.is_empty());
 }
@@ -295,10 +295,10 @@
     d.stores = false;
     let req = d.submit(&job(1, 100_000));
     let limits = settings("x").platform.params.state;
-    let mut c = Committer::new(Stamp(1), &limits);
-    let (id, txn) = c.next(Time(d.now), &mut d.s).unwrap();
+    let mut c = Committer::new(Revision(1), &limits);
+    let (id, txn) = c.next_txn(Time(d.now), &mut d.s).unwrap();
     assert_eq!(txn.changes.len(), 1, "one record makes it accepted");
-    let (events, _) = c.finished(Time(d.now), id, Outcome::Ok(Stamp(2)), &mut d.s);
+    let (events, _) = c.handle_outcome(Time(d.now), id, TxnOutcome::Ok(Revision(2)), &mut d.s);
     for e in events {
         d.event(e);
     }
@@ -314,14 +314,14 @@
         job(2, 100),
         1,
         Time(1),
-        hookworks::time::Wall(1_700_000_000_000),
+        hookworks::time::WallTime(1_700_000_000_000),
         part_size(4.0),
     );
     for t in 0..small.part_size {
         let mut l = j.live.values().next().unwrap().clone();
         l.attempt = Attempt(Epoch(900).base() + 77);
-        l.placed_wall = hookworks::time::Wall(1_700_000_000_000);
-        small.live.insert(TaskIx(t), l);
+        l.placed_wall = hookworks::time::WallTime(1_700_000_000_000);
+        small.live.insert(TaskIndex(t), l);
     }
     let size = small.encode(0).to_string().len();
     assert!(size <= 4096, "{size}");
@@ -333,19 +333,19 @@
         job(1, 300),
         3,
         Time(5_000_000),
-        hookworks::time::Wall(5),
+        hookworks::time::WallTime(5),
         128,
     );
     for t in [0, 63, 64, 127, 128, 299] {
-        j.set_done(TaskIx(t));
+        j.set_done(TaskIndex(t));
     }
-    let (now, wall) = (Time(9_000_000), hookworks::time::Wall(9));
+    let (now, wall) = (Time(9_000_000), hookworks::time::WallTime(9));
     let mut back = hookworks::sched::job::Job::decode(&j.encode(0), now, wall).unwrap();
     for p in 1..3 {
         back.decode_part(p, &j.encode(p), now, wall).unwrap();
     }
     assert_eq!(back.done_count, 6);
-    assert!((0..300).all(|t| back.is_done(TaskIx(t)) == j.is_done(TaskIx(t))));
+    assert!((0..300).all(|t| back.is_done(TaskIndex(t)) == j.is_done(TaskIndex(t))));
 }
 
 #[test]
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -4,8 +4,8 @@
 
 use hookworks::ids::{JobId, Team};
 use hookworks::time::Span;
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobSpec, Kind, Priority};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, JobSpec, Priority};
 use world::{Ev, World, job};
 
 /// A fleet of four machines with room for sixteen tasks; ever more work comes for
@@ -17,7 +17,7 @@
         let body = serde_json::to_vec(&j).unwrap();
         w.specs.insert(j.id.clone(), j);
         for k in 0..3 {
-            w.at(at + 2.0 * k as f64, Ev::User(Ask::Submit(body.clone())));
+            w.at(at + 2.0 * k as f64, Ev::User(Request::Submit(body.clone())));
         }
     };
     for n in 0..240 {
@@ -116,7 +116,7 @@
         j
     };
     let mut gang = job(2, 4);
-    (gang.kind, gang.one_zone, gang.team) = (Kind::Gang, true, "red".into());
+    (gang.kind, gang.one_zone, gang.team) = (JobKind::Gang, true, "red".into());
     // A steady flood; besides, a take-over each minute; a zone lost; five times as much.
     for trouble in 0..4 {
         let takeovers = trouble == 1;
@@ -124,7 +124,7 @@
         w.overtaken = Some(Span::secs(130.0));
         w.specs.insert(gang.id.clone(), gang.clone());
         let body = serde_json::to_vec(&gang).unwrap();
-        w.at(20.0, Ev::User(Ask::Submit(body)));
+        w.at(20.0, Ev::User(Request::Submit(body)));
         for k in 1..=4 {
             for i in (0..3).filter(|_| takeovers) {
                 w.at(60.0 * k as f64, Ev::Kill(i));
@@ -140,7 +140,7 @@
             urgent(&mut j);
             let body = serde_json::to_vec(&j).unwrap();
             w.specs.insert(j.id.clone(), j);
-            w.at(60.0 + 0.25 * n as f64, Ev::User(Ask::Submit(body)));
+            w.at(60.0 + 0.25 * n as f64, Ev::User(Request::Submit(body)));
         }
         w.run(20.0 + 240.0);
         w.assert_rules();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,9 +1,9 @@
 //! Both settings files: what they set, and how mistakes are reported.
 
-use hookworks::settings::{Platform, Settings, Sizes, Tuning};
+use hookworks::settings::{CapacityLimits, Platform, Settings, Tuning};
 
-fn sizes(ram_mb: f64, sockets: usize) -> Sizes {
-    settings(ram_mb, sockets, 0.24).sizes().unwrap()
+fn sizes(ram_mb: f64, sockets: usize) -> CapacityLimits {
+    settings(ram_mb, sockets, 0.24).capacity_limits().unwrap()
 }
 
 fn settings(ram_mb: f64, sockets: usize, core_share: f64) -> Settings {
@@ -39,20 +39,27 @@
     ];
     for (ram_mb, sockets, core_share, field) in cases {
         let mut s = settings(ram_mb, sockets, core_share);
-        let alone = s.sizes().unwrap().alone;
+        let alone = s.capacity_limits().unwrap().single_controller;
         assert_eq!(alone.limited_by, field, "{alone:?}");
-        s.tuning.connections.machines = alone.most;
+        s.tuning.connections.machines = alone.max_machines;
         s.check_machines("t.json").unwrap();
-        s.tuning.connections.machines = alone.most + 1;
+        s.tuning.connections.machines = alone.max_machines + 1;
         let e = s.check_machines("t.json").unwrap_err().to_string();
         assert!(e.contains(field), "{e}");
         assert!(
-            e.contains(&format!("{} machines would be held", alone.most)),
+            e.contains(&format!("{} machines would be held", alone.max_machines)),
             "{e}"
         );
     }
     // The largest deployment that there is, three times over.
-    assert!(settings(158.0, 3046, 0.24).sizes().unwrap().alone.most >= 4000);
+    assert!(
+        settings(158.0, 3046, 0.24)
+            .capacity_limits()
+            .unwrap()
+            .single_controller
+            .max_machines
+            >= 4000
+    );
 }
 
 /// Whatever the machine, the bounds together fit its memory with a part left
@@ -77,8 +84,8 @@
     assert!(large.requests >= 1982 + 1000, "{large:?}");
     // Alone it holds almost as many workers as the largest fleets have; one
     // that small can't, and turns the others away.
-    assert!(large.machines >= 2400, "{large:?}");
-    assert!(small.machines >= 350, "{small:?}");
+    assert!(large.worker_connections >= 2400, "{large:?}");
+    assert!(small.worker_connections >= 350, "{small:?}");
     assert!(large.finals > small.finals);
 }
 
@@ -107,7 +114,7 @@
     let t = parse(
         "<class name='a'><attempts>3</attempts><counts>error lost</counts></class><class name='b'><backoff-s>2</backoff-s></class>",
     );
-    let rules = t.unwrap().rules();
+    let rules = t.unwrap().retry_policies();
     let a = &rules[&"a".into()];
     assert_eq!(
         (a.most, a.counts.lost, a.counts.timed_out),
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -5,8 +5,8 @@
 
 use hookworks::ids::*;
 use hookworks::sched::{DirtyQueue, Effect, Event, Purpose};
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::peer::Ask;
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::Priority;
 use hookworks::wire::worker::*;
 use world::desk::{Desk, ended, report, task};
@@ -36,9 +36,13 @@
     let mut r = report(n, seq, Token(3 << 24));
     let m = &d.s.machines[&r.host];
     for t in m.slots.keys() {
-        let l = &d.s.jobs[&t.job].live[&t.ix];
-        r.tasks
-            .push(task(t.job.as_str(), t.ix.0, l.attempt, TaskState::Running));
+        let l = &d.s.jobs[&t.job].live[&t.index];
+        r.tasks.push(task(
+            t.job.as_str(),
+            t.index.0,
+            l.attempt,
+            TaskState::Running,
+        ));
     }
     r
 }
@@ -87,7 +91,7 @@
     let t = r.tasks.remove(0);
     let of = t.task.job.to_string();
     r.tasks
-        .push(ended(&of, t.task.ix.0, t.attempt, Cause::Done));
+        .push(ended(&of, t.task.index.0, t.attempt, Cause::Done));
     d.beat(&r);
     assert_eq!(
         live(&d),
@@ -130,7 +134,7 @@
         d.submit(&job(n, 100));
     }
     let records: Vec<_> = d.s.jobs.values().map(|j| j.encode(0)).collect();
-    let (now, wall) = (Time(d.now), Wall(1_000_000));
+    let (now, wall) = (Time(d.now), WallTime(1_000_000));
     let jobs = records.iter().map(|r| {
         let mut j = hookworks::sched::job::Job::decode(r, now, wall).unwrap();
         (j.parts[0].ver, j.parts[0].stored) = (1, 1);
@@ -155,7 +159,7 @@
 #[test]
 fn a_record_moves_up_when_something_urgent_waits_for_it() {
     let mut dirty = DirtyQueue::default();
-    let j = |n| hookworks::sched::job::Job::new(job(n, 4), n, Time(0), Wall(0), 64);
+    let j = |n| hookworks::sched::job::Job::new(job(n, 4), n, Time(0), WallTime(0), 64);
     let (mut a, mut b) = (j(1), j(2));
     a.touch(0, &mut dirty, Purpose::Progress);
     b.touch(0, &mut dirty, Purpose::Progress);
@@ -192,9 +196,9 @@
     ));
     d.stores = false;
     let mut r = running(&d, 1, 3);
-    r.tasks.retain(|t| t.task.ix.0 != 0);
+    r.tasks.retain(|t| t.task.index.0 != 0);
     r.tasks.push(ended("job-000001", 0, a, Cause::Done));
-    let req = d.ask(Ask::Report(serde_json::to_vec(&r).unwrap()));
+    let req = d.ask(Request::Report(serde_json::to_vec(&r).unwrap()));
     assert!(
         d.answer(req).is_none(),
         "answered before the next start was stored"
@@ -202,16 +206,20 @@
     d.store();
     d.event(Event::Wake);
     let body = &d.answer(req).expect("answered once it was").body;
-    let orders: ReportAnswer = serde_json::from_str(body).unwrap();
-    let runs = |o: &&Order| matches!(o, Order::Run { .. });
-    assert_eq!(orders.orders.iter().filter(runs).count(), 1);
+    let orders: ReportResponse = serde_json::from_str(body).unwrap();
+    let runs = |o: &&Command| matches!(o, Command::Run { .. });
+    assert_eq!(orders.commands.iter().filter(runs).count(), 1);
     assert!(d.direct().is_empty(), "a direct call was made all the same");
     // With nothing stored it is answered in time all the same.
     let mut r = running(&d, 1, 4);
     let t = r.tasks.pop().unwrap();
-    r.tasks
-        .push(ended("job-000001", t.task.ix.0, t.attempt, Cause::Stopped));
-    let req = d.ask(Ask::Report(serde_json::to_vec(&r).unwrap()));
+    r.tasks.push(ended(
+        "job-000001",
+        t.task.index.0,
+        t.attempt,
+        Cause::Stopped,
+    ));
+    let req = d.ask(Request::Report(serde_json::to_vec(&r).unwrap()));
     d.wait(0.5);
     assert!(d.answer(req).is_some(), "held for too long");
     let kept = |f: &&Effect| matches!(f, Effect::Answer(..));
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -6,9 +6,9 @@
 use hookworks::ids::*;
 use hookworks::sched::job::{Final, Job};
 use hookworks::sched::{Config, Event};
-use hookworks::time::{Time, Wall};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobSpec, JobState, Kind};
+use hookworks::time::{Time, WallTime};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, JobSpec, JobState};
 use serde_json::{Value, json};
 use world::desk::Desk;
 use world::handover::{Act, Change};
@@ -41,7 +41,7 @@
 /// read if that is asked for, and the job's first record conflicts with it.
 fn submit(d: &mut Desk, body: &[u8], stored: Option<Final>) -> (u16, String) {
     d.stores = stored.is_none();
-    let req = d.ask(Ask::Submit(body.to_vec()));
+    let req = d.ask(Request::Submit(body.to_vec()));
     if d.answer(req).is_none() {
         d.event(Event::FinalRead(JOB.into(), Ok(stored)));
     }
@@ -189,9 +189,9 @@
     }
     // All of the team's limit at once, and an array of far more than that.
     for (kind, tasks, cpus) in [
-        (Kind::Gang, 6, 2.0),
-        (Kind::Service, 12, 1.0),
-        (Kind::Array, 900, 8.0),
+        (JobKind::Gang, 6, 2.0),
+        (JobKind::Service, 12, 1.0),
+        (JobKind::Array, 900, 8.0),
     ] {
         let mut j = job(1, tasks);
         (j.kind, j.cpus) = (kind, cpus);
@@ -204,7 +204,7 @@
 fn never_running() -> Vec<(&'static str, Vec<u8>)> {
     let gang = |change: &dyn Fn(&mut JobSpec)| {
         let mut j = job(1, 2);
-        j.kind = Kind::Gang;
+        j.kind = JobKind::Gang;
         change(&mut j);
         body_of(&j)
     };
@@ -217,7 +217,7 @@
         ("Vcpus", gang(&|j| j.tasks = 7)),
         (
             "Vcpus",
-            gang(&|j| (j.kind, j.tasks, j.cpus) = (Kind::Service, 100_000, 8.0)),
+            gang(&|j| (j.kind, j.tasks, j.cpus) = (JobKind::Service, 100_000, 8.0)),
         ),
         ("Vcpus", gang(&|j| (j.tasks, j.cpus) = (100_000, 1e300))),
         (
@@ -293,7 +293,7 @@
     let record = first.s.jobs[&JobId::from(JOB)].encode(0);
     for (what, change) in stricter_settings() {
         for types in [vec![], vec![flavor()], vec![other_type()]] {
-            let live = Job::decode(&record, Time(first.now), Wall(1_000_000)).unwrap();
+            let live = Job::decode(&record, Time(first.now), WallTime(1_000_000)).unwrap();
             let mut d = Desk::set_up(6, vec![live], change);
             d.event(Event::Flavors(types.clone()));
             assert_eq!(submit(&mut d, &body, None).0, 200, "{what}: live");
@@ -312,7 +312,7 @@
     }
 }
 
-fn other_type() -> hookworks::wire::cloud::Flavor {
+fn other_type() -> hookworks::wire::cloud::MachineType {
     let mut f = flavor();
     (f.build, f.cpus) = ("m1".into(), 1.0);
     f
@@ -323,7 +323,7 @@
     let mut d = Desk::new(5);
     for (stored, status, says) in [(Some(DONE), 200, "done"), (None, 404, "no such job")] {
         for _ in 0..2 {
-            let req = d.ask(Ask::Cancel(JOB.into()));
+            let req = d.ask(Request::Cancel(JOB.into()));
             if d.answer(req).is_none() {
                 d.event(Event::FinalRead(JOB.into(), Ok(stored)));
             }
@@ -336,7 +336,7 @@
     // What was refused was never accepted.
     let (_, body) = never_running().remove(0);
     assert_eq!(submit(&mut d, &body, None).0, 422);
-    let req = d.ask(Ask::Cancel(JOB.into()));
+    let req = d.ask(Request::Cancel(JOB.into()));
     d.event(Event::FinalRead(JOB.into(), Ok(None)));
     assert_eq!(d.status(req), Some(404));
 }
@@ -351,9 +351,9 @@
         let body = body_of(&j);
         let id = j.id.to_string();
         w.specs.insert(j.id.clone(), j);
-        w.insists(at, Ask::Submit(body));
+        w.insists(at, Request::Submit(body));
         for k in 0..12 {
-            w.at(at + 3.1 * k as f64, Ev::User(Ask::Poll(id.clone())));
+            w.at(at + 3.1 * k as f64, Ev::User(Request::Poll(id.clone())));
         }
     }
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -5,8 +5,8 @@
 use hookworks::ids::*;
 use hookworks::sched::Config;
 use hookworks::sched::job::Job;
-use hookworks::time::{Time, Wall};
-use hookworks::wire::peer::Ask;
+use hookworks::time::{Time, WallTime};
+use hookworks::wire::peer::Request;
 use hookworks::wire::worker::*;
 use world::desk::{Desk, report};
 use world::job;
@@ -26,7 +26,7 @@
 /// Loads what `first` has on record of a job, as the next leader does.
 fn inherit(first: &Desk, change: impl Fn(&mut Config)) -> Desk {
     let record = first.s.jobs[&JobId::from(JOB)].encode(0);
-    let loaded = Job::decode(&record, Time(first.now), Wall(1_000_000)).unwrap();
+    let loaded = Job::decode(&record, Time(first.now), WallTime(1_000_000)).unwrap();
     assert_eq!(loaded.live.len(), 8);
     Desk::set_up(6, vec![loaded], change)
 }
@@ -39,8 +39,8 @@
     for (seq, token) in [(2, Token(0)), (3, confirmed), (4, confirmed)] {
         for n in 1..=2 {
             let a = d.beat(&report(n, seq, token)).unwrap();
-            for o in a.orders {
-                if let Order::Run { task, attempt } = o {
+            for o in a.commands {
+                if let Command::Run { task, attempt } = o {
                     assert!(seq > 2, "an earlier leader's command may be under way");
                     runs.push((task, attempt));
                 }
@@ -62,7 +62,7 @@
     runs.dedup();
     let old = |t: u32| first.attempt(JOB, t).unwrap();
     assert_eq!(runs.len(), 8);
-    assert!(runs.iter().all(|(t, a)| *a == old(t.ix.0)), "{runs:?}");
+    assert!(runs.iter().all(|(t, a)| *a == old(t.index.0)), "{runs:?}");
     assert_eq!(d.written, 0);
 }
 
@@ -86,7 +86,7 @@
     let first = eight_placed();
     let mut d = inherit(&first, |c| c.teams[0].cpus_max = 99.0);
     d.refuses = true;
-    d.ask(Ask::Hold(
+    d.ask(Request::Hold(
         JOB.into(),
         br#"{"By":"ann","Kind":"user","Why":""}"#.to_vec(),
     ));
@@ -99,6 +99,6 @@
             ..report(n, 3, Token(Epoch(6).base()))
         };
         let a = d.beat(&noticed).unwrap();
-        assert_eq!(a.orders, [], "a machine that is about to be taken");
+        assert_eq!(a.commands, [], "a machine that is about to be taken");
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -9,10 +9,13 @@
 use hookworks::sched::FenceRecord;
 use hookworks::sched::job::{Job, Live};
 use hookworks::settings::Platform;
-use hookworks::store::{EPOCH, FENCES, FINALS, FORMAT, LEADER, LIVE, PARTS, RecordFormat};
-use hookworks::time::{Time, Wall};
-use hookworks::versions::{OWN, VersionTable};
-use hookworks::wire::peer::{Answer, Ask, PeerMsg, PingMore, PingSelf};
+use hookworks::store::{
+    EPOCH_KEY, FENCES_KEY, FINALS_PREFIX, FORMAT_KEY, LEADER_KEY, PARTS_PREFIX, RecordFormat,
+    UNFINISHED_PREFIX,
+};
+use hookworks::time::{Time, WallTime};
+use hookworks::versions::{OWN_VERSION, VersionTable};
+use hookworks::wire::peer::{Answer, PeerMessage, PingExtension, PingIdentity, Request};
 use hookworks::wire::peer_frame::{encode, read};
 use hookworks::wire::user::JobState;
 use hookworks_job_lifecycle::JobEvent;
@@ -37,7 +40,7 @@
 struct Snapshot {
     name: String,
     now: Time,
-    wall: Wall,
+    wall: WallTime,
     stored: BTreeMap<String, Value>,
     read: BTreeMap<String, Value>,
 }
@@ -47,7 +50,7 @@
     let of = |(name, v): (String, Value)| Snapshot {
         name,
         now: Time(v["now"].as_u64().unwrap()),
-        wall: Wall(v["wall"].as_u64().unwrap()),
+        wall: WallTime(v["wall"].as_u64().unwrap()),
         stored: serde_json::from_value(v["stored"].clone()).unwrap(),
         read: serde_json::from_value(v["read"].clone()).unwrap(),
     };
@@ -65,8 +68,8 @@
 
     /// Parts of a job, the first one included.
     fn parts(&self, id: &str) -> BTreeMap<usize, Value> {
-        let first = self.stored[&format!("{LIVE}{id}")].clone();
-        let further = self.under(PARTS).filter_map(|(key, value)| {
+        let first = self.stored[&format!("{UNFINISHED_PREFIX}{id}")].clone();
+        let further = self.under(PARTS_PREFIX).filter_map(|(key, value)| {
             let part = key.strip_prefix(id)?.strip_prefix('/')?;
             Some((part.parse().unwrap(), value.clone()))
         });
@@ -76,14 +79,14 @@
 
 /// What is read now, in the form in which the fixtures hold what was read then.
 fn facts(job: &Job) -> Value {
-    let live = |(t, l): (&TaskIx, &Live)| {
+    let live = |(t, l): (&TaskIndex, &Live)| {
         let place = l.place.as_ref();
         json!({
             "task": t.0, "attempt": l.attempt.0, "host": l.host, "placed": l.placed_wall.0,
             "place": place.map(|p| json!([p.zone, p.build, p.spot])),
         })
     };
-    let tasks = || (0..job.spec.tasks).map(TaskIx);
+    let tasks = || (0..job.spec.tasks).map(TaskIndex);
     json!({
         "spec": job.spec, "seq": job.seq, "submitted": job.submitted.0,
         "cancelled": job.cancelled, "part_size": job.part_size, "runtimes": job.runtimes,
@@ -97,7 +100,7 @@
     })
 }
 
-fn read_now(parts: &BTreeMap<usize, Value>, now: Time, wall: Wall) -> Job {
+fn read_now(parts: &BTreeMap<usize, Value>, now: Time, wall: WallTime) -> Job {
     let mut job = Job::decode(&parts[&0], now, wall).unwrap();
     for (part, value) in parts.range(1..) {
         job.decode_part(*part, value, now, wall).unwrap();
@@ -148,7 +151,7 @@
             seen.extend((!job.runtimes.is_empty()).then_some("runtimes"));
             seen.extend((job.history.entries().count() > 1).then_some("history"));
         }
-        for (id, value) in s.under(FINALS) {
+        for (id, value) in s.under(FINALS_PREFIX) {
             let then = serde_json::to_value(production::FinalRecord::deserialize(value).unwrap());
             assert_eq!(&then.unwrap(), value, "{id}");
             let detail = hookworks::sched::detail_of_record(&id.into(), value.clone()).unwrap();
@@ -161,8 +164,11 @@
                 "final cancelled"
             });
         }
-        assert_eq!(s.stored[EPOCH].as_u64(), s.stored[LEADER]["epoch"].as_u64());
-        if let Some(value) = s.stored.get(FENCES) {
+        assert_eq!(
+            s.stored[EPOCH_KEY].as_u64(),
+            s.stored[LEADER_KEY]["epoch"].as_u64()
+        );
+        if let Some(value) = s.stored.get(FENCES_KEY) {
             let now: FenceRecord = serde_json::from_value(value.clone()).unwrap();
             assert_eq!(&serde_json::to_value(&now).unwrap(), value);
             seen.extend((!now.since.is_empty()).then_some("fences"));
@@ -219,14 +225,14 @@
 }
 
 /// As `dump_fixtures.rs` has them.
-fn messages() -> Vec<PeerMsg> {
-    let ask = |ask| PeerMsg::Ask {
+fn messages() -> Vec<PeerMessage> {
+    let ask = |ask| PeerMessage::Request {
         id: (9 << 32) + 5,
         from: "c1".into(),
         to: "c0".into(),
-        ask,
+        request: ask,
     };
-    let tell = |answer| PeerMsg::Tell {
+    let tell = |answer| PeerMessage::Response {
         id: (9 << 32) + 5,
         to: "c1".into(),
         answer,
@@ -234,30 +240,33 @@
     let mut valid = Answer::new(200, r#"{"Id":"job-000001","Status":"queued"}"#.into());
     valid.valid_us = Some(1_234_567);
     vec![
-        PeerMsg::Ping {
+        PeerMessage::Ping {
             from: "c1".into(),
             leader: Some(("c0".into(), 300)),
-            hears: vec!["c0".into(), "c2".into()],
+            reachable: vec!["c0".into(), "c2".into()],
             workers: 270,
         },
-        PeerMsg::Ping {
+        PeerMessage::Ping {
             from: "c2".into(),
             leader: None,
-            hears: vec![],
+            reachable: vec![],
             workers: 0,
         },
-        ask(Ask::Submit(br#"{"Id":"job-000001"}"#.to_vec())),
-        ask(Ask::Poll("job-000001".into())),
-        ask(Ask::Cancel("job-000001".into())),
-        ask(Ask::Report(br#"{"Host":"n-000001"}"#.to_vec())),
-        ask(Ask::Hold("job-000001".into(), br#"{"By":"ann"}"#.to_vec())),
-        ask(Ask::Release(
+        ask(Request::Submit(br#"{"Id":"job-000001"}"#.to_vec())),
+        ask(Request::Poll("job-000001".into())),
+        ask(Request::Cancel("job-000001".into())),
+        ask(Request::Report(br#"{"Host":"n-000001"}"#.to_vec())),
+        ask(Request::Hold(
             "job-000001".into(),
             br#"{"By":"ann"}"#.to_vec(),
         )),
-        ask(Ask::Show("job-000001".into())),
-        ask(Ask::List("state=held".into())),
-        ask(Ask::Events("since=4".into())),
+        ask(Request::Release(
+            "job-000001".into(),
+            br#"{"By":"ann"}"#.to_vec(),
+        )),
+        ask(Request::Show("job-000001".into())),
+        ask(Request::List("state=held".into())),
+        ask(Request::Events("since=4".into())),
         tell(Answer::later("taking over", 1)),
         tell(valid),
     ]
@@ -277,26 +286,26 @@
         let frame = bytes(frame);
         let (got, tail) = read(&mut &frame[..]).unwrap();
         assert_eq!(got, message);
-        let is_ping = matches!(message, PeerMsg::Ping { .. });
-        let more = PingMore {
-            workers_most: Some(700),
-            speaks: OLD.0,
+        let is_ping = matches!(message, PeerMessage::Ping { .. });
+        let more = PingExtension {
+            max_workers: Some(700),
+            version: OLD.0,
         };
-        let then = (more, Some(PingSelf { instance: 77 }));
+        let then = (more, Some(PingIdentity { instance: 77 }));
         assert_eq!(tail, if is_ping { then } else { Default::default() });
         // What is sent now differs by the version alone.
-        let more = PingMore {
-            speaks: OWN.0,
+        let more = PingExtension {
+            version: OWN_VERSION.0,
             ..more
         };
         let mut sent = vec![];
-        encode(&message, (more, PingSelf { instance: 77 }), &mut sent).unwrap();
+        encode(&message, (more, PingIdentity { instance: 77 }), &mut sent).unwrap();
         let (by_production, tail) = production::read_frame(&sent).unwrap();
         let (as_sent, _) = production::read_frame(&frame).unwrap();
         assert_eq!(by_production, as_sent);
         assert_eq!(tail.is_some(), is_ping);
         if let Some((more, own)) = tail {
-            assert_eq!((more.workers_most, more.speaks), (Some(700), OWN.0));
+            assert_eq!((more.workers_most, more.speaks), (Some(700), OWN_VERSION.0));
             assert_eq!(own.map(|o| o.instance), Some(77));
         }
     }
@@ -333,22 +342,22 @@
 /// A ping and what is stored may be of different processes; the later one counts.
 #[test]
 fn version_of_the_latest_process_counts() {
-    let (b, c) = (Label::from("b"), Label::from("c"));
+    let (b, c) = (ControllerId::from("b"), ControllerId::from("c"));
     let mut t = VersionTable::new("a".into(), [b.clone(), c.clone()]);
     assert!(!t.all_read(RecordFormat::Compact));
-    t.record_ping(&b, reported(1, OWN, 10));
+    t.record_ping(&b, reported(1, OWN_VERSION, 10));
     t.record_ping(&c, reported(1, OLD, 10));
     assert!(!t.all_read(RecordFormat::Compact));
     // In touch, its pings are newer than anything stored.
-    assert!(!t.is_record_needed(Time(11 * S), RecordFormat::Compact));
-    assert!(t.is_record_needed(Time(13 * S), RecordFormat::Compact));
-    t.record_stored(Time(13 * S), &c, Instance(2), OWN);
+    assert!(!t.needs_stored_versions(Time(11 * S), RecordFormat::Compact));
+    assert!(t.needs_stored_versions(Time(13 * S), RecordFormat::Compact));
+    t.record_stored(Time(13 * S), &c, Instance(2), OWN_VERSION);
     assert!(t.all_read(RecordFormat::Compact));
     // The process before was heard late, or another one has followed: not known.
     t.record_ping(&c, reported(3, OLD, 14));
-    t.record_stored(Time(15 * S), &c, Instance(2), OWN);
+    t.record_stored(Time(15 * S), &c, Instance(2), OWN_VERSION);
     assert!(!t.all_read(RecordFormat::Compact));
-    t.record_ping(&c, reported(4, OWN, 16));
+    t.record_ping(&c, reported(4, OWN_VERSION, 16));
     assert!(t.all_read(RecordFormat::Compact));
     // Whoever the settings don't name is not asked.
     t.record_ping(&"d".into(), reported(1, OLD, 16));
@@ -361,41 +370,44 @@
     let submit = |awaits: Value| {
         let mut body = serde_json::to_value(job(1, 4)).unwrap();
         body["Awaits"] = awaits;
-        Ask::Submit(body.to_string().into())
+        Request::Submit(body.to_string().into())
     };
     let chain = submit(json!(["job-000002"]));
     let escaped = match &chain {
-        Ask::Submit(b) => String::from_utf8_lossy(b).replace("Awaits", "\\u0041waits"),
+        Request::Submit(b) => String::from_utf8_lossy(b).replace("Awaits", "\\u0041waits"),
         _ => unreachable!(),
     };
     let (leader, mut t) = (
-        Label::from("b"),
+        ControllerId::from("b"),
         VersionTable::new("a".into(), ["b".into()]),
     );
-    let goes = |ask: &Ask, t: &VersionTable| {
+    let goes = |ask: &Request, t: &VersionTable| {
         let known = KnownLeader {
             label: leader.clone(),
             epoch: Epoch(3),
             reachable: true,
-            understands: t.understands(&leader, ask.needs()),
+            understands: t.understands(&leader, ask.min_version()),
         };
         matches!(route(ask, Some(known)), Route::PassOn(..))
     };
-    for version in [None, Some(OLD), Some(OWN)] {
+    for version in [None, Some(OLD), Some(OWN_VERSION)] {
         if let Some(v) = version {
             t.record_ping(&leader, reported(v.0.into(), v, v.0.into()));
         }
-        let new = version == Some(OWN);
+        let new = version == Some(OWN_VERSION);
         assert_eq!(goes(&chain, &t), new, "{version:?}");
         assert_eq!(
-            goes(&Ask::Submit(escaped.clone().into()), &t),
+            goes(&Request::Submit(escaped.clone().into()), &t),
             new,
             "{version:?}"
         );
         for loose in [json!([]), Value::Null] {
             assert!(goes(&submit(loose), &t), "{version:?}");
         }
-        assert!(goes(&Ask::Cancel("job-000001".into()), &t), "{version:?}");
+        assert!(
+            goes(&Request::Cancel("job-000001".into()), &t),
+            "{version:?}"
+        );
     }
 }
 
@@ -414,18 +426,23 @@
 
 /// Whatever is stored before the switch is read by production, as the new one reads it.
 fn production_reads_all(w: &World) {
-    let (now, wall) = (Time(w.now), Wall(w.now / 1000));
-    for key in w.store.keys().iter().filter(|k| k.starts_with(LIVE)) {
+    let (now, wall) = (Time(w.now), WallTime(w.now / 1000));
+    for key in w
+        .store
+        .keys()
+        .iter()
+        .filter(|k| k.starts_with(UNFINISHED_PREFIX))
+    {
         let value = w.store.peek(key).unwrap();
         let then = production::read_live(&value).expect(key);
         let job = Job::decode(&value, now, wall).unwrap();
         assert_same(key, &then.facts(), &facts(&job));
     }
-    if let Some(value) = w.store.peek(LEADER) {
+    if let Some(value) = w.store.peek(LEADER_KEY) {
         let then = production::Leader::deserialize(&value).unwrap();
         assert_eq!(serde_json::to_value(then).unwrap(), value);
     }
-    if let Some(value) = w.store.peek(FENCES) {
+    if let Some(value) = w.store.peek(FENCES_KEY) {
         let then = production::FenceRecord::deserialize(&value).unwrap();
         assert_eq!(serde_json::to_value(then).unwrap(), value);
     }
@@ -456,7 +473,7 @@
         let mut order = [0, 1, 2];
         order.rotate_left(seed as usize % 3);
         for (k, i) in order.into_iter().enumerate() {
-            w.replace(i, 1.0 + 7.0 * k as f64, 5.0, OWN);
+            w.replace(i, 1.0 + 7.0 * k as f64, 5.0, OWN_VERSION);
         }
         for _ in 0..19 {
             w.run(1.0);
@@ -478,7 +495,7 @@
         assert!(w.sched(next).accepts_dependencies(), "seed {seed}");
         all_done(&mut w, 120.0);
         // Nothing of the versions is left once it is on record.
-        let versions = hookworks::store::VERSIONS;
+        let versions = hookworks::store::VERSIONS_PREFIX;
         assert!(!w.store.keys().iter().any(|k| k.starts_with(versions)));
     }
 }
@@ -499,17 +516,17 @@
             if new.len() < 2 && w.rng.random_bool(0.5) {
                 new.insert(i);
             }
-            let version = if new.contains(&i) { OWN } else { OLD };
+            let version = if new.contains(&i) { OWN_VERSION } else { OLD };
             let back_s = w.rng.random_range(0.3..4.0);
             w.replace(i, 0.5, back_s, version);
             for _ in 0..5 {
                 w.run(1.0);
                 production_reads_all(&w);
-                assert!(w.store.peek(FORMAT).is_none(), "seed {seed}");
+                assert!(w.store.peek(FORMAT_KEY).is_none(), "seed {seed}");
             }
         }
         for i in (0..3).filter(|i| !new.contains(i)) {
-            w.replace(i, 0.5 + 3.0 * i as f64, 2.0, OWN);
+            w.replace(i, 0.5 + 3.0 * i as f64, 2.0, OWN_VERSION);
         }
         all_done(&mut w, 150.0);
         let turns = w.versions.terms.windows(2).filter(|t| t[0] != t[1]).count();
@@ -524,13 +541,13 @@
     for seed in 200..210 {
         let mut w = fleet(seed);
         for i in 0..2 {
-            w.replace(i, 1.0 + 7.0 * i as f64, 5.0, OWN);
+            w.replace(i, 1.0 + 7.0 * i as f64, 5.0, OWN_VERSION);
         }
         w.run(20.0);
         for i in 0..2 {
             w.at(0.0, Ev::Versions(VersionAct::CutPings(i, 2, true)));
         }
-        w.replace(2, 1.0, 5.0, OWN);
+        w.replace(2, 1.0, 5.0, OWN_VERSION);
         w.run(14.0);
         let leader = w.leader().unwrap();
         assert!(switch_took(&w) <= 2.0, "seed {seed}: {}", switch_took(&w));
@@ -543,18 +560,18 @@
 #[test]
 fn old_process_that_is_back_holds_the_switch_up() {
     let mut w = fleet(300);
-    w.replace(0, 1.0, 3.0, OWN);
-    w.replace(1, 1.0, 3.0, OWN);
+    w.replace(0, 1.0, 3.0, OWN_VERSION);
+    w.replace(1, 1.0, 3.0, OWN_VERSION);
     w.run(15.0);
-    assert!(w.store.peek(FORMAT).is_none());
+    assert!(w.store.peek(FORMAT_KEY).is_none());
     assert_eq!(w.known_version(0, 2), Some(OLD));
     // Old again, as one that crashed before its turn would come back.
     w.replace(2, 1.0, 3.0, OLD);
     w.run(15.0);
-    assert!(w.store.peek(FORMAT).is_none());
-    w.replace(2, 1.0, 3.0, OWN);
+    assert!(w.store.peek(FORMAT_KEY).is_none());
+    w.replace(2, 1.0, 3.0, OWN_VERSION);
     w.run(8.0);
-    assert!(w.store.peek(FORMAT).is_some());
+    assert!(w.store.peek(FORMAT_KEY).is_some());
     all_done(&mut w, 120.0);
 }
 
@@ -575,7 +592,7 @@
         let mut w = fleet(seed);
         w.versions.faults = faults.iter().rev().copied().collect();
         for i in 0..3 {
-            w.replace(i, 1.0 + i as f64, 4.0, OWN);
+            w.replace(i, 1.0 + i as f64, 4.0, OWN_VERSION);
         }
         w.run(25.0);
         assert!(w.versions.faults.is_empty(), "{faults:?}");
@@ -591,10 +608,10 @@
 fn production_leaves_compact_records_alone() {
     let mut w = fleet(500);
     for i in 0..3 {
-        w.replace(i, 1.0 + i as f64, 4.0, OWN);
+        w.replace(i, 1.0 + i as f64, 4.0, OWN_VERSION);
     }
     w.run(25.0);
-    assert!(w.store.peek(FORMAT).is_some());
+    assert!(w.store.peek(FORMAT_KEY).is_some());
     w.run_s = 60.0;
     for n in 11..=13 {
         w.submit(job(n, [4, 90, 400][n as usize - 11]));
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -7,8 +7,8 @@
 use hookworks::sched::job::Live;
 use hookworks::sched::{Config, Effect};
 use hookworks::time::Time;
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobSpec, Kind, Priority};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, JobSpec, Priority};
 use hookworks::wire::worker::*;
 use rand::RngExt;
 use world::desk::{Desk, ended, report, task};
@@ -98,7 +98,7 @@
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
     d.beat(&report(2, 1, Token(0)));
-    d.submit(&with(2, 1, |j| (j.kind, j.cpus) = (Kind::Service, 8.0)));
+    d.submit(&with(2, 1, |j| (j.kind, j.cpus) = (JobKind::Service, 8.0)));
     assert_eq!(
         (hosts_of(&d, 1), hosts_of(&d, 2)),
         (vec![host(1)], vec![host(2)])
@@ -120,7 +120,7 @@
     let mut d = roomy(|_| {});
     let mut seq = 2;
     d.beat(&report(1, 1, Token(0)));
-    d.submit(&with(1, 1, |j| j.kind = Kind::Service));
+    d.submit(&with(1, 1, |j| j.kind = JobKind::Service));
     for n in 2..=3 {
         d.submit(&job(n, 1));
     }
@@ -155,7 +155,7 @@
     for n in 1..=3 {
         d.beat(&report(n, 1, Token(0)));
     }
-    d.submit(&with(1, 3, |j| (j.kind, j.cpus) = (Kind::Service, 5.0)));
+    d.submit(&with(1, 3, |j| (j.kind, j.cpus) = (JobKind::Service, 5.0)));
     assert_eq!(hosts_of(&d, 1).len(), 3);
     seq += 1;
     for n in 1..=3 {
@@ -180,7 +180,7 @@
         d.beat(&report(n, 1, Token(0)));
     }
     // Something else runs there, so that they stay.
-    d.submit(&with(2, 3, |j| (j.kind, j.cpus) = (Kind::Service, 5.0)));
+    d.submit(&with(2, 3, |j| (j.kind, j.cpus) = (JobKind::Service, 5.0)));
     d.submit(&job(1, 1));
     let mut longest: f64 = 0.0;
     for seq in 2..200 {
@@ -206,10 +206,10 @@
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
     let quick = |n| with(n, 2, |j| j.class = "quick".into());
-    d.submit(&with(1, 1, |j| j.kind = Kind::Service));
+    d.submit(&with(1, 1, |j| j.kind = JobKind::Service));
     for n in 2..=3 {
         d.submit(&quick(n));
-        d.ask(Ask::Cancel(id(n).to_string()));
+        d.ask(Request::Cancel(id(n).to_string()));
         go_on(&mut d, 1, 6, &mut seq);
     }
     let m = &d.s.machines[&host(1)];
@@ -219,7 +219,7 @@
     for n in 5..=15 {
         go_on(&mut d, 1, 6, &mut seq);
         d.submit(&quick(n));
-        d.ask(Ask::Cancel(id(n).to_string()));
+        d.ask(Request::Cancel(id(n).to_string()));
     }
     assert!(hosts_of(&d, 4).is_empty(), "room is kept for the quick");
     go_on(&mut d, 1, 12, &mut seq);
@@ -235,7 +235,7 @@
         d.beat(&report(n, 1, Token(0)));
     }
     let gang = |j: &mut JobSpec| {
-        (j.kind, j.priority, j.cpus) = (Kind::Gang, Priority::High, 8.0);
+        (j.kind, j.priority, j.cpus) = (JobKind::Gang, Priority::High, 8.0);
         j.spot = false;
     };
     d.submit(&with(1, 4, gang));
@@ -259,18 +259,18 @@
     let whole = |j: &mut JobSpec| (j.cpus, j.priority) = (8.0, Priority::High);
     let gang = |n| {
         let mut j = with(n, 4, whole);
-        j.kind = Kind::Gang;
+        j.kind = JobKind::Gang;
         j
     };
     d.submit(&gang(1));
     go_on(&mut d, 2, 30, &mut seq);
-    d.ask(Ask::Cancel(id(1).to_string()));
-    d.submit(&with(2, 2, |j| (j.cpus, j.kind) = (8.0, Kind::Service)));
+    d.ask(Request::Cancel(id(1).to_string()));
+    d.submit(&with(2, 2, |j| (j.cpus, j.kind) = (8.0, JobKind::Service)));
     assert_eq!(hosts_of(&d, 2).len(), 2);
     d.submit(&job(3, 1));
     go_on(&mut d, 2, 90, &mut seq);
     d.submit(&gang(4));
-    d.ask(Ask::Cancel(id(2).to_string()));
+    d.ask(Request::Cancel(id(2).to_string()));
     go_on(&mut d, 2, 72, &mut seq);
     assert!(hosts_of(&d, 3).is_empty(), "both are kept for the gang");
     go_on(&mut d, 2, 15, &mut seq);
@@ -283,7 +283,7 @@
     let mut d = roomy(|_| {});
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
-    let service = |j: &mut JobSpec| (j.kind, j.cpus) = (Kind::Service, 5.0);
+    let service = |j: &mut JobSpec| (j.kind, j.cpus) = (JobKind::Service, 5.0);
     d.submit(&with(1, 1, service));
     let urgent = |j: &mut JobSpec| (j.cpus, j.priority) = (4.0, Priority::High);
     d.submit(&with(2, 1, urgent));
@@ -345,7 +345,7 @@
     let whole = |j: &mut JobSpec| (j.cpus, j.estimate_s) = (8.0, 20.0);
     d.submit(&with(1, 2, whole));
     go_on(&mut d, 2, 15, &mut seq);
-    d.submit(&with(2, 2, |j| (j.kind, j.cpus) = (Kind::Gang, 8.0)));
+    d.submit(&with(2, 2, |j| (j.kind, j.cpus) = (JobKind::Gang, 8.0)));
     let rents = |d: &Desk| d.fx.iter().any(|f| matches!(f, Effect::Hire(_)));
     go_on(&mut d, 2, 60, &mut seq);
     assert!(!rents(&d), "what ends soon is waited for");
@@ -361,7 +361,7 @@
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
     let gang = |j: &mut JobSpec| {
-        (j.kind, j.spot) = (Kind::Gang, false);
+        (j.kind, j.spot) = (JobKind::Gang, false);
         j.zone = Some("b".into());
     };
     d.submit(&with(1, 4, gang));
@@ -383,8 +383,8 @@
     for n in 1..=2 {
         d.beat(&report(n, 1, Token(0)));
     }
-    d.submit(&with(1, 1, |j| j.kind = Kind::Service));
-    d.submit(&with(2, 1, |j| (j.kind, j.cpus) = (Kind::Service, 7.0)));
+    d.submit(&with(1, 1, |j| j.kind = JobKind::Service));
+    d.submit(&with(2, 1, |j| (j.kind, j.cpus) = (JobKind::Service, 7.0)));
     go_on(&mut d, 2, 120, &mut seq);
     assert_eq!((hosts_of(&d, 1).len(), hosts_of(&d, 2).len()), (1, 1));
     // Now it fails, and does not go back to the same machine at once.
@@ -414,9 +414,9 @@
         j.estimate_s = [20.0, 900.0, 3000.0][w.rng.random_range(0..3)];
         j.spot = w.rng.random_bool(0.6);
         match w.rng.random_range(0..8) {
-            0 | 1 => j.kind = Kind::Gang,
-            2 => (j.kind, j.tasks) = (Kind::Service, 2),
-            3 => (j.kind, j.tasks, j.spread) = (Kind::Service, 2, true),
+            0 | 1 => j.kind = JobKind::Gang,
+            2 => (j.kind, j.tasks) = (JobKind::Service, 2),
+            3 => (j.kind, j.tasks, j.spread) = (JobKind::Service, 2, true),
             4 => j.one_zone = true,
             5 => j.zone = Some("b".into()),
             6 => j.team = "blue".into(),
@@ -427,7 +427,7 @@
         let body = serde_json::to_vec(&j).unwrap();
         w.specs.insert(j.id.clone(), j);
         for k in 0..6 {
-            w.at(at + 7.0 * k as f64, Ev::User(Ask::Submit(body.clone())));
+            w.at(at + 7.0 * k as f64, Ev::User(Request::Submit(body.clone())));
         }
     }
     for _ in 0..3 {
--- a/tests/worker_balance.rs
+++ b/tests/worker_balance.rs
@@ -1,6 +1,6 @@
 //! Workers are spread over the controllers, none above its bound.
 
-use hookworks::ids::{Host, Label};
+use hookworks::ids::{ControllerId, Host};
 use hookworks::node::balance::{
     Capacity, ControllerLoad, MAX_REDIRECTS_PER_TICK, WorkerBalance, roomiest, shares,
 };
@@ -68,7 +68,7 @@
     let mut balance = WorkerBalance::default();
     let host = |n: u32| Host::from(format!("m{n}").as_str());
     let other = |label: &str, workers, capacity| ControllerLoad {
-        label: Label::from(label),
+        label: ControllerId::from(label),
         workers,
         capacity,
     };
--- a/tests/world/acts.rs
+++ b/tests/world/acts.rs
@@ -3,9 +3,9 @@
 use super::{Ev, World};
 use hookworks::ids::*;
 use hookworks::sched::{DirectResult, Effect, Event};
-use hookworks::store::Outcome;
+use hookworks::store::TxnOutcome;
 use hookworks::store::commit::Step;
-use hookworks::wire::worker::ReportAnswer;
+use hookworks::wire::worker::ReportResponse;
 use rand::RngExt;
 
 impl World {
@@ -13,7 +13,7 @@
         let now = self.time();
         let mut out = vec![];
         if let Some(t) = &mut self.ctls[i].term {
-            while let Some((id, txn)) = t.commit.next(now, &mut t.sched) {
+            while let Some((id, txn)) = t.commit.next_txn(now, &mut t.sched) {
                 out.push((t.epoch, id, txn));
             }
         }
@@ -33,7 +33,7 @@
             self.note_sent(i, epoch, id);
             if let Some(after) = self.gives_up(d, 1.0) {
                 // Given up by the sender, carried out later all the same.
-                self.at(after, Ev::TxnDone(i, epoch, id, Outcome::Unclear));
+                self.at(after, Ev::TxnDone(i, epoch, id, TxnOutcome::Unknown));
             }
             self.at(d, Ev::Txn(i, epoch, id, txn));
         }
@@ -53,9 +53,9 @@
                 } else if let Some((host, sent)) = self.beats.remove(&req)
                     && !self.rng.random_bool(self.chaos.lose_answer)
                 {
-                    if let Ok(a) = serde_json::from_str::<ReportAnswer>(&a.body) {
-                        self.check_held(&a.orders);
-                        self.commands_leave(&host, &a.orders);
+                    if let Ok(a) = serde_json::from_str::<ReportResponse>(&a.body) {
+                        self.check_held(&a.commands);
+                        self.commands_leave(&host, &a.commands);
                     }
                     self.at(d, Ev::ToWorker(host, sent, a, i));
                 }
@@ -65,8 +65,8 @@
             Effect::Orders {
                 call, host, orders, ..
             } => {
-                self.check_held(&orders.orders);
-                self.commands_leave(&host, &orders.orders);
+                self.check_held(&orders.commands);
+                self.commands_leave(&host, &orders.commands);
                 if let Some(after) = self.gives_up(d, 2.5) {
                     let e = Ev::Direct(i, epoch, call, host.clone(), DirectResult::Unclear);
                     self.at(after, e);
--- a/tests/world/close_looks.rs
+++ b/tests/world/close_looks.rs
@@ -4,7 +4,7 @@
 
 use super::{Ev, World};
 use hookworks::ids::JobId;
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -40,8 +40,8 @@
             at += looks.rng.random_range(0.001..2.0 * looks.every_s);
             let via = looks.rng.random_range(0..self.ctls.len());
             let ask = match &spec {
-                Some(body) if looks.rng.random_bool(0.2) => Ask::Submit(body.clone()),
-                _ => Ask::Poll(id.to_string()),
+                Some(body) if looks.rng.random_bool(0.2) => Request::Submit(body.clone()),
+                _ => Request::Poll(id.to_string()),
             };
             self.at(at, Ev::UserVia(via, ask));
         }
@@ -51,7 +51,7 @@
                 looks.rng.random_range(0..self.ctls.len()),
             );
             for k in 0..4 {
-                let ask = Ask::Cancel(id.to_string());
+                let ask = Request::Cancel(id.to_string());
                 self.at(at + 0.5 * k as f64, Ev::UserVia(via, ask));
             }
         }
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -4,7 +4,7 @@
 use super::{Ev, World};
 use hookworks::ids::*;
 use hookworks::sched::{Event, HireResult};
-use hookworks::wire::cloud::{Hire, Listed};
+use hookworks::wire::cloud::{ListedHost, RentalRequest};
 
 impl World {
     /// Which machines there are, as a leader is told by the cloud.
@@ -15,7 +15,7 @@
         }
     }
 
-    pub(super) fn list(&self) -> Vec<Listed> {
+    pub(super) fn list(&self) -> Vec<ListedHost> {
         let age = |w: &Worker| (self.now - w.born) as f64 / 1e6;
         let one = |w: &Worker| {
             serde_json::from_value(serde_json::json!({
@@ -41,7 +41,7 @@
         self.at(0.1, Ev::CloudDone(i, epoch, Box::new(e)));
     }
 
-    pub(super) fn hire(&mut self, i: usize, epoch: Epoch, h: Hire) {
+    pub(super) fn hire(&mut self, i: usize, epoch: Epoch, h: RentalRequest) {
         self.check_name(&h.name, epoch);
         let r = match self.hires.get(&h.name) {
             Some(hosts) => HireResult::Ok(hosts.clone()),
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -5,9 +5,9 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
 use hookworks::sched::{Config, DirectResult, Effect, Event, FenceRecord, Key, Sched};
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::cloud::Listed;
-use hookworks::wire::peer::{Answer, Ask};
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::cloud::ListedHost;
+use hookworks::wire::peer::{Answer, Request};
 use hookworks::wire::user::JobSpec;
 use hookworks::wire::worker::*;
 use std::collections::BTreeMap;
@@ -63,9 +63,9 @@
         cfg.pass_every = Span::ZERO;
         cfg.hold = Span::ZERO;
         change(&mut cfg);
-        let mut s = Sched::new(cfg, Epoch(epoch), Time(now), Time(now), Wall(1_000_000));
+        let mut s = Sched::new(cfg, Epoch(epoch), Time(now), Time(now), WallTime(1_000_000));
         if let Some(f) = fences {
-            s.take_fences(Time(now), Wall(1_000_000), f);
+            s.take_fences(Time(now), WallTime(1_000_000), f);
         }
         s.load(Time(now), jobs, Default::default());
         let mut d = Desk {
@@ -133,36 +133,36 @@
         let end = self.now + (seconds * 1e6) as u64;
         while self.now < end {
             self.now = (self.now + 250_000).min(end);
-            self.event(Event::Tick(Wall(self.now / 1000)));
+            self.event(Event::Tick(WallTime(self.now / 1000)));
         }
     }
 
-    pub fn ask(&mut self, ask: Ask) -> ReqId {
-        let req = ReqId(self.next_req);
+    pub fn ask(&mut self, ask: Request) -> RequestId {
+        let req = RequestId(self.next_req);
         self.next_req += 1;
         self.event(Event::Ask(req, ask));
         req
     }
 
-    pub fn submit(&mut self, j: &JobSpec) -> ReqId {
-        self.ask(Ask::Submit(serde_json::to_vec(j).unwrap()))
+    pub fn submit(&mut self, j: &JobSpec) -> RequestId {
+        self.ask(Request::Submit(serde_json::to_vec(j).unwrap()))
     }
 
-    pub fn answer(&self, req: ReqId) -> Option<&Answer> {
+    pub fn answer(&self, req: RequestId) -> Option<&Answer> {
         self.fx.iter().find_map(|f| match f {
             Effect::Answer(r, a) if *r == req => Some(a),
             _ => None,
         })
     }
 
-    pub fn status(&self, req: ReqId) -> Option<u16> {
+    pub fn status(&self, req: RequestId) -> Option<u16> {
         self.answer(req).map(|a| a.status)
     }
 
     /// A worker's report; the answer's orders, or none if it was refused.
-    pub fn beat(&mut self, r: &Report) -> Option<ReportAnswer> {
+    pub fn beat(&mut self, r: &Report) -> Option<ReportResponse> {
         if self.lists {
-            let listed = Listed {
+            let listed = ListedHost {
                 host: r.host.clone(),
                 addr: r.addr.clone(),
                 build: r.build.clone(),
@@ -176,9 +176,10 @@
         let mut r = r.clone();
         let told = self.tokens.entry(r.host.clone()).or_insert(r.token);
         r.token = r.token.max(*told);
-        let req = self.ask(Ask::Report(serde_json::to_vec(&r).unwrap()));
+        let req = self.ask(Request::Report(serde_json::to_vec(&r).unwrap()));
         let a = self.answer(req)?;
-        let a: ReportAnswer = (a.status == 200).then(|| serde_json::from_str(&a.body).unwrap())?;
+        let a: ReportResponse =
+            (a.status == 200).then(|| serde_json::from_str(&a.body).unwrap())?;
         if self.hear {
             self.tokens.insert(r.host, a.token);
         }
@@ -186,7 +187,7 @@
     }
 
     /// Direct commands under way, which this takes out.
-    pub fn direct(&mut self) -> Vec<(CallId, Host, Orders)> {
+    pub fn direct(&mut self) -> Vec<(CallId, Host, Commands)> {
         let mut out = vec![];
         self.fx.retain(|f| match f {
             Effect::Orders {
@@ -210,7 +211,7 @@
 
     pub fn attempt(&self, job: &str, ix: u32) -> Option<Attempt> {
         let j = self.s.jobs.get(&JobId::from(job))?;
-        j.live.get(&TaskIx(ix)).map(|l| l.attempt)
+        j.live.get(&TaskIndex(ix)).map(|l| l.attempt)
     }
 }
 
@@ -234,7 +235,7 @@
     TaskReport {
         task: TaskId {
             job: job.into(),
-            ix: TaskIx(ix),
+            index: TaskIndex(ix),
         },
         attempt,
         state,
--- a/tests/world/dispatch.rs
+++ b/tests/world/dispatch.rs
@@ -5,10 +5,10 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
 use hookworks::sched::{DirectResult, Event};
-use hookworks::store::{Outcome, final_key};
-use hookworks::wire::peer::{Answer, Ask};
+use hookworks::store::{TxnOutcome, final_key};
+use hookworks::wire::peer::{Answer, Request};
 use hookworks::wire::state::{Item, Txn};
-use hookworks::wire::worker::{Orders, ReportAnswer};
+use hookworks::wire::worker::{Commands, ReportResponse};
 use hookworks_job_lifecycle::HoldKind;
 use rand::RngExt;
 
@@ -116,10 +116,10 @@
 
     fn report_arrives(&mut self, i: usize, host: Host, sent: u64, body: Vec<u8>) {
         if self.ctls[i].up && self.ctls[i].term.is_some() {
-            let req = ReqId(self.next_req);
+            let req = RequestId(self.next_req);
             self.next_req += 1;
             self.beats.insert(req, (host, sent));
-            self.event(i, Event::Ask(req, Ask::Report(body)));
+            self.event(i, Event::Ask(req, Request::Report(body)));
         }
     }
 
@@ -132,14 +132,14 @@
         // Dropped once the worker has given up on that report.
         let waits = w.sent_at == sent && now - sent < 4 * S;
         if a.status == 200 && waits && !(w.cut || w.deaf) {
-            let a: ReportAnswer = serde_json::from_str(&a.body).unwrap();
+            let a: ReportResponse = serde_json::from_str(&a.body).unwrap();
             if w.answered(now, sent, a, &self.specs, self.run_s) {
                 self.at(0.5, Ev::Beat(h));
             }
         }
     }
 
-    fn orders_arrive(&mut self, i: usize, epoch: Epoch, call: CallId, h: Host, orders: Orders) {
+    fn orders_arrive(&mut self, i: usize, epoch: Epoch, call: CallId, h: Host, orders: Commands) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(&h) else {
             return;
@@ -163,27 +163,27 @@
 
     fn transaction_arrives(&mut self, i: usize, epoch: Epoch, id: TxnId, txn: Txn) {
         let outcome = if self.rng.random_bool(self.chaos.refuse_txn) {
-            Outcome::NotDone
+            TxnOutcome::NotApplied
         } else {
             self.store.of(i).apply(&txn)
         };
         self.answer_transaction(i, epoch, id, outcome);
     }
 
-    fn transaction_done(&mut self, i: usize, epoch: Epoch, id: TxnId, o: Outcome) {
+    fn transaction_done(&mut self, i: usize, epoch: Epoch, id: TxnId, o: TxnOutcome) {
         let now = self.time();
         if !self.leads(i, epoch) {
             return;
         }
         let t = self.ctls[i].term.as_mut().unwrap();
-        let (events, steps) = t.commit.finished(now, id, o, &mut t.sched);
+        let (events, steps) = t.commit.handle_outcome(now, id, o, &mut t.sched);
         self.after(i, epoch, events, steps);
     }
 
     fn read_done(&mut self, i: usize, epoch: Epoch, key: String, item: Option<Item>) {
         if self.leads(i, epoch) {
             let t = self.ctls[i].term.as_mut().unwrap();
-            let (events, steps) = t.commit.read_back(key, Ok(item), &mut t.sched);
+            let (events, steps) = t.commit.handle_read(key, Ok(item), &mut t.sched);
             self.after(i, epoch, events, steps);
         }
     }
@@ -194,7 +194,7 @@
         self.in_term(i, epoch, Event::FinalRead(id, f));
     }
 
-    fn read_record(&mut self, i: usize, epoch: Epoch, req: ReqId, id: JobId) {
+    fn read_record(&mut self, i: usize, epoch: Epoch, req: RequestId, id: JobId) {
         let r = self.store.of(i).read(&final_key(&id)).map_err(|_| ());
         let r = r.map(|o| o.map(|x| x.value));
         self.in_term(i, epoch, Event::RecordRead(req, id, r));
--- a/tests/world/followers.rs
+++ b/tests/world/followers.rs
@@ -8,7 +8,7 @@
 use hookworks::sched::Event;
 use hookworks::sched::job::Final;
 use hookworks::store::final_key;
-use hookworks::wire::peer::{Answer, Ask};
+use hookworks::wire::peer::{Answer, Request};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -31,9 +31,9 @@
 /// Questions whose way takes time.
 pub struct Questions {
     /// When each was sent.
-    sent: BTreeMap<ReqId, u64>,
+    sent: BTreeMap<RequestId, u64>,
     /// What a follower has passed on: the request there, and the follower.
-    passed_on: BTreeMap<ReqId, (ReqId, usize)>,
+    passed_on: BTreeMap<RequestId, (RequestId, usize)>,
     /// Draws of its own, so that stories without followers go on as they were.
     rng: StdRng,
     /// Chance that a leg is held for up to a second and a half.
@@ -66,16 +66,16 @@
 }
 
 /// For how long a user waits for an answer.
-fn patience(ask: &Ask) -> u64 {
+fn patience(ask: &Request) -> u64 {
     match ask {
-        Ask::Poll(_) => 2 * S,
+        Request::Poll(_) => 2 * S,
         _ => 5 * S,
     }
 }
 
 impl World {
     /// To a given controller, leader or not.
-    pub fn ask_via(&mut self, i: usize, ask: Ask) {
+    pub fn ask_via(&mut self, i: usize, ask: Request) {
         if self.ctls[i].term.is_some() && self.questions.held == 0.0 {
             return self.ask(i, ask);
         }
@@ -84,12 +84,12 @@
         self.question(i, q, Leg::Arrives);
     }
 
-    fn go(&mut self, i: usize, q: ReqId, leg: Leg) {
+    fn go(&mut self, i: usize, q: RequestId, leg: Leg) {
         let d = self.questions.leg();
         self.at(d, Ev::Question(i, q, leg));
     }
 
-    pub(super) fn question(&mut self, i: usize, q: ReqId, leg: Leg) {
+    pub(super) fn question(&mut self, i: usize, q: RequestId, leg: Leg) {
         // A process that has ended answers nothing; what has left it goes on.
         if !self.ctls[i].up && !matches!(leg, Leg::Told(_)) {
             return;
@@ -104,7 +104,7 @@
             }
             Leg::Arrives => self.follow(i, q, &ask),
             Leg::PassedOn(from) if self.ctls[i].term.is_some() => {
-                let there = ReqId(self.next_req);
+                let there = RequestId(self.next_req);
                 self.next_req += 1;
                 self.questions.passed_on.insert(there, (q, from));
                 let ask = self.as_understood(i, ask);
@@ -132,7 +132,7 @@
     }
 
     /// What a controller that does not lead makes of it.
-    fn follow(&mut self, i: usize, q: ReqId, ask: &Ask) {
+    fn follow(&mut self, i: usize, q: RequestId, ask: &Request) {
         match route(ask, self.known_leader(i, ask)) {
             Route::PassOn(leader, _) => self.go(index(&leader), q, Leg::PassedOn(i)),
             Route::ReadFinal(id) => self.go(i, q, Leg::Read(id)),
@@ -142,7 +142,7 @@
     }
 
     /// The user has it, if it is not too late.
-    fn hears(&mut self, q: ReqId, ask: &Ask, a: Answer) {
+    fn hears(&mut self, q: RequestId, ask: &Request, a: Answer) {
         self.asks.remove(&q);
         let sent = self.questions.sent.remove(&q).unwrap_or(self.now);
         if self.now - sent < patience(ask) {
@@ -152,7 +152,7 @@
     }
 
     /// A leader's answer to a question whose way takes time; false if it is none.
-    pub(super) fn answers_question(&mut self, i: usize, req: ReqId, a: &Answer) -> bool {
+    pub(super) fn answers_question(&mut self, i: usize, req: RequestId, a: &Answer) -> bool {
         if let Some((q, follower)) = self.questions.passed_on.remove(&req) {
             self.go(follower, q, Leg::Returned(i, a.clone()));
             return true;
@@ -166,7 +166,7 @@
 
     /// The latest leader that it or any other controller in touch speaks of, which
     /// may be one that leads no more.
-    fn known_leader(&self, i: usize, ask: &Ask) -> Option<KnownLeader> {
+    fn known_leader(&self, i: usize, ask: &Request) -> Option<KnownLeader> {
         let in_touch = (0..self.ctls.len()).filter(|j| *j == i || self.in_touch(i, *j));
         let named = in_touch.filter_map(|j| self.ctls[j].sees);
         let (leader, epoch) = named.max_by_key(|l| l.1).filter(|l| l.0 != i)?;
@@ -174,21 +174,21 @@
             label: label(leader),
             epoch,
             reachable: self.in_touch(i, leader),
-            understands: self.leader_understands(i, leader, ask.needs()),
+            understands: self.leader_understands(i, leader, ask.min_version()),
         })
     }
 
     /// Who leads as of now, as this controller has seen it.
-    pub(super) fn sees(&mut self, i: usize, leader: Option<(Label, Epoch)>) {
+    pub(super) fn sees(&mut self, i: usize, leader: Option<(ControllerId, Epoch)>) {
         let leader = leader.map(|(l, epoch)| (index(&l), epoch));
         self.ctls[i].sees = leader;
     }
 }
 
-pub(super) fn label(i: usize) -> Label {
-    Label::from(format!("c{i}").as_str())
+pub(super) fn label(i: usize) -> ControllerId {
+    ControllerId::from(format!("c{i}").as_str())
 }
 
-fn index(label: &Label) -> usize {
+fn index(label: &ControllerId) -> usize {
     label.as_str().trim_start_matches('c').parse().unwrap()
 }
--- a/tests/world/given.rs
+++ b/tests/world/given.rs
@@ -2,7 +2,7 @@
 
 use hookworks::election::BoundAddress;
 use hookworks::settings::{Platform, Settings, Tuning};
-use hookworks::wire::cloud::Flavor;
+use hookworks::wire::cloud::MachineType;
 use hookworks::wire::user::JobSpec;
 
 pub fn platform(label: &str) -> serde_json::Value {
@@ -36,7 +36,7 @@
     }
 }
 
-pub fn flavor() -> Flavor {
+pub fn flavor() -> MachineType {
     serde_json::from_value(serde_json::json!({
         "Label": "m8", "Vcpus": 8, "Accelerators": 2, "RamGb": 32, "LocalGb": 50, "FetchGbPerS": 1.0,
         "Hourly": 1.0, "SpotPrice": 0.3, "BootS": 10, "Yards": ["a", "b"]
--- a/tests/world/handover.rs
+++ b/tests/world/handover.rs
@@ -2,9 +2,9 @@
 //! links and writes that are slow.
 
 use super::{Ev, World};
-use hookworks::ids::{Epoch, Host, Stamp};
+use hookworks::ids::{Epoch, Host, Revision};
 use hookworks::time::Time;
-use hookworks::wire::cloud::Listed;
+use hookworks::wire::cloud::ListedHost;
 use rand::RngExt;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -33,7 +33,7 @@
 pub struct HandOver {
     pub now: Conditions,
     /// Lists of machines as they were, the latest last.
-    lists: VecDeque<(u64, Vec<Listed>)>,
+    lists: VecDeque<(u64, Vec<ListedHost>)>,
     /// How the leadership was taken from whoever had it, so far.
     pub changes: Vec<Change>,
     /// Machines that were up before the answer to their rental's request.
@@ -75,7 +75,7 @@
     /// It gives up the key and ends, if it is still in that life.
     Resign(usize, u64),
     /// All records are read, if it is still in that life.
-    Load(usize, u64, Epoch, Stamp, Time),
+    Load(usize, u64, Epoch, Revision, Time),
 }
 
 /// Lists are kept so often.
@@ -137,7 +137,7 @@
     }
 
     /// Which machines the cloud shows now.
-    pub(super) fn shown_list(&mut self) -> Vec<Listed> {
+    pub(super) fn shown_list(&mut self) -> Vec<ListedHost> {
         let lag = self.handover.now.list_lag_s;
         if lag == 0.0 {
             return self.list();
@@ -222,7 +222,7 @@
     }
 
     /// The records can't be read at the moment.
-    pub(super) fn load_again(&mut self, i: usize, epoch: Epoch, stamp: Stamp, proven: Time) {
+    pub(super) fn load_again(&mut self, i: usize, epoch: Epoch, stamp: Revision, proven: Time) {
         if self.handover.now.load.is_none() {
             return self.ctls[i].elector.resign();
         }
@@ -258,7 +258,7 @@
     }
 
     /// The records are read at once, or slowly.
-    pub(super) fn won(&mut self, i: usize, epoch: Epoch, stamp: Stamp, proven: Time) {
+    pub(super) fn won(&mut self, i: usize, epoch: Epoch, stamp: Revision, proven: Time) {
         self.handover.won.insert(i, epoch);
         match self.handover.now.load {
             None => self.begin_term(i, epoch, stamp, proven),
--- a/tests/world/idle_room.rs
+++ b/tests/world/idle_room.rs
@@ -6,7 +6,7 @@
 use super::{S, World};
 use hookworks::ids::*;
 use hookworks::store::{final_key, part_key};
-use hookworks::wire::user::{JobSpec, JobState, Kind, When};
+use hookworks::wire::user::{ConditionTrigger, JobKind, JobSpec, JobState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job may wait so long beside a machine with room for it.
@@ -68,7 +68,7 @@
             if waiting == 0 || self.team_allows(s, used) == 0 {
                 continue;
             }
-            if s.kind == Kind::Gang {
+            if s.kind == JobKind::Gang {
                 let whole = placed.is_empty() && self.team_allows(s, used) >= s.tasks;
                 if whole && self.gang_fits(s) {
                     all.insert((id.clone(), None));
@@ -96,14 +96,14 @@
         if over || read(part_key(id, 0)).as_ref().is_some_and(held) {
             return false;
         }
-        let met = |key: String, when: When| {
+        let met = |key: String, when: ConditionTrigger| {
             let state = read(key).and_then(|v| serde_json::from_value(v["state"].clone()).ok());
             match when {
-                When::Success => state == Some(JobState::Done),
+                ConditionTrigger::Success => state == Some(JobState::Done),
                 _ => state.is_some(),
             }
         };
-        let after = &self.specs[id].after;
+        let after = &self.specs[id].start_conditions;
         after.iter().all(|a| met(final_key(&a.job), a.when))
     }
 
@@ -112,7 +112,7 @@
         let waits = |ix: &u32| {
             let t = TaskId {
                 job: s.id.clone(),
-                ix: TaskIx(*ix),
+                index: TaskIndex(*ix),
             };
             !self.done_tasks.contains(&t) && placed.iter().all(|(p, _)| **p != t)
         };
--- a/tests/world/links.rs
+++ b/tests/world/links.rs
@@ -8,7 +8,7 @@
 use super::{Ev, World};
 use hookworks::ids::*;
 use hookworks::sched::DirectResult;
-use hookworks::store::Outcome;
+use hookworks::store::TxnOutcome;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Chances of trouble, each per message.
@@ -130,7 +130,7 @@
     }
 
     /// Controllers that this one can't talk to.
-    pub(super) fn out_of_reach(&self, i: usize) -> Vec<Label> {
+    pub(super) fn out_of_reach(&self, i: usize) -> Vec<ControllerId> {
         let me = self.zone_of(i);
         let away = |j: &usize| {
             let z = self.zone_of(*j);
@@ -139,7 +139,8 @@
             *j != i && (shut || lonely || !self.ctls[*j].up)
         };
         let all = (0..self.ctls.len()).filter(away);
-        all.map(|j| Label::from(format!("c{j}").as_str())).collect()
+        all.map(|j| ControllerId::from(format!("c{j}").as_str()))
+            .collect()
     }
 
     /// From where to where the message goes, if it goes anywhere.
@@ -153,7 +154,7 @@
             // What the caller makes of silence reaches it from nowhere.
             Ev::Direct(_, _, _, _, DirectResult::Unclear | DirectResult::Refused) => return None,
             Ev::Direct(i, _, _, h, _) => (at(h)?, self.zone_of(*i), false),
-            Ev::TxnDone(_, _, _, Outcome::Unclear) => return None,
+            Ev::TxnDone(_, _, _, TxnOutcome::Unknown) => return None,
             Ev::Txn(i, ..) | Ev::Read(i, ..) | Ev::Final(i, ..) | Ev::Record(i, ..) => {
                 (self.zone_of(*i), region, false)
             }
@@ -209,7 +210,7 @@
                 Some(Ev::Direct(*i, *t, *call, h.clone(), r))
             }
             Ev::Txn(i, t, id, _) | Ev::TxnDone(i, t, id, _) => {
-                Some(Ev::TxnDone(*i, *t, *id, Outcome::Unclear))
+                Some(Ev::TxnDone(*i, *t, *id, TxnOutcome::Unknown))
             }
             _ => None,
         };
@@ -233,7 +234,7 @@
         let i = match e {
             Ev::Txn(i, ..) | Ev::Read(i, ..) | Ev::Final(i, ..) | Ev::Record(i, ..) => i,
             Ev::Hire(i, ..) | Ev::Release(i, ..) | Ev::Elect(i) | Ev::List(i) => i,
-            Ev::TxnDone(i, _, _, o) if *o != Outcome::Unclear => i,
+            Ev::TxnDone(i, _, _, o) if *o != TxnOutcome::Unknown => i,
             Ev::ReadDone(i, ..) | Ev::CloudDone(i, ..) => i,
             Ev::Question(i, _, Leg::Read(_) | Leg::ReadBack(..)) => i,
             Ev::Question(i, _, Leg::PassedOn(from) | Leg::Returned(from, _)) => {
--- a/tests/world/lost_answers.rs
+++ b/tests/world/lost_answers.rs
@@ -3,7 +3,7 @@
 
 use super::{Ev, World};
 use hookworks::ids::*;
-use hookworks::store::Outcome;
+use hookworks::store::TxnOutcome;
 use rand::RngExt;
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
     }
 
     /// It has been carried out, or not; its sender hears of that, or never.
-    pub(super) fn answer_transaction(&mut self, i: usize, epoch: Epoch, id: TxnId, o: Outcome) {
+    pub(super) fn answer_transaction(&mut self, i: usize, epoch: Epoch, id: TxnId, o: TxnOutcome) {
         let unheard = self.rng.random_bool(self.chaos.lose_txn_answer);
         let d = self.delay();
         // Drawn only where it may happen: other stories go on as they were.
@@ -37,8 +37,8 @@
             || chance > 0.0 && self.rng.random_bool(chance);
         self.lost_answers.lost += u64::from(lost);
         let (d, o) = match (lost, unheard) {
-            (true, _) => (SENDER_GIVES_UP_S, Outcome::Unclear),
-            (false, true) => (d, Outcome::Unclear),
+            (true, _) => (SENDER_GIVES_UP_S, TxnOutcome::Unknown),
+            (false, true) => (d, TxnOutcome::Unknown),
             (false, false) => (d, o),
         };
         self.at(d, Ev::TxnDone(i, epoch, id, o));
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -5,8 +5,8 @@
 use super::{Ev, World};
 use hookworks::ids::*;
 use hookworks::sched::{DirectResult, Event};
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::Kind;
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::JobKind;
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -120,15 +120,15 @@
     /// A copy of a report reaches a controller: it takes it as the leader, or passes it
     /// on to whoever leads. Nobody waits for an answer.
     pub(super) fn copy_arrives(&mut self, i: usize, body: Vec<u8>) {
-        let req = ReqId(self.next_req);
+        let req = RequestId(self.next_req);
         self.next_req += 1;
         if !self.ctls[i].up {
             return;
         }
         if self.ctls[i].term.is_some() {
-            return self.event(i, Event::Ask(req, Ask::Report(body)));
+            return self.event(i, Event::Ask(req, Request::Report(body)));
         }
-        let by = Label::from(format!("c{i}").as_str());
+        let by = ControllerId::from(format!("c{i}").as_str());
         if let Some(leader) = self.leader() {
             self.event(leader, Event::Relayed(req, by, body));
         }
@@ -141,7 +141,7 @@
         for id in jobs {
             let at = self.rng.random_range(0.0..AT_ONCE);
             for k in 0..8 {
-                let ask = Ask::Cancel(id.to_string());
+                let ask = Request::Cancel(id.to_string());
                 self.at(at + 1.3 * k as f64, Ev::User(ask));
             }
         }
@@ -191,13 +191,13 @@
     }
 
     /// A service, or a batch job, of a team, submitted again until it is accepted.
-    pub fn submit_of(&mut self, n: u64, tasks: u32, team: &str, kind: Kind) -> JobId {
+    pub fn submit_of(&mut self, n: u64, tasks: u32, team: &str, kind: JobKind) -> JobId {
         let mut j = super::job(n, tasks);
         (j.team, j.kind, j.estimate_s) = (team.into(), kind, self.run_s);
         let body = serde_json::to_vec(&j).unwrap();
         self.specs.insert(j.id.clone(), j.clone());
         for k in 0..6 {
-            self.at(3.0 * k as f64, Ev::User(Ask::Submit(body.clone())));
+            self.at(3.0 * k as f64, Ev::User(Request::Submit(body.clone())));
         }
         j.id
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -32,14 +32,14 @@
 use hookworks::election::{Candidate, Elector};
 use hookworks::ids::*;
 use hookworks::sched::{DirectResult, Event, Sched};
-use hookworks::store::Outcome;
+use hookworks::store::TxnOutcome;
 use hookworks::store::commit::Committer;
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::cloud::Hire;
-use hookworks::wire::peer::{Answer, Ask};
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::cloud::RentalRequest;
+use hookworks::wire::peer::{Answer, Request};
 use hookworks::wire::state::{Item, Txn};
 use hookworks::wire::user::JobSpec;
-use hookworks::wire::worker::Orders;
+use hookworks::wire::worker::Commands;
 use hookworks_job_lifecycle::HoldKind;
 pub use links::Chaos;
 use rand::rngs::StdRng;
@@ -56,20 +56,20 @@
     /// A report, and when it was sent.
     ToCtl(usize, Host, u64, Vec<u8>),
     ToWorker(Host, u64, Answer, usize),
-    Orders(usize, Epoch, CallId, Host, Orders),
+    Orders(usize, Epoch, CallId, Host, Commands),
     Direct(usize, Epoch, CallId, Host, DirectResult),
     Txn(usize, Epoch, TxnId, Txn),
-    TxnDone(usize, Epoch, TxnId, Outcome),
+    TxnDone(usize, Epoch, TxnId, TxnOutcome),
     Read(usize, Epoch, String),
     ReadDone(usize, Epoch, String, Option<Item>),
     Final(usize, Epoch, JobId),
-    Record(usize, Epoch, ReqId, JobId),
-    Hire(usize, Epoch, Hire),
+    Record(usize, Epoch, RequestId, JobId),
+    Hire(usize, Epoch, RentalRequest),
     Release(usize, Epoch, Vec<Host>),
     CloudDone(usize, Epoch, Box<Event>),
     List(usize),
     ListOnce(usize),
-    User(Ask),
+    User(Request),
     Restart(usize),
     Kill(usize),
     Cut(Host, bool),
@@ -78,7 +78,7 @@
     /// Every task on it fails.
     Sick(Host, bool),
     /// By way of this controller, leader or not.
-    UserVia(usize, Ask),
+    UserVia(usize, Request),
     StoreDown(bool),
     Preempt(Host),
     /// Its reports arrive, but neither answers nor commands reach it.
@@ -114,7 +114,7 @@
     CancelNow(usize, Option<f64>),
     HandOver(handover::Act),
     /// A question whose way takes time, at this controller.
-    Question(usize, ReqId, followers::Leg),
+    Question(usize, RequestId, followers::Leg),
     /// The next election is carried out at once, without an answer.
     LostElection,
     /// The user of this pipeline looks at what it may send next.
@@ -157,19 +157,19 @@
     pub ctls: Vec<Ctl>,
     pub specs: BTreeMap<JobId, JobSpec>,
     told: BTreeMap<JobId, Told>,
-    asks: BTreeMap<ReqId, Ask>,
-    beats: BTreeMap<ReqId, (Host, u64)>,
+    asks: BTreeMap<RequestId, Request>,
+    beats: BTreeMap<RequestId, (Host, u64)>,
     next_req: u64,
     next_host: u64,
     /// Holds that users were told of, and how many releases they have sent.
     pub held: BTreeSet<(JobId, HoldKind)>,
     releases: BTreeMap<(JobId, HoldKind), u64>,
-    holds_asked: BTreeMap<ReqId, u64>,
+    holds_asked: BTreeMap<RequestId, u64>,
     /// Holds that were told, all in all.
     pub holds_told: u64,
     /// Jobs that were held at their limit.
     pub limited: BTreeSet<JobId>,
-    pub answers: Vec<(Ask, Answer)>,
+    pub answers: Vec<(Request, Answer)>,
     pub broken: Vec<String>,
     /// For how long any task outlived the word that its job is cancelled.
     pub outlived: u64,
@@ -342,8 +342,8 @@
         Time(self.now)
     }
 
-    fn wall(&self) -> Wall {
-        Wall(self.now / 1000)
+    fn wall(&self) -> WallTime {
+        WallTime(self.now / 1000)
     }
 
     pub fn run(&mut self, seconds: f64) {
--- a/tests/world/needs.rs
+++ b/tests/world/needs.rs
@@ -11,7 +11,7 @@
 use hookworks::sched::job::Final;
 use hookworks::store::final_key;
 use hookworks::wire::user::JobState;
-use hookworks::wire::worker::Order;
+use hookworks::wire::worker::Command;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -108,7 +108,7 @@
     }
     let name = |v: &Value| {
         v.as_str()
-            .filter(|s| JobId::well_formed(s))
+            .filter(|s| JobId::is_well_formed(s))
             .map(JobId::from)
     };
     v.as_array()?.iter().map(name).collect()
@@ -193,7 +193,7 @@
         };
         let task = |ix| TaskId {
             job: id.clone(),
-            ix: TaskIx(ix),
+            index: TaskIndex(ix),
         };
         (0..spec.tasks).all(|ix| self.done_tasks.contains(&task(ix)))
     }
@@ -205,9 +205,11 @@
     }
 
     /// Commands leave a controller: none runs what waits for others.
-    pub(super) fn check_commands_wait(&mut self, orders: &[Order]) {
+    pub(super) fn check_commands_wait(&mut self, orders: &[Command]) {
         for o in orders {
-            let Order::Run { task, .. } = o else { continue };
+            let Command::Run { task, .. } = o else {
+                continue;
+            };
             if let Some(parent) = self.unmet_need(&task.job) {
                 let text = format!("too_early: {task} is told to run before {parent} is done");
                 self.broken.push(text);
--- a/tests/world/old_version.rs
+++ b/tests/world/old_version.rs
@@ -4,9 +4,12 @@
 
 use super::needs::NEEDS;
 use super::{World, store};
-use hookworks::store::client::{Outcome, ReadError, State};
-use hookworks::store::{FORMAT, FormatRecord, LIVE, PARTS, PIECES, RecordFormat, VERSIONS};
-use hookworks::wire::peer::Ask;
+use hookworks::store::client::{ReadError, StateStore, TxnOutcome};
+use hookworks::store::{
+    FORMAT_KEY, FormatRecord, PARTS_PREFIX, PIECES_PREFIX, RecordFormat, UNFINISHED_PREFIX,
+    VERSIONS_PREFIX,
+};
+use hookworks::wire::peer::Request;
 use hookworks::wire::state::{Item, Page, Txn};
 use serde_json::Value;
 
@@ -16,10 +19,10 @@
 /// The version in production reads what stands under this key.
 fn production_reads(key: &str, value: &Value) -> bool {
     match key {
-        k if k.starts_with(LIVE) => production::read_live(value).is_some(),
+        k if k.starts_with(UNFINISHED_PREFIX) => production::read_live(value).is_some(),
         // A part by itself: the tasks of the compact form are no list.
-        k if k.starts_with(PARTS) => value.is_object() && value["a"].as_str().is_none(),
-        k => !k.starts_with(PIECES),
+        k if k.starts_with(PARTS_PREFIX) => value.is_object() && value["a"].as_str().is_none(),
+        k => !k.starts_with(PIECES_PREFIX),
     }
 }
 
@@ -27,15 +30,15 @@
 /// for, and later forms can't be read.
 pub struct ProductionView(pub store::Handle);
 
-impl State for ProductionView {
+impl StateStore for ProductionView {
     fn get(&self, key: &str) -> Result<Option<Item>, ReadError> {
         let item = self.0.get(key)?;
-        Ok(item.filter(|_| key != FORMAT && !key.starts_with(VERSIONS)))
+        Ok(item.filter(|_| key != FORMAT_KEY && !key.starts_with(VERSIONS_PREFIX)))
     }
 
     fn page(&self, prefix: &str, after: Option<&str>, limit: u32) -> Result<Page, ReadError> {
         let mut page = self.0.page(prefix, after, limit)?;
-        if prefix == PIECES {
+        if prefix == PIECES_PREFIX {
             page.items.clear();
             page.more = false;
         }
@@ -47,7 +50,7 @@
         Ok(page)
     }
 
-    fn txn(&self, t: &Txn) -> Outcome {
+    fn txn(&self, t: &Txn) -> TxnOutcome {
         self.0.txn(t)
     }
 
@@ -72,7 +75,7 @@
             since: 0,
         };
         let value = serde_json::to_value(record).unwrap();
-        self.store.put(FORMAT, value);
+        self.store.put(FORMAT_KEY, value);
     }
 
     pub fn all_new(&self) -> bool {
@@ -81,12 +84,14 @@
 
     /// The switch to compact records is on record.
     pub fn is_switched(&self) -> bool {
-        self.store.peek(FORMAT).is_some()
+        self.store.peek(FORMAT_KEY).is_some()
     }
 
     /// What controller `i` takes a question for.
-    pub(super) fn as_understood(&self, i: usize, ask: Ask) -> Ask {
-        let Ask::Submit(body) = &ask else { return ask };
+    pub(super) fn as_understood(&self, i: usize, ask: Request) -> Request {
+        let Request::Submit(body) = &ask else {
+            return ask;
+        };
         if self.is_new(i) {
             return ask;
         }
@@ -94,7 +99,7 @@
             return ask;
         };
         match fields.remove(NEEDS) {
-            Some(_) => Ask::Submit(Value::Object(fields).to_string().into_bytes()),
+            Some(_) => Request::Submit(Value::Object(fields).to_string().into_bytes()),
             None => ask,
         }
     }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -5,7 +5,7 @@
 use super::needs::NEEDS;
 use super::{Ev, S, World};
 use hookworks::ids::*;
-use hookworks::wire::peer::Ask;
+use hookworks::wire::peer::Request;
 use hookworks::wire::user::{JobSpec, JobState};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -148,7 +148,7 @@
         }
         let ends = |id: &&JobId| {
             let spec = self.specs.get(*id);
-            spec.is_some_and(|s| s.kind != hookworks::wire::user::Kind::Service)
+            spec.is_some_and(|s| s.kind != hookworks::wire::user::JobKind::Service)
         };
         let accepted = self.told.iter().filter(|(_, t)| t.accepted);
         let known: Vec<&JobId> = accepted.map(|(id, _)| id).filter(ends).collect();
@@ -235,7 +235,7 @@
             }
             sent += 1;
             stage.sends_at = self.now + self.pause(SENDS_AGAIN_S);
-            self.ask_any(Ask::Submit(stage.body.clone()));
+            self.ask_any(Request::Submit(stage.body.clone()));
         }
     }
 
@@ -246,7 +246,7 @@
                 continue;
             }
             stage.polls_at = self.now + self.pause(POLLS_EVERY_S);
-            self.ask_any(Ask::Poll(stage.id.to_string()));
+            self.ask_any(Request::Poll(stage.id.to_string()));
         }
     }
 
@@ -258,7 +258,7 @@
             return;
         }
         *at = self.now + self.pause(SENDS_AGAIN_S);
-        let ask = Ask::Cancel(id.to_string());
+        let ask = Request::Cancel(id.to_string());
         self.ask_any(ask);
     }
 
@@ -267,7 +267,7 @@
     }
 
     /// By way of any controller, now.
-    fn ask_any(&mut self, ask: Ask) {
+    fn ask_any(&mut self, ask: Request) {
         let via = self.pipelines.rng.random_range(0..self.ctls.len());
         self.at(0.0, Ev::UserVia(via, ask));
     }
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -4,9 +4,9 @@
 use super::{S, World};
 use hookworks::ids::*;
 use hookworks::store::final_key;
-use hookworks::wire::peer::{Answer, Ask};
-use hookworks::wire::user::{JobSpec, JobState, JobView, When};
-use hookworks::wire::worker::{Order, TaskState};
+use hookworks::wire::peer::{Answer, Request};
+use hookworks::wire::user::{ConditionTrigger, JobSpec, JobState, JobView};
+use hookworks::wire::worker::{Command, TaskState};
 use hookworks_job_lifecycle::HoldRequest;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -49,12 +49,12 @@
     }
 
     /// A user is told this by nobody that the world knows of.
-    pub fn told_by_mistake(&mut self, ask: Ask, a: Answer) {
+    pub fn told_by_mistake(&mut self, ask: Request, a: Answer) {
         self.heard(ask, a);
     }
 
     /// The same, as the answer to a question that was sent then.
-    pub fn told_by_mistake_since(&mut self, ask: Ask, a: Answer, sent: u64) {
+    pub fn told_by_mistake_since(&mut self, ask: Request, a: Answer, sent: u64) {
         self.heard_since(ask, a, sent);
     }
 
@@ -63,16 +63,16 @@
     }
 
     /// An answer to a question that was sent after all that users have been told.
-    pub(super) fn heard(&mut self, ask: Ask, a: Answer) {
+    pub(super) fn heard(&mut self, ask: Request, a: Answer) {
         self.heard_since(ask, a, u64::MAX);
     }
 
     /// An answer to a question that was sent then. It may be older than what others
     /// were told since, but not than what any user had been told before.
-    pub(super) fn heard_since(&mut self, ask: Ask, mut a: Answer, sent: u64) {
+    pub(super) fn heard_since(&mut self, ask: Request, mut a: Answer, sent: u64) {
         let view = serde_json::from_str::<JobView>(&a.body).ok();
         let id: JobId = match &ask {
-            Ask::Submit(b) => {
+            Request::Submit(b) => {
                 self.judge_submission(b, &a, sent);
                 match JobSpec::parse(b) {
                     Ok(spec) => spec.id,
@@ -80,17 +80,17 @@
                     Err(_) => return self.answers.push((ask, a)),
                 }
             }
-            Ask::Poll(i) | Ask::Cancel(i) | Ask::Show(i) => i.as_str().into(),
-            Ask::Hold(i, _) | Ask::Release(i, _) => i.as_str().into(),
-            Ask::Report(_) | Ask::List(_) | Ask::Events(_) => return,
+            Request::Poll(i) | Request::Cancel(i) | Request::Show(i) => i.as_str().into(),
+            Request::Hold(i, _) | Request::Release(i, _) => i.as_str().into(),
+            Request::Report(_) | Request::List(_) | Request::Events(_) => return,
         };
         let tasks = self.specs.get(&id).map_or(0, |s| s.tasks);
-        if matches!(ask, Ask::Cancel(_)) {
+        if matches!(ask, Request::Cancel(_)) {
             self.needs.note_cancel_asked(&id);
         }
         let told = self.told.entry(id.clone()).or_default();
         told.tasks = tasks;
-        told.cancel_asked |= matches!(ask, Ask::Cancel(_));
+        told.cancel_asked |= matches!(ask, Request::Cancel(_));
         let known = self.specs.contains_key(&id);
         let mut news = false;
         let number = |id: &JobId| id.as_str().rsplit('-').next().and_then(|n| n.parse().ok());
@@ -98,7 +98,7 @@
             .ignores_one_in
             .zip(number(&id))
             .is_some_and(|(n, id): (u64, u64)| id % n == 0);
-        if ignored && matches!(ask, Ask::Poll(_)) {
+        if ignored && matches!(ask, Request::Poll(_)) {
             a = Answer::later("a fault put in", 1);
         } else if a.status == 200 {
             told.known_at = self.now;
@@ -118,7 +118,10 @@
             // Its user has asked for that, or a job that it depends on was cancelled.
             let asked = told.cancel_asked
                 || self.needs.cancel_asked_before(&id)
-                || self.specs.get(&id).is_some_and(|s| !s.after.is_empty());
+                || self
+                    .specs
+                    .get(&id)
+                    .is_some_and(|s| !s.start_conditions.is_empty());
             let unasked = state == JobState::Cancelled && !asked;
             let over = matches!(state, JobState::Done | JobState::Cancelled);
             let older = told.over.is_some_and(|o| o != state);
@@ -129,7 +132,7 @@
                 let all = (0..tasks).all(|n| {
                     self.done_tasks.contains(&TaskId {
                         job: id.clone(),
-                        ix: TaskIx(n),
+                        index: TaskIndex(n),
                     })
                 });
                 if !all {
@@ -152,8 +155,8 @@
     }
 
     /// A hold that is told stands until somebody asks for its release.
-    pub(super) fn note_hold(&mut self, req: ReqId, ask: &Ask, a: &Answer) {
-        let (Some(sent), Ask::Hold(id, body)) = (self.holds_asked.remove(&req), ask) else {
+    pub(super) fn note_hold(&mut self, req: RequestId, ask: &Request, a: &Answer) {
+        let (Some(sent), Request::Hold(id, body)) = (self.holds_asked.remove(&req), ask) else {
             return;
         };
         let key = (
@@ -170,24 +173,24 @@
     }
 
     /// Nothing of a held job is told to run.
-    pub(super) fn check_held(&mut self, orders: &[Order]) {
+    pub(super) fn check_held(&mut self, orders: &[Command]) {
         for o in orders {
-            if let Order::Run { task, .. } = o
+            if let Command::Run { task, .. } = o
                 && self.held.iter().any(|(id, _)| *id == task.job)
             {
                 self.broken.push(format!("held_started: {task}"));
             }
-            if let Order::Run { task, .. } = o {
+            if let Command::Run { task, .. } = o {
                 // Its conditions: the others are over, for all to see.
-                for a in &self.specs[&task.job].after {
+                for a in &self.specs[&task.job].start_conditions {
                     let key = final_key(&a.job);
                     let unfinished = matches!(self.store.read(&key), Ok(None));
                     let other = TaskId {
                         job: a.job.clone(),
-                        ix: task.ix,
+                        index: task.index,
                     };
                     let early = a.each && !self.done_tasks.contains(&other);
-                    if early || a.when == When::End && unfinished {
+                    if early || a.when == ConditionTrigger::End && unfinished {
                         self.broken.push(format!("began_early: {task}"));
                     }
                 }
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -12,7 +12,7 @@
 use hookworks::store::RecordFormat;
 use hookworks::store::commit::Committer;
 use hookworks::time::Time;
-use hookworks::versions::Switch;
+use hookworks::versions::FormatSwitch;
 use rand::RngExt;
 
 impl World {
@@ -46,7 +46,7 @@
     }
 
     /// It reads the records and leads.
-    pub(super) fn begin_term(&mut self, i: usize, epoch: Epoch, stamp: Stamp, proven: Time) {
+    pub(super) fn begin_term(&mut self, i: usize, epoch: Epoch, stamp: Revision, proven: Time) {
         let now = self.time();
         let wall = self.wall();
         let service = self.store.of(i);
@@ -60,14 +60,14 @@
         };
         let s = self.settings(i);
         let format = l.record_format();
-        let takes_format = self.note_term(i, epoch, Switch::new(stamp, format));
+        let takes_format = self.note_term(i, epoch, FormatSwitch::new(stamp, format));
         let mut commit = Committer::new(stamp, &s.platform.params.state);
         for (k, st) in l.stamps {
-            commit.know(k, st);
+            commit.record_revision(k, st);
         }
         if format == RecordFormat::Compact {
             for (k, st) in l.litter {
-                commit.add_litter(k, st);
+                commit.add_garbage(k, st);
             }
         }
         let cfg = self.config(i, &s);
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -1,8 +1,8 @@
 //! The state service, in memory.
 
-use hookworks::ids::Stamp;
-use hookworks::store::Outcome;
-use hookworks::store::client::{ReadError, State};
+use hookworks::ids::Revision;
+use hookworks::store::TxnOutcome;
+use hookworks::store::client::{ReadError, StateStore};
 use hookworks::wire::state::{Change, Item, Page, Txn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -67,10 +67,10 @@
 
 impl Why {
     /// What its sender learns.
-    fn outcome(self) -> Outcome {
+    fn outcome(self) -> TxnOutcome {
         match self {
-            Why::TooLarge => Outcome::TooLarge,
-            Why::TooMany => Outcome::TooMany,
+            Why::TooLarge => TxnOutcome::TooLarge,
+            Why::TooMany => TxnOutcome::RateLimited,
         }
     }
 }
@@ -177,17 +177,17 @@
         }
     }
 
-    pub fn apply(&self, t: &Txn) -> Outcome {
+    pub fn apply(&self, t: &Txn) -> TxnOutcome {
         let mut s = self.0.lock().unwrap();
         if self.refuses(&s) {
-            return Outcome::NotDone;
+            return TxnOutcome::NotApplied;
         }
         let ended = |c: &Change| match c {
             Change::Put { lease, .. } => lease.is_some_and(|l| !s.leases.contains_key(&l)),
             Change::Delete { .. } => false,
         };
         if t.changes.iter().any(ended) {
-            return Outcome::NoLease;
+            return TxnOutcome::NoLease;
         }
         if let Some(refused) = s.beyond_limits(t) {
             return refused;
@@ -197,11 +197,11 @@
         let failed: Vec<String> = t
             .conditions
             .iter()
-            .filter(|c| stamp(&s, &c.key) != c.stamp.0)
+            .filter(|c| stamp(&s, &c.key) != c.revision.0)
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return Outcome::Conflict(failed);
+            return TxnOutcome::Conflict(failed);
         }
         s.revision += 1;
         let r = s.revision;
@@ -215,7 +215,7 @@
                 }
             }
         }
-        Outcome::Ok(Stamp(r))
+        TxnOutcome::Ok(Revision(r))
     }
 
     pub fn read(&self, key: &str) -> Result<Option<Item>, ReadError> {
@@ -226,7 +226,7 @@
         Ok(s.keys.get(key).map(|v| Item {
             key: key.into(),
             value: v.0.clone(),
-            stamp: Stamp(v.1),
+            revision: Revision(v.1),
             lease: v.2,
         }))
     }
@@ -281,7 +281,7 @@
 
 impl FakeStore {
     /// What the sender of a transaction that is too large, or one too many, gets.
-    fn beyond_limits(&mut self, t: &Txn) -> Option<Outcome> {
+    fn beyond_limits(&mut self, t: &Txn) -> Option<TxnOutcome> {
         let now = self.now;
         let Some(enforced) = &mut self.enforced else {
             assert!(t.changes.len() <= MOST_CHANGES, "more changes than allowed");
@@ -309,7 +309,7 @@
     }
 }
 
-impl State for Handle {
+impl StateStore for Handle {
     fn get(&self, key: &str) -> Result<Option<Item>, ReadError> {
         self.read(key)
     }
@@ -326,7 +326,7 @@
             .map(|(k, v)| Item {
                 key: k.clone(),
                 value: v.0.clone(),
-                stamp: Stamp(v.1),
+                revision: Revision(v.1),
                 lease: v.2,
             })
             .collect();
@@ -334,7 +334,7 @@
         items.truncate(limit.min(7) as usize);
         Ok(Page { items, more })
     }
-    fn txn(&self, t: &Txn) -> Outcome {
+    fn txn(&self, t: &Txn) -> TxnOutcome {
         let delay = self.1.and_then(|i| {
             let mut s = self.0.lock().unwrap();
             let by = s.delay_next.remove(&i)?;
@@ -343,12 +343,12 @@
             Some(())
         });
         if delay.is_some() {
-            return Outcome::Unclear;
+            return TxnOutcome::Unknown;
         }
         let o = self.apply(t);
         let mut s = self.0.lock().unwrap();
         if std::mem::take(&mut s.lose_next_answer) {
-            return Outcome::Unclear;
+            return TxnOutcome::Unknown;
         }
         o
     }
--- a/tests/world/submissions.rs
+++ b/tests/world/submissions.rs
@@ -5,9 +5,9 @@
 use super::rules::Told;
 use super::{Ev, S, World, settings};
 use hookworks::ids::*;
-use hookworks::wire::peer::{Answer, Ask};
+use hookworks::wire::peer::{Answer, Request};
 use hookworks::wire::user::{JobSpec, JobState, JobView};
-use hookworks::wire::worker::Order;
+use hookworks::wire::worker::Command;
 use rand::RngExt;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -65,7 +65,7 @@
     fn holds(&self, v: &Value) -> bool {
         let amount = |v: &Value| v.as_f64().is_some_and(|n| n.is_finite() && n >= 0.0);
         match self {
-            Form::JobName => v.as_str().is_some_and(JobId::well_formed),
+            Form::JobName => v.as_str().is_some_and(JobId::is_well_formed),
             Form::Name => v.as_str().is_some_and(|s| !s.is_empty()),
             Form::OneOf(all) => v.as_str().is_some_and(|s| all.contains(&s)),
             Form::Tasks => v.as_u64().is_some_and(|n| (1..=100_000).contains(&n)),
@@ -194,11 +194,13 @@
     }
 
     /// Commands leave a controller: none runs what its user knows to be cancelled.
-    pub fn commands_leave(&mut self, host: &Host, orders: &[Order]) {
+    pub fn commands_leave(&mut self, host: &Host, orders: &[Command]) {
         let now = self.now;
         self.check_commands_wait(orders);
         for o in orders {
-            let Order::Run { task, .. } = o else { continue };
+            let Command::Run { task, .. } = o else {
+                continue;
+            };
             let told = self.told.get(&task.job);
             if told.is_some_and(|t| t.cancelled_at.is_some()) {
                 self.broken
@@ -242,7 +244,7 @@
                 let job = id.clone();
                 self.done_tasks.contains(&TaskId {
                     job,
-                    ix: TaskIx(ix),
+                    index: TaskIndex(ix),
                 })
             };
             let share = self.submissions.cancel_at_end;
@@ -256,12 +258,15 @@
             let report_s = next.saturating_sub(self.now) as f64 / 1e6;
             self.at(report_s, Ev::Beat(host.clone()));
             let off_s = self.rng.random_range(-0.004..0.02);
-            self.insists(f64::max(report_s + off_s, 0.0), Ask::Cancel(id.to_string()));
+            self.insists(
+                f64::max(report_s + off_s, 0.0),
+                Request::Cancel(id.to_string()),
+            );
         }
     }
 
     /// A user asks, and again while the answer may not have come.
-    pub fn insists(&mut self, in_s: f64, ask: Ask) {
+    pub fn insists(&mut self, in_s: f64, ask: Request) {
         for again_s in [0.0, 1.1, 2.3, 4.0, 8.0, 15.0] {
             self.at(in_s + again_s, Ev::User(ask.clone()));
         }
@@ -288,22 +293,22 @@
             0 => {
                 if let Some(id) = pick(known, n) {
                     let body = self.body_of(&id);
-                    self.insists(0.0, Ask::Submit(body));
+                    self.insists(0.0, Request::Submit(body));
                 }
             }
             1 => {
                 let id = pick(done, n).unwrap_or_else(|| "job-999999".into());
-                self.insists(0.0, Ask::Cancel(id.to_string()));
+                self.insists(0.0, Request::Cancel(id.to_string()));
             }
             malformed => {
                 let body = self.odd_body(n, malformed == 2);
                 if let Ok(spec) = JobSpec::parse(&body) {
                     self.specs.insert(spec.id.clone(), spec);
                 }
-                self.insists(0.0, Ask::Submit(body.clone()));
+                self.insists(0.0, Request::Submit(body.clone()));
                 for i in 0..self.ctls.len() {
                     let in_s = self.rng.random_range(0.0..9.0);
-                    self.at(in_s, Ev::UserVia(i, Ask::Submit(body.clone())));
+                    self.at(in_s, Ev::UserVia(i, Request::Submit(body.clone())));
                 }
             }
         }
@@ -316,13 +321,13 @@
         let ids: Vec<JobId> = self.specs.keys().cloned().collect();
         let before = self.answers.len();
         for id in &ids {
-            self.user(Ask::Poll(id.to_string()));
+            self.user(Request::Poll(id.to_string()));
             self.run(0.05);
         }
         self.run(1.0);
         let mut states: BTreeMap<_, _> = ids.into_iter().map(|id| (id, None)).collect();
         for (ask, a) in &self.answers[before..] {
-            if let (Ask::Poll(id), Ok(v)) = (ask, serde_json::from_str::<JobView>(&a.body)) {
+            if let (Request::Poll(id), Ok(v)) = (ask, serde_json::from_str::<JobView>(&a.body)) {
                 states.insert(id.as_str().into(), Some(v.state));
             }
         }
--- a/tests/world/versions.rs
+++ b/tests/world/versions.rs
@@ -5,11 +5,11 @@
 //! and writes records as that version does.
 
 use super::{Ev, S, World, followers::label, store::Handle};
-use hookworks::ids::{ControllerVersion, Epoch, Instance, Label};
-use hookworks::store::client::State;
-use hookworks::store::{FORMAT, LEADER, Outcome, VERSIONS};
-use hookworks::versions::switch::{Decision, Reply, Step, Switch};
-use hookworks::versions::{Announcer, JOB_LIFECYCLE, OWN, VersionTable};
+use hookworks::ids::{ControllerId, ControllerVersion, Epoch, Instance};
+use hookworks::store::client::StateStore;
+use hookworks::store::{FORMAT_KEY, LEADER_KEY, TxnOutcome, VERSIONS_PREFIX};
+use hookworks::versions::switch::{Decision, FormatSwitch, Step, StepResult};
+use hookworks::versions::{Announcer, JOB_LIFECYCLE, OWN_VERSION, VersionTable};
 use hookworks::wire::state::Txn;
 use hookworks_membership::ReportedVersion;
 use std::collections::BTreeSet;
@@ -51,7 +51,7 @@
     table: VersionTable,
     announcer: Announcer<Handle>,
     announces_at: Option<u64>,
-    switch: Option<(Epoch, Switch)>,
+    switch: Option<(Epoch, FormatSwitch)>,
 }
 
 #[derive(Default)]
@@ -109,7 +109,7 @@
 
     /// The process knows the switch; worlds without versions are of this one alone.
     pub fn is_new(&self, i: usize) -> bool {
-        self.versions.runs.get(i).is_none_or(|v| *v == OWN)
+        self.versions.runs.get(i).is_none_or(|v| *v == OWN_VERSION)
     }
 
     /// Whether a follower takes that leader for one that understands this.
@@ -157,7 +157,7 @@
         if all_new && self.versions.all_new_at.is_none() {
             self.versions.all_new_at = Some(self.now);
         }
-        if self.store.peek(FORMAT).is_some() && self.versions.stored_at.is_none() {
+        if self.store.peek(FORMAT_KEY).is_some() && self.versions.stored_at.is_none() {
             self.versions.stored_at = Some(self.now);
             // A process of this version that has ended comes back in it.
             if !self.all_new() {
@@ -222,7 +222,7 @@
         let Some((_, switch)) = process.switch.as_mut().filter(|s| s.0 == epoch && proven) else {
             return;
         };
-        let Some(step) = switch.next(now, day, &process.table) else {
+        let Some(step) = switch.next_step(now, day, &process.table) else {
             return;
         };
         let Some(reply) = self.make(i, step) else {
@@ -232,7 +232,7 @@
         let Some((_, switch)) = &mut process.switch else {
             return;
         };
-        match switch.reply(now, reply, &mut process.table) {
+        match switch.handle_result(now, reply, &mut process.table) {
             Decision::Nothing => {}
             Decision::Compact(record) => {
                 let term = self.ctls[i].term.as_mut().unwrap();
@@ -244,27 +244,29 @@
     }
 
     /// Makes a request; none if the leader is not there for its answer.
-    fn make(&mut self, i: usize, step: Step) -> Option<Reply> {
+    fn make(&mut self, i: usize, step: Step) -> Option<StepResult> {
         let state = self.store.of(i);
         let txn = match step {
             Step::ReadVersions => {
-                let page = state.page(VERSIONS, None, 200);
-                return Some(Reply::Versions(page.map(|p| p.items).map_err(|_| ())));
+                let page = state.page(VERSIONS_PREFIX, None, 200);
+                return Some(StepResult::Versions(page.map(|p| p.items).map_err(|_| ())));
+            }
+            Step::ReadFormat => {
+                return Some(StepResult::Format(state.get(FORMAT_KEY).map_err(|_| ())));
             }
-            Step::ReadFormat => return Some(Reply::Format(state.get(FORMAT).map_err(|_| ()))),
             Step::Store(txn) => txn,
         };
-        assert!(txn.conditions.iter().any(|c| c.key == LEADER));
+        assert!(txn.conditions.iter().any(|c| c.key == LEADER_KEY));
         let outcome = match self.versions.faults.pop() {
             None => state.apply(&txn),
             Some(SwitchFault::AnswerLost) => {
                 state.apply(&txn);
-                Outcome::Unclear
+                TxnOutcome::Unknown
             }
-            Some(SwitchFault::Lost) => Outcome::Unclear,
+            Some(SwitchFault::Lost) => TxnOutcome::Unknown,
             Some(SwitchFault::Late(by)) => {
                 self.at(by as f64 / S as f64, Ev::Versions(VersionAct::Apply(txn)));
-                Outcome::Unclear
+                TxnOutcome::Unknown
             }
             Some(SwitchFault::LeaderEnds) => {
                 state.apply(&txn);
@@ -272,13 +274,13 @@
                 self.at(3.0, Ev::Restart(i));
                 return None;
             }
-            Some(SwitchFault::Refused) => Outcome::NotDone,
+            Some(SwitchFault::Refused) => TxnOutcome::NotApplied,
         };
-        Some(Reply::Store(outcome))
+        Some(StepResult::Store(outcome))
     }
 
     /// A term begins; true if its leader takes what is on record of the form.
-    pub(super) fn note_term(&mut self, i: usize, epoch: Epoch, switch: Switch) -> bool {
+    pub(super) fn note_term(&mut self, i: usize, epoch: Epoch, switch: FormatSwitch) -> bool {
         self.take_up_version(i);
         let new = self.is_new(i);
         if let Some(process) = self.versions.processes.get_mut(i) {
@@ -290,7 +292,7 @@
 
     /// What controller `i` knows of the version of another.
     pub fn known_version(&self, i: usize, of: usize) -> Option<ControllerVersion> {
-        let of: Label = label(of);
+        let of: ControllerId = label(of);
         let known = self.versions.processes[i].table.version(&of);
         known.map(|(version, _)| version)
     }
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -1,7 +1,7 @@
 //! A worker as the protocol describes it, in memory.
 
 use hookworks::ids::*;
-use hookworks::wire::user::{JobSpec, Kind};
+use hookworks::wire::user::{JobKind, JobSpec};
 use hookworks::wire::worker::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,7 +26,7 @@
     cause: Option<Cause>,
     runs_at: u64,
     ends_at: u64,
-    kind: Kind,
+    kind: JobKind,
 }
 
 pub struct Worker {
@@ -147,7 +147,7 @@
         for ((id, _), t) in &mut self.tasks {
             if t.state == TaskState::Fetching && now >= t.runs_at {
                 t.state = match t.kind {
-                    Kind::Gang => TaskState::Waiting,
+                    JobKind::Gang => TaskState::Waiting,
                     _ => TaskState::Running,
                 };
             }
@@ -180,7 +180,7 @@
 
     /// Members of gangs that wait or run here, and those whose gang has ended.
     pub fn gang_members(&self) -> Vec<(TaskId, Attempt, TaskState)> {
-        let gang = self.tasks.iter().filter(|(_, t)| t.kind == Kind::Gang);
+        let gang = self.tasks.iter().filter(|(_, t)| t.kind == JobKind::Gang);
         gang.map(|((id, a), t)| (id.clone(), *a, t.state)).collect()
     }
 
@@ -250,10 +250,10 @@
         }
     }
 
-    fn execute(&mut self, now: u64, o: Vec<Order>, specs: &BTreeMap<JobId, JobSpec>, run_s: f64) {
+    fn execute(&mut self, now: u64, o: Vec<Command>, specs: &BTreeMap<JobId, JobSpec>, run_s: f64) {
         for o in o {
             match o {
-                Order::Run { task, attempt } => {
+                Command::Run { task, attempt } => {
                     let key = (task.clone(), attempt);
                     if self.tasks.contains_key(&key) {
                         continue;
@@ -272,9 +272,9 @@
                     };
                     let kind = spec.kind;
                     let lasts = match kind {
-                        Kind::Array => (run_s * 1e6) as u64,
+                        JobKind::Array => (run_s * 1e6) as u64,
                         // Until it is cancelled, or its gang ends.
-                        Kind::Service | Kind::Gang => u64::MAX / 4,
+                        JobKind::Service | JobKind::Gang => u64::MAX / 4,
                     };
                     self.runs.push((task, attempt));
                     let state = match cause {
@@ -291,7 +291,7 @@
                     };
                     self.tasks.insert(key, t);
                 }
-                Order::Kill { task, attempt, .. } => {
+                Command::Kill { task, attempt, .. } => {
                     if let Some(t) = self.tasks.get_mut(&(task, attempt))
                         && t.state != TaskState::Ended
                     {
@@ -299,7 +299,7 @@
                         t.cause = Some(Cause::Stopped);
                     }
                 }
-                Order::Clear { task, attempt } => {
+                Command::Clear { task, attempt } => {
                     let key = (task, attempt);
                     if self
                         .tasks
@@ -318,7 +318,7 @@
         &mut self,
         now: u64,
         sent: u64,
-        a: ReportAnswer,
+        a: ReportResponse,
         specs: &BTreeMap<JobId, JobSpec>,
         run_s: f64,
     ) -> bool {
@@ -327,15 +327,15 @@
         }
         self.token = a.token.0;
         self.renewed = sent;
-        let news = !a.orders.is_empty();
-        self.execute(now, a.orders, specs, run_s);
+        let news = !a.commands.is_empty();
+        self.execute(now, a.commands, specs, run_s);
         news
     }
 
     pub fn direct(
         &mut self,
         now: u64,
-        o: Orders,
+        o: Commands,
         specs: &BTreeMap<JobId, JobSpec>,
         run_s: f64,
     ) -> Result<Box<Report>, Box<Report>> {
@@ -344,7 +344,7 @@
             return Err(Box::new(self.report()));
         }
         self.token = o.token.0;
-        self.execute(now, o.orders, specs, run_s);
+        self.execute(now, o.commands, specs, run_s);
         Ok(Box::new(self.report()))
     }
 }
--- a/tests/zone_histories.rs
+++ b/tests/zone_histories.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{Kind, Priority};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, Priority};
 use rand::RngExt;
 use world::links::Link;
 use world::{Chaos, Ev, World, job};
@@ -31,9 +31,9 @@
     for n in 0..12 {
         let mut j = job(n, w.rng.random_range(2..20));
         match n % 6 {
-            2 => (j.kind, j.tasks, j.one_zone) = (Kind::Gang, j.tasks.min(6), n % 4 == 2),
+            2 => (j.kind, j.tasks, j.one_zone) = (JobKind::Gang, j.tasks.min(6), n % 4 == 2),
             3 => {
-                (j.kind, j.tasks) = (Kind::Service, j.tasks.min(4));
+                (j.kind, j.tasks) = (JobKind::Service, j.tasks.min(4));
                 (j.priority, j.spread) = (Priority::Production, n % 4 == 3);
                 services.push(j.id.clone());
             }
@@ -45,14 +45,17 @@
         let body = serde_json::to_vec(&j).unwrap();
         w.specs.insert(j.id.clone(), j.clone());
         for k in 0..8 {
-            w.at(at + 9.0 * k as f64, Ev::User(Ask::Submit(body.clone())));
+            w.at(at + 9.0 * k as f64, Ev::User(Request::Submit(body.clone())));
         }
         for k in 0..40 {
-            w.at(at + 6.0 * k as f64, Ev::User(Ask::Poll(j.id.to_string())));
+            w.at(
+                at + 6.0 * k as f64,
+                Ev::User(Request::Poll(j.id.to_string())),
+            );
         }
         if w.rng.random_bool(0.2) {
             let at = w.rng.random_range(30.0..160.0);
-            w.at(at, Ev::User(Ask::Cancel(j.id.to_string())));
+            w.at(at, Ev::User(Request::Cancel(j.id.to_string())));
         }
     }
     for _ in 0..3 {
@@ -110,7 +113,10 @@
     }
     for id in services {
         for k in 0..6 {
-            w.at(60.0 + 8.0 * k as f64, Ev::User(Ask::Cancel(id.to_string())));
+            w.at(
+                60.0 + 8.0 * k as f64,
+                Ev::User(Request::Cancel(id.to_string())),
+            );
         }
     }
     w.run(330.0);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -6,8 +6,8 @@
 use hookworks::ids::{Host, JobId, TaskId, Token};
 use hookworks::sched::{DirectResult, Event};
 use hookworks::time::Time;
-use hookworks::wire::peer::Ask;
-use hookworks::wire::user::{JobSpec, JobState, Kind, Priority};
+use hookworks::wire::peer::Request;
+use hookworks::wire::user::{JobKind, JobSpec, JobState, Priority};
 use hookworks::wire::worker::Report;
 use std::collections::BTreeSet;
 use world::desk::{Desk, report};
@@ -365,9 +365,9 @@
     let ids: Vec<JobId> = w.specs.keys().rev().cloned().collect();
     w.set_zone("b", Link::Held);
     w.run(5.0);
-    w.user(Ask::Cancel(ids[0].to_string()));
+    w.user(Request::Cancel(ids[0].to_string()));
     let hold = serde_json::json!({"By": "a", "Kind": "user", "Why": "b", "Stop": false});
-    w.user(Ask::Hold(ids[1].to_string(), hold.to_string().into()));
+    w.user(Request::Hold(ids[1].to_string(), hold.to_string().into()));
     w.run(50.0);
     // Told as cancelled, its tasks there must be gone by now by themselves.
     w.assert_rules();
@@ -375,7 +375,10 @@
     w.set_zone("b", Link::Open);
     w.run(10.0);
     let release = serde_json::json!({"By": "a", "Kind": "user"});
-    w.user(Ask::Release(ids[1].to_string(), release.to_string().into()));
+    w.user(Request::Release(
+        ids[1].to_string(),
+        release.to_string().into(),
+    ));
     all_end(&mut w, 400.0);
 }
 
@@ -383,9 +386,10 @@
 fn a_gang_on_both_sides_and_a_service_that_must_not_be_elsewhere() {
     let mut w = at_work(&["a", "b"], 20, 30.0);
     let mut gang = work(80, 24, w.run_s);
-    (gang.kind, gang.priority) = (Kind::Gang, Priority::High);
+    (gang.kind, gang.priority) = (JobKind::Gang, Priority::High);
     let mut service = work(81, 6, w.run_s);
-    (service.kind, service.priority, service.spread) = (Kind::Service, Priority::Production, true);
+    (service.kind, service.priority, service.spread) =
+        (JobKind::Service, Priority::Production, true);
     w.submit(service.clone());
     w.submit(gang);
     w.run(40.0);
@@ -407,7 +411,7 @@
     w.set_zone(lost, Link::Open);
     w.run(30.0);
     assert_eq!(w.sched(w.leader().unwrap()).jobs[&service.id].live.len(), 6);
-    w.user(Ask::Cancel(service.id.to_string()));
+    w.user(Request::Cancel(service.id.to_string()));
     all_end(&mut w, 300.0);
 }
 
@@ -476,7 +480,7 @@
     let open = |t: &&TaskId| {
         s.jobs
             .get(&t.job)
-            .is_some_and(|j| !j.live.contains_key(&t.ix))
+            .is_some_and(|j| !j.live.contains_key(&t.index))
     };
     let waiting: Vec<TaskId> = there.iter().filter(open).cloned().collect();
     assert!(waiting.len() > 10, "{}", waiting.len());
@@ -484,7 +488,7 @@
     w.set_zone("b", Link::Open);
     w.run(3.0);
     let s = w.sched(w.leader().unwrap());
-    let known = |t: &TaskId| s.jobs.get(&t.job).is_none_or(|j| j.is_done(t.ix));
+    let known = |t: &TaskId| s.jobs.get(&t.job).is_none_or(|j| j.is_done(t.index));
     assert!(waiting.iter().all(known), "they wait to be run once more");
     all_end(&mut w, 400.0);
 }
