--- a/src/election.rs
+++ b/src/election.rs
@@ -4,9 +4,9 @@
 //! not wait for that lease to expire: it revokes the lease and campaigns at once.
 //! For why that is safe, and when it is not done, see docs/notes/quick-restarts.md.
 
-use crate::ids::{Epoch, Instance, Label, Stamp};
-use crate::store::client::{Outcome, ReadError, State};
-use crate::store::{EPOCH, LEADER};
+use crate::ids::{ControllerId, Epoch, Instance, Revision};
+use crate::store::client::{ReadError, StateStore, TxnOutcome};
+use crate::store::{EPOCH_KEY, LEADER_KEY};
 use crate::time::{Span, Time};
 use crate::wire::state::{Change, Condition, Item, Txn};
 use serde::{Deserialize, Serialize};
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Which controller leads.
-    pub label: Label,
+    pub label: ControllerId,
     /// The epoch of its leadership.
     pub epoch: Epoch,
     /// Distinguishes its process from earlier ones with the same label.
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// The label of this controller.
-    pub label: Label,
+    pub label: ControllerId,
     /// The instance of this process.
     pub instance: Instance,
     /// Where it listens for the other controllers, if known.
@@ -119,7 +119,7 @@
         /// The epoch of the new leadership.
         epoch: Epoch,
         /// The revision of the leader's key, the condition of all later writes.
-        revision: Stamp,
+        revision: Revision,
         /// When the lease was requested: the lease is proven as of this time.
         proven: Time,
     },
@@ -144,7 +144,7 @@
     unavailable: bool,
 }
 
-impl<S: State> Elector<S> {
+impl<S: StateStore> Elector<S> {
     /// Starts as a follower; leases are granted for `lease_duration`.
     pub fn new(state: S, candidate: Candidate, lease_duration: Span) -> Self {
         Elector {
@@ -203,7 +203,7 @@
     }
 
     fn follow(&mut self, now: impl Fn() -> Time) -> Result<ElectionOutcome, ReadError> {
-        match self.state.get(LEADER)? {
+        match self.state.get(LEADER_KEY)? {
             Some(leader_key) => self.follow_or_replace(leader_key, now),
             None => self.campaign(now),
         }
@@ -232,13 +232,13 @@
     fn campaign(&mut self, now: impl Fn() -> Time) -> Result<ElectionOutcome, ReadError> {
         let sent_at = now();
         let lease = self.state.grant(self.lease_duration.0 / 1000)?;
-        let last_epoch = self.state.get(EPOCH)?;
+        let last_epoch = self.state.get(EPOCH_KEY)?;
         let record = self.candidate.record(next_epoch(last_epoch.as_ref()));
         let txn = campaign_txn(&record, last_epoch.as_ref(), lease);
         match self.state.txn(&txn) {
-            Outcome::Ok(stamp) => Ok(self.elected(lease, record.epoch, stamp, sent_at)),
-            Outcome::Unclear => Ok(self.read_back(lease, &record, sent_at)),
-            Outcome::Conflict(_) => {
+            TxnOutcome::Ok(stamp) => Ok(self.elected(lease, record.epoch, stamp, sent_at)),
+            TxnOutcome::Unknown => Ok(self.read_back(lease, &record, sent_at)),
+            TxnOutcome::Conflict(_) => {
                 self.state.revoke(lease);
                 Ok(ElectionOutcome::Following(None))
             }
@@ -250,17 +250,23 @@
     /// Reads the key back after the answer to the campaign was lost: the transaction may
     /// have been applied.
     fn read_back(&mut self, lease: u64, record: &LeaderRecord, sent_at: Time) -> ElectionOutcome {
-        if let Ok(Some(leader_key)) = self.state.get(LEADER)
+        if let Ok(Some(leader_key)) = self.state.get(LEADER_KEY)
             && serde_json::from_value(leader_key.value).is_ok_and(|r: LeaderRecord| r == *record)
         {
-            return self.elected(lease, record.epoch, leader_key.stamp, sent_at);
+            return self.elected(lease, record.epoch, leader_key.revision, sent_at);
         }
         // If the transaction is applied later, the key is deleted with this lease.
         self.state.revoke(lease);
         ElectionOutcome::Unavailable
     }
 
-    fn elected(&mut self, lease: u64, epoch: Epoch, stamp: Stamp, proven: Time) -> ElectionOutcome {
+    fn elected(
+        &mut self,
+        lease: u64,
+        epoch: Epoch,
+        stamp: Revision,
+        proven: Time,
+    ) -> ElectionOutcome {
         self.lease = Some(lease);
         self.fast_polls_left = 0;
         ElectionOutcome::Elected {
@@ -288,7 +294,7 @@
 fn campaign_txn(record: &LeaderRecord, last_epoch: Option<&Item>, lease: u64) -> Txn {
     let unchanged = |key: &str, stamp| Condition {
         key: key.into(),
-        stamp,
+        revision: stamp,
     };
     let put = |key: &str, value: Value, lease| Change::Put {
         key: key.into(),
@@ -296,12 +302,15 @@
         lease,
     };
     let leader = serde_json::to_value(record).unwrap_or_default();
-    let epoch_stamp = last_epoch.map_or(Stamp(0), |item| item.stamp);
+    let epoch_stamp = last_epoch.map_or(Revision(0), |item| item.revision);
     Txn {
-        conditions: vec![unchanged(LEADER, Stamp(0)), unchanged(EPOCH, epoch_stamp)],
+        conditions: vec![
+            unchanged(LEADER_KEY, Revision(0)),
+            unchanged(EPOCH_KEY, epoch_stamp),
+        ],
         changes: vec![
-            put(LEADER, leader, Some(lease)),
-            put(EPOCH, record.epoch.0.into(), None),
+            put(LEADER_KEY, leader, Some(lease)),
+            put(EPOCH_KEY, record.epoch.0.into(), None),
         ],
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -163,13 +163,15 @@
                     }
                 );
             }
-            let sizes = settings.sizes().map_err(|_| ExitCode::from(2))?;
+            let sizes = settings.capacity_limits().map_err(|_| ExitCode::from(2))?;
             let [connections, jobs, finals, machines] = sizes.bytes.map(|n| n / 1_000_000);
             println!(
                 "sizes: {} machines with no other controller left, limited by {}; {} of them can keep a connection open",
-                sizes.alone.most,
-                sizes.alone.limited_by,
-                sizes.machines.min(sizes.alone.most)
+                sizes.single_controller.max_machines,
+                sizes.single_controller.limited_by,
+                sizes
+                    .worker_connections
+                    .min(sizes.single_controller.max_machines)
             );
             println!(
                 "  {} unfinished jobs, {} final states at hand, {} open requests, {} messages",
--- a/src/node/balance.rs
+++ b/src/node/balance.rs
@@ -5,7 +5,7 @@
 
 use super::{Node, Role};
 use crate::api::RedirectTarget;
-use crate::ids::{Host, Label};
+use crate::ids::{ControllerId, Host};
 use crate::peer::PeerLoad;
 use crate::time::{Span, Time};
 use serde::Deserialize;
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct ControllerLoad {
     /// Which controller.
-    pub label: Label,
+    pub label: ControllerId,
     /// How many workers report to it.
     pub workers: u32,
     /// How many it can be assigned.
@@ -124,7 +124,7 @@
     }
 
     /// Records a heartbeat; returns the controller that its worker is redirected to, if any.
-    pub fn redirect_target(&mut self, now: Time, host: &Host) -> Option<Label> {
+    pub fn redirect_target(&mut self, now: Time, host: &Host) -> Option<ControllerId> {
         self.last_reports.insert(host.clone(), now);
         let shares = shares(self.workers_of_all(), &self.capacities());
         let tolerated = shares[0] * SHARE_TOLERANCE + EXCESS_TOLERANCE;
@@ -153,7 +153,7 @@
     }
 
     /// The other controller with the largest free fraction of its share, if any is free.
-    fn least_loaded(&self, shares: &[f64]) -> Option<Label> {
+    fn least_loaded(&self, shares: &[f64]) -> Option<ControllerId> {
         let loads = self.others.iter().zip(shares);
         let free = loads.map(|(o, share)| (o, 1.0 - o.workers as f64 / share.max(1.0)));
         let (other, free) = free.max_by(|a, b| a.1.total_cmp(&b.1))?;
@@ -174,7 +174,7 @@
 
 impl Node {
     /// The controller that the sender of this heartbeat should report to instead, if any.
-    pub(super) fn redirect_target(&mut self, now: Time, report: &[u8]) -> Option<Label> {
+    pub(super) fn redirect_target(&mut self, now: Time, report: &[u8]) -> Option<ControllerId> {
         if matches!(self.role, Role::Loading(_)) {
             return None;
         }
@@ -189,7 +189,7 @@
             Role::Leader(_) => Some(own_label.clone()),
             _ => self.peers.best_leader().map(|(label, _)| label),
         };
-        let capacity = |label: &Label, max_workers| {
+        let capacity = |label: &ControllerId, max_workers| {
             let leads = leader.as_ref() == Some(label);
             Capacity {
                 weight: if leads { LEADER_WEIGHT } else { 1.0 },
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -5,11 +5,11 @@
 use super::threads::election::ElectionCommand;
 use super::{Leadership, Node, Role};
 use crate::election::{ElectionOutcome, LeaderRecord};
-use crate::ids::{Epoch, Label, ReqId, Stamp};
+use crate::ids::{ControllerId, Epoch, RequestId, Revision};
 use crate::sched::{Config, Event, Scheduler};
 use crate::store::commit::Committer;
-use crate::time::{Span, Time, wall};
-use crate::versions::Switch;
+use crate::time::{Span, Time, wall_time_now};
+use crate::versions::FormatSwitch;
 use crate::wire::peer::Answer;
 use hookworks_listing::Board;
 use std::sync::atomic::Ordering;
@@ -83,7 +83,7 @@
     }
 
     /// Starts to load the stored state; the leadership begins when that is done.
-    fn elected(&mut self, epoch: Epoch, stamp: Stamp, proven: Time) {
+    fn elected(&mut self, epoch: Epoch, stamp: Revision, proven: Time) {
         tracing::info!(%epoch, "elected leader; loading records");
         self.proven_at = proven;
         self.role = Role::Loading(epoch);
@@ -110,7 +110,7 @@
         self.leading_epoch.store(0, Ordering::SeqCst);
         self.peers.set_leader(None);
         self.shared.jobs.store(None);
-        let open: Vec<ReqId> = self.pending.keys().copied().collect();
+        let open: Vec<RequestId> = self.pending.keys().copied().collect();
         for req in open {
             self.answer(now, req, Answer::later("the leader has changed", 1));
         }
@@ -140,22 +140,22 @@
     /// Creates the scheduler and the group commit of a new leadership from the loaded state.
     fn new_leadership(&self, now: Time, loaded: LoadedState) -> Leadership {
         let epoch = loaded.epoch;
-        let switch = Switch::new(loaded.leader_revision, loaded.record_format());
+        let switch = FormatSwitch::new(loaded.leader_revision, loaded.record_format());
         let limits = &self.settings.platform.params.state;
         let mut commit = Committer::new(loaded.leader_revision, limits);
         for (key, stamp) in loaded.revisions {
-            commit.know(key, stamp);
+            commit.record_revision(key, stamp);
         }
         for (key, stamp) in loaded.garbage {
-            commit.add_litter(key, stamp);
+            commit.add_garbage(key, stamp);
         }
         let config = Config::from(&self.settings);
-        let mut scheduler = Scheduler::new(config, epoch, self.proven_at, now, wall());
+        let mut scheduler = Scheduler::new(config, epoch, self.proven_at, now, wall_time_now());
         let token = epoch.base();
         tracing::info!(%epoch, token, jobs = loaded.jobs.len(), "leadership started");
         // Reads the wall clock first, so that a suspension between the two reads can't
         // make it too late.
-        let (time_of_day, at) = (wall(), self.clock.now());
+        let (time_of_day, at) = (wall_time_now(), self.clock.now());
         if let Some(fences) = loaded.fences {
             scheduler.load_fences(at, time_of_day, fences);
         }
@@ -171,11 +171,11 @@
 
     /// Another controller, or the link to it, has ended: requests forwarded to it get no
     /// answer, and if it led, another controller may be elected soon.
-    pub(super) fn peer_gone(&mut self, now: Time, label: &Label) {
-        let was_target = |leader: &Option<(Label, Epoch)>| {
+    pub(super) fn peer_gone(&mut self, now: Time, label: &ControllerId) {
+        let was_target = |leader: &Option<(ControllerId, Epoch)>| {
             leader.as_ref().is_some_and(|(target, _)| target == label)
         };
-        let lost: Vec<ReqId> = self
+        let lost: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| was_target(&pending.forwarded_to))
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -9,18 +9,11 @@
 mod threads;
 mod upgrade;
 use crate::election::{BoundAddress, Candidate, ElectionOutcome, LeaderRecord};
-use crate::ids::{Epoch, Instance, JobId, Label, ReqId, TxnId};
 use crate::sched::job::Final;
 use crate::sched::{Effect, Event, Scheduler};
-use crate::settings::{Settings, Sizes};
 use crate::store::budget::Budget;
 use crate::store::client::ReadError;
 use crate::store::commit::{Committer, Step};
-use crate::store::{Outcome, final_key};
-use crate::time::{Clock, Span, Time, wall};
-use crate::versions::Switch;
-use crate::wire::cloud::Flavor;
-use crate::wire::peer::{Answer, Ask, PeerMsg};
 use crate::wire::state::Item;
 use balance::WorkerBalance;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, select_biased};
@@ -48,7 +41,14 @@
 pub use requests::{is_expired, leader_restarted};
 
 use crate::api::{self, ApiRequest, PublishedJobs, SharedStatus};
+use crate::ids::{ControllerId, Epoch, Instance, JobId, RequestId, TxnId};
 use crate::peer::{LocalController, PeerEvent, Peers};
+use crate::settings::{CapacityLimits, Settings};
+use crate::store::{TxnOutcome, final_key};
+use crate::time::{Clock, Span, Time, wall_time_now};
+use crate::versions::FormatSwitch;
+use crate::wire::cloud::MachineType;
+use crate::wire::peer::{Answer, PeerMessage, Request};
 use state_loading::LoadedState;
 
 /// Stack size of each thread: memory is scarce, and nothing here recurses deeply.
@@ -98,11 +98,11 @@
     /// controller.
     fn is_heartbeat(&self) -> bool {
         let (Message::Http(ApiRequest::Forwardable(_, ask))
-        | Message::Peer(PeerEvent::Message(_, PeerMsg::Ask { ask, .. }))) = self
+        | Message::Peer(PeerEvent::Message(_, PeerMessage::Request { request: ask, .. }))) = self
         else {
             return false;
         };
-        matches!(ask, Ask::Report(_))
+        matches!(ask, Request::Report(_))
     }
 }
 
@@ -115,19 +115,19 @@
     /// The stored state was read after an election.
     Loaded(Box<LoadedState>),
     /// Machine types, which every controller caches so that a new leader need not ask.
-    MachineTypes(Vec<Flavor>),
+    MachineTypes(Vec<MachineType>),
     /// Shut down gracefully.
     Stop,
     /// A scheduler event of an epoch; those of earlier epochs are dropped.
     Event(Epoch, Event),
     /// The outcome of a transaction.
-    Txn(Epoch, TxnId, Outcome),
+    Txn(Epoch, TxnId, TxnOutcome),
     /// The value of a key whose write had an unclear outcome.
     ReadBack(Epoch, String, Result<Option<Item>, ReadError>),
     /// The answer to a request for a list of jobs.
-    ListReady(ReqId, Answer),
+    ListReady(RequestId, Answer),
     /// The result of a final state read while no leader is reachable.
-    FinalRead(ReqId, JobId, Result<Option<Final>, ()>),
+    FinalRead(RequestId, JobId, Result<Option<Final>, ()>),
     /// News about controller versions or the switch to compact records.
     Upgrade(upgrade::UpgradeEvent),
 }
@@ -135,7 +135,7 @@
 /// Where the answer to a request goes.
 enum Origin {
     Http(Reply),
-    Peer { from: Label, id: u64 },
+    Peer { from: ControllerId, id: u64 },
 }
 
 /// A request without an answer yet.
@@ -148,7 +148,7 @@
     /// that is elected before the answer arrives.
     heartbeat: Option<Vec<u8>>,
     /// The leader that the request was forwarded to, and its epoch.
-    forwarded_to: Option<(Label, Epoch)>,
+    forwarded_to: Option<(ControllerId, Epoch)>,
 }
 
 enum Role {
@@ -164,7 +164,7 @@
     commit: Committer,
     /// The list of unfinished jobs that readers see.
     board: Board,
-    switch: Switch,
+    switch: FormatSwitch,
 }
 
 struct Node {
@@ -187,17 +187,17 @@
     state_requests: Sender<StateRequest>,
     cloud_requests: Sender<CloudRequest>,
     direct_calls: Sender<DirectCall>,
-    list_requests: Sender<(ReqId, job_lists::ListRequest)>,
+    list_requests: Sender<(RequestId, job_lists::ListRequest)>,
     inbox: Sender<Message>,
-    pending: HashMap<ReqId, PendingRequest>,
+    pending: HashMap<RequestId, PendingRequest>,
     next_req: u64,
-    sizes: Sizes,
+    sizes: CapacityLimits,
     /// Limits reads of final states while no leader is reachable.
     final_read_budget: Budget,
     worker_balance: WorkerBalance,
     /// Messages sent to other controllers at the end of this turn of the loop.
-    outgoing: HashMap<Label, Vec<PeerMsg>>,
-    machine_types: Vec<Flavor>,
+    outgoing: HashMap<ControllerId, Vec<PeerMessage>>,
+    machine_types: Vec<MachineType>,
     latency: Histogram<u64>,
     request_log: RequestLog,
     invariants: Invariants,
@@ -221,7 +221,7 @@
 /// Runs a controller until the process ends.
 pub fn serve(settings: Settings) -> std::io::Result<()> {
     let clock = Clock::start();
-    let sizes = settings.sizes().map_err(std::io::Error::other)?;
+    let sizes = settings.capacity_limits().map_err(std::io::Error::other)?;
     let (senders, received) = inbox::inbox::<Message>(sizes.inbox);
     let inbox = senders.others.clone();
     let platform = &settings.platform;
@@ -410,7 +410,7 @@
         match message {
             Message::Http(ApiRequest::Forwardable(reply, ask)) => {
                 // Counts from the arrival, so that time in the queue is included.
-                let received_at = self.clock.at(reply.asked()).min(now);
+                let received_at = self.clock.time_at(reply.asked()).min(now);
                 self.requests_delayed |= now - received_at > MAX_QUEUEING_DELAY;
                 self.handle_request(now, received_at, Origin::Http(reply), ask);
             }
@@ -419,16 +419,24 @@
                 reply.answer(Answer::new(200, body));
             }
             Message::Peer(PeerEvent::Disconnected(label)) => self.peer_gone(now, &label),
-            Message::Peer(PeerEvent::Message(received_at, PeerMsg::Ask { id, from, ask, .. })) => {
-                let from = Label::from(from.as_str());
+            Message::Peer(PeerEvent::Message(
+                received_at,
+                PeerMessage::Request {
+                    id,
+                    from,
+                    request: ask,
+                    ..
+                },
+            )) => {
+                let from = ControllerId::from(from.as_str());
                 let origin = Origin::Peer { from, id };
                 self.requests_delayed |= now - received_at > MAX_QUEUEING_DELAY;
                 self.handle_peer_request(now, received_at, origin, ask);
             }
-            Message::Peer(PeerEvent::Message(_, PeerMsg::Tell { id, answer, .. })) => {
-                self.answer(now, ReqId(id), answer);
+            Message::Peer(PeerEvent::Message(_, PeerMessage::Response { id, answer, .. })) => {
+                self.answer(now, RequestId(id), answer);
             }
-            Message::Peer(PeerEvent::Message(_, PeerMsg::Ping { .. })) => {}
+            Message::Peer(PeerEvent::Message(_, PeerMessage::Ping { .. })) => {}
             Message::Loaded(loaded) => self.loaded(now, *loaded),
             Message::MachineTypes(machine_types) => {
                 self.machine_types = machine_types.clone();
@@ -440,10 +448,12 @@
             Message::Event(epoch, event) => self.handle_event(now, epoch, event),
             Message::Txn(epoch, id, outcome) => {
                 if let Some(leadership) = self.leadership(epoch) {
-                    let (events, steps) =
-                        leadership
-                            .commit
-                            .finished(now, id, outcome, &mut leadership.scheduler);
+                    let (events, steps) = leadership.commit.handle_outcome(
+                        now,
+                        id,
+                        outcome,
+                        &mut leadership.scheduler,
+                    );
                     self.after_commit(now, events, steps);
                 }
             }
@@ -452,7 +462,7 @@
                     let (events, steps) =
                         leadership
                             .commit
-                            .read_back(key, item, &mut leadership.scheduler);
+                            .handle_read(key, item, &mut leadership.scheduler);
                     self.after_commit(now, events, steps);
                 }
             }
@@ -552,7 +562,7 @@
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
-        while let Some((id, txn)) = leadership.commit.next(now, &mut leadership.scheduler) {
+        while let Some((id, txn)) = leadership.commit.next_txn(now, &mut leadership.scheduler) {
             let _ = self
                 .state_requests
                 .send(StateRequest::Commit(leadership.epoch, id, txn));
@@ -561,7 +571,7 @@
 
     /// Publishes changed jobs to readers, as long as the lease is proven.
     fn publish(&mut self, now: Time) {
-        let wall_time = wall().0;
+        let wall_time = wall_time_now().0;
         let published = match &mut self.role {
             Role::Leader(leadership) => {
                 for (id, line) in leadership.scheduler.take_changed() {
@@ -576,7 +586,7 @@
                 let until = leadership.scheduler.leadership_valid_until();
                 (now < until).then(|| PublishedJobs {
                     jobs: leadership.board.publish(),
-                    valid_until: self.clock.moment(until),
+                    valid_until: self.clock.instant_at(until),
                 })
             }
             _ => None,
@@ -601,9 +611,9 @@
             if std::mem::take(&mut self.requests_delayed) {
                 self.handle_event(now, epoch, Event::Overloaded);
             }
-            self.handle_event_with_pass(now, epoch, Event::Tick(wall()));
+            self.handle_event_with_pass(now, epoch, Event::Tick(wall_time_now()));
         }
-        let timed_out: Vec<ReqId> = self
+        let timed_out: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, p)| now - p.received_at > p.timeout)
@@ -615,7 +625,7 @@
         // Requests forwarded to a leader that is unreachable or has restarted get no
         // answer from it.
         let current_leader = self.peers.best_leader();
-        let lost: Vec<ReqId> = self
+        let lost: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, p)| {
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -6,10 +6,10 @@
 use super::threads::state_service::StateRequest;
 use super::{Node, Origin, PendingRequest, Role};
 use crate::api::redirect;
-use crate::ids::{Epoch, Label, ReqId};
+use crate::ids::{ControllerId, Epoch, RequestId};
 use crate::sched::Event;
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask, PeerMsg};
+use crate::wire::peer::{Answer, PeerMessage, Request};
 use hookworks_listing::{Query, since};
 
 /// Within this time the state service stops naming a leader that has failed.
@@ -21,9 +21,9 @@
         &mut self,
         received_at: Time,
         origin: Origin,
-        ask: &Ask,
-    ) -> ReqId {
-        let req = ReqId(self.next_req);
+        ask: &Request,
+    ) -> RequestId {
+        let req = RequestId(self.next_req);
         self.next_req += 1;
         self.pending.insert(
             req,
@@ -45,7 +45,7 @@
         now: Time,
         received_at: Time,
         origin: Origin,
-        ask: Ask,
+        ask: Request,
     ) {
         let full = self.pending.len() >= self.sizes.requests;
         let req = self.register_request(received_at, origin, &ask);
@@ -61,7 +61,7 @@
         if let Role::Leader(leadership) = &self.role {
             let epoch = leadership.epoch;
             let event = match (&self.pending.get(&req).map(|p| &p.origin), ask) {
-                (Some(Origin::Peer { from, .. }), Ask::Report(body)) => {
+                (Some(Origin::Peer { from, .. }), Request::Report(body)) => {
                     Event::Relayed(req, from.clone(), body)
                 }
                 (_, ask) => Event::Ask(req, ask),
@@ -78,7 +78,7 @@
         now: Time,
         received_at: Time,
         origin: Origin,
-        ask: Ask,
+        ask: Request,
     ) {
         let full = self.pending.len() >= self.sizes.requests;
         let req = self.register_request(received_at, origin, &ask);
@@ -91,7 +91,7 @@
         if full {
             return self.answer(now, req, Answer::later("too many requests", 2));
         }
-        if let Ask::Report(body) = &ask
+        if let Request::Report(body) = &ask
             && let Some(other) = self.redirect_target(now, body)
         {
             return self.answer(now, req, redirect(Some(other)));
@@ -116,7 +116,7 @@
     }
 
     /// Passes a request to the scheduler if this controller leads.
-    pub(super) fn handle_as_leader(&mut self, now: Time, req: ReqId, ask: Ask) {
+    pub(super) fn handle_as_leader(&mut self, now: Time, req: RequestId, ask: Request) {
         if let Role::Leader(leadership) = &mut self.role {
             let epoch = leadership.epoch;
             self.handle_event(now, epoch, Event::Ask(req, ask));
@@ -124,14 +124,14 @@
     }
 
     /// Queues a list for the thread that answers them, or refuses it if the queue is full.
-    fn queue_list(&mut self, now: Time, req: ReqId, list_request: ListRequest) {
+    fn queue_list(&mut self, now: Time, req: RequestId, list_request: ListRequest) {
         if self.list_requests.try_send((req, list_request)).is_err() {
             self.answer(now, req, Answer::later("too many lists at a time", 1));
         }
     }
 
     /// Forwards a request to the leader, or answers it if none is reachable.
-    pub(super) fn forward(&mut self, now: Time, req: ReqId, ask: Ask) {
+    pub(super) fn forward(&mut self, now: Time, req: RequestId, ask: Request) {
         let leader = self.known_leader(&ask);
         match routing::route(&ask, leader) {
             Route::Forward(leader, epoch) => self.forward_to(req, ask, leader, epoch),
@@ -140,29 +140,29 @@
     }
 
     /// The leader that this controller knows of, and whether it can take this request.
-    fn known_leader(&mut self, ask: &Ask) -> Option<KnownLeader> {
+    fn known_leader(&mut self, ask: &Request) -> Option<KnownLeader> {
         let own_label = &self.settings.platform.label;
         let (label, epoch) = self.peers.best_leader().filter(|l| l.0 != *own_label)?;
         Some(KnownLeader {
             reachable: self.peers.reachable(&label),
-            supports_request: self.understands(&label, ask.needs()),
+            supports_request: self.understands(&label, ask.min_version()),
             label,
             epoch,
         })
     }
 
-    fn forward_to(&mut self, req: ReqId, ask: Ask, leader: Label, epoch: Epoch) {
-        let msg = PeerMsg::Ask {
+    fn forward_to(&mut self, req: RequestId, ask: Request, leader: ControllerId, epoch: Epoch) {
+        let msg = PeerMessage::Request {
             id: req.0,
             from: self.settings.platform.label.to_string(),
             to: leader.to_string(),
-            ask: ask.clone(),
+            request: ask.clone(),
         };
         self.queue_for_peer(leader.clone(), msg);
         if let Some(pending) = self.pending.get_mut(&req) {
             pending.forwarded_to = Some((leader, epoch));
             pending.heartbeat = match ask {
-                Ask::Report(body) => Some(body),
+                Request::Report(body) => Some(body),
                 _ => None,
             };
         }
@@ -170,18 +170,18 @@
 
     /// Queues a message, which is sent in one batch with all others to that controller at
     /// the end of this turn of the loop.
-    fn queue_for_peer(&mut self, to: Label, msg: PeerMsg) {
+    fn queue_for_peer(&mut self, to: ControllerId, msg: PeerMessage) {
         self.outgoing.entry(to).or_default().push(msg);
     }
 
     /// Sends the queued messages; requests that can't be sent are refused.
     pub(super) fn send_outgoing(&mut self, now: Time) {
         for (to, messages) in std::mem::take(&mut self.outgoing) {
-            let request_id = |message: &PeerMsg| match message {
-                PeerMsg::Ask { id, .. } => Some(ReqId(*id)),
+            let request_id = |message: &PeerMessage| match message {
+                PeerMessage::Request { id, .. } => Some(RequestId(*id)),
                 _ => None,
             };
-            let request_ids: Vec<ReqId> = messages.iter().filter_map(request_id).collect();
+            let request_ids: Vec<RequestId> = messages.iter().filter_map(request_id).collect();
             if !self.peers.send(&to, messages) {
                 for req in request_ids {
                     self.answer(now, req, Answer::later("the leader is out of reach", 1));
@@ -194,7 +194,7 @@
     /// heartbeat is forwarded to the next leader as soon as there is one: workers that
     /// were redirected to a leader without network came back too late and were declared
     /// lost.
-    pub(super) fn reroute(&mut self, now: Time, req: ReqId) {
+    pub(super) fn reroute(&mut self, now: Time, req: RequestId) {
         let Some(pending) = self.pending.get_mut(&req) else {
             return;
         };
@@ -203,7 +203,7 @@
         let may_wait = now - pending.received_at < LEADER_FAILOVER_TIMEOUT;
         match pending.heartbeat.take() {
             Some(body) if changed => match self.role {
-                Role::Follower => self.forward(now, req, Ask::Report(body)),
+                Role::Follower => self.forward(now, req, Request::Report(body)),
                 _ => self.give_up(now, req, "the leader has changed"),
             },
             Some(body) if may_wait => pending.heartbeat = Some(body),
@@ -219,7 +219,7 @@
     /// the leader that a heartbeat was forwarded to, the worker is redirected there: it
     /// may reach that leader directly, which is faster than trying one controller after
     /// another.
-    pub(super) fn give_up(&mut self, now: Time, req: ReqId, why: &str) {
+    pub(super) fn give_up(&mut self, now: Time, req: RequestId, why: &str) {
         let heartbeat = self.pending.get(&req).filter(|p| p.heartbeat.is_some());
         let observed = self.observed_leader.as_ref().map(|l| l.label.clone());
         let answer = match heartbeat
@@ -234,7 +234,7 @@
     }
 
     /// Handles a request that can't be forwarded to a leader, as `route` says.
-    fn without_leader(&mut self, now: Time, req: ReqId, ask: Ask, route: Route) {
+    fn without_leader(&mut self, now: Time, req: RequestId, ask: Request, route: Route) {
         match (route, ask) {
             (Route::Answer(answer), _) => self.answer(now, req, answer),
             (Route::ReadFinal(id), _) => {
@@ -246,7 +246,7 @@
                 self.final_read_budget.take(now, 1.0);
                 let _ = self.state_requests.send(StateRequest::LookUpFinal(req, id));
             }
-            (_, Ask::Report(body)) => {
+            (_, Request::Report(body)) => {
                 // The leader is named by the state service but is unreachable from here:
                 // the worker may reach it directly.
                 let leader = self.observed_leader.as_ref().map(|l| l.label.clone());
@@ -263,7 +263,7 @@
     }
 
     /// Answers a request, unless it was answered before, and records the outcome.
-    pub(super) fn answer(&mut self, now: Time, req: ReqId, mut answer: Answer) {
+    pub(super) fn answer(&mut self, now: Time, req: RequestId, mut answer: Answer) {
         let Some(pending) = self.pending.remove(&req) else {
             return;
         };
@@ -297,7 +297,7 @@
             Origin::Http(reply) => reply.answer(answer),
             Origin::Peer { from, id } => {
                 let to = from.to_string();
-                self.queue_for_peer(from, PeerMsg::Tell { id, to, answer });
+                self.queue_for_peer(from, PeerMessage::Response { id, to, answer });
             }
         }
     }
@@ -305,22 +305,25 @@
 
 /// Whether the leader that a request was forwarded to leads again with a larger epoch,
 /// so that it no longer knows the request.
-pub fn leader_restarted(forwarded_to: &(Label, Epoch), current: Option<&(Label, Epoch)>) -> bool {
+pub fn leader_restarted(
+    forwarded_to: &(ControllerId, Epoch),
+    current: Option<&(ControllerId, Epoch)>,
+) -> bool {
     current.is_some_and(|(label, epoch)| *label == forwarded_to.0 && *epoch > forwarded_to.1)
 }
 
 /// The list that a request asks for, if it is one. Its query was validated on arrival.
-fn read_only(ask: &Ask) -> Option<ListRequest> {
+fn read_only(ask: &Request) -> Option<ListRequest> {
     match ask {
-        Ask::List(query) => Query::parse(query).ok().map(ListRequest::Page),
-        Ask::Events(query) => since(query).ok().map(ListRequest::Changes),
+        Request::List(query) => Query::parse(query).ok().map(ListRequest::Page),
+        Request::Events(query) => since(query).ok().map(ListRequest::Changes),
         _ => None,
     }
 }
 
 /// Whether a request has waited so long that its sender has timed out; it is not handled
 /// any more.
-pub fn is_expired(ask: &Ask, waited: Span) -> bool {
+pub fn is_expired(ask: &Request, waited: Span) -> bool {
     waited > timeout_of(ask)
 }
 
@@ -329,10 +332,14 @@
 }
 
 /// How long the client waits for an answer, less a margin for the transmission.
-pub(super) fn timeout_of(ask: &Ask) -> Span {
+pub(super) fn timeout_of(ask: &Request) -> Span {
     match ask {
-        Ask::Poll(_) | Ask::Show(_) | Ask::List(_) | Ask::Events(_) => Span::millis(1600),
-        Ask::Report(_) => Span::millis(3500),
-        Ask::Submit(_) | Ask::Cancel(_) | Ask::Hold(..) | Ask::Release(..) => Span::millis(4200),
+        Request::Poll(_) | Request::Show(_) | Request::List(_) | Request::Events(_) => {
+            Span::millis(1600)
+        }
+        Request::Report(_) => Span::millis(3500),
+        Request::Submit(_) | Request::Cancel(_) | Request::Hold(..) | Request::Release(..) => {
+            Span::millis(4200)
+        }
     }
 }
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -1,17 +1,17 @@
 //! How a follower routes a request. There is no I/O here: the main loop carries out the
 //! decision, and so does the simulation in the tests.
 
-use crate::ids::{Epoch, JobId, Label};
+use crate::ids::{ControllerId, Epoch, JobId};
 use crate::sched::answer_final;
 use crate::sched::job::Final;
-use crate::wire::peer::{Answer, Ask};
+use crate::wire::peer::{Answer, Request};
 use crate::wire::user::JobSpec;
 
 /// The latest leader that this controller knows of, other than itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownLeader {
     /// Which controller leads.
-    pub label: Label,
+    pub label: ControllerId,
     /// The epoch of its leadership.
     pub epoch: Epoch,
     /// It is reachable, directly or through the third controller.
@@ -24,7 +24,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Route {
     /// Forward to that leader, in that epoch.
-    Forward(Label, Epoch),
+    Forward(ControllerId, Epoch),
     /// No leader is reachable. Any controller may read and report a final state.
     ReadFinal(JobId),
     /// No leader is reachable for a worker's heartbeat.
@@ -35,8 +35,8 @@
 
 /// Decides where a request goes. Without the leader, a follower answers only malformed
 /// submissions and polls for final states.
-pub fn route(ask: &Ask, leader: Option<KnownLeader>) -> Route {
-    if let Ask::Submit(body) = ask
+pub fn route(ask: &Request, leader: Option<KnownLeader>) -> Route {
+    if let Request::Submit(body) = ask
         && let Err(e) = JobSpec::parse(body)
     {
         return Route::Answer(Answer::error(400, &e));
@@ -49,10 +49,10 @@
 }
 
 /// The route of a request while no leader is reachable.
-fn without_leader(ask: &Ask) -> Route {
+fn without_leader(ask: &Request) -> Route {
     match ask {
-        Ask::Poll(id) if JobId::well_formed(id) => Route::ReadFinal(id.as_str().into()),
-        Ask::Report(_) => Route::NoLeaderForHeartbeat,
+        Request::Poll(id) if JobId::is_well_formed(id) => Route::ReadFinal(id.as_str().into()),
+        Request::Report(_) => Route::NoLeaderForHeartbeat,
         _ => Route::Answer(no_leader()),
     }
 }
--- a/src/node/state_loading.rs
+++ b/src/node/state_loading.rs
@@ -1,14 +1,17 @@
 //! Loads the stored state of all unfinished jobs for a new leader.
 
 use super::{Message, spawn};
-use crate::ids::{Epoch, JobId, Stamp};
+use crate::ids::{Epoch, JobId, Revision};
 use crate::sched::FenceRecord;
 use crate::sched::job::Job;
 use crate::settings::Settings;
-use crate::store::client::{ReadError, State};
+use crate::store::client::{ReadError, StateStore};
 use crate::store::pieces::Pieces;
-use crate::store::{FENCES, FORMAT, FormatRecord, LIVE, PARTS, PIECES, RecordFormat, StateClient};
-use crate::time::{Clock, Time, Wall, wall};
+use crate::store::{
+    FENCES_KEY, FORMAT_KEY, FormatRecord, PARTS_PREFIX, PIECES_PREFIX, RecordFormat, StateClient,
+    UNFINISHED_PREFIX,
+};
+use crate::time::{Clock, Time, WallTime, wall_time_now};
 use crate::wire::state::Item;
 use crate::wire::user::JobState;
 use crossbeam_channel::Sender;
@@ -23,13 +26,13 @@
     /// The epoch of the new leadership.
     pub epoch: Epoch,
     /// The revision of the leader's key.
-    pub leader_revision: Stamp,
+    pub leader_revision: Revision,
     /// All unfinished jobs that could be read.
     pub jobs: Vec<Job>,
     /// The keys of records in use, with their revisions.
-    pub revisions: Vec<(String, Stamp)>,
+    pub revisions: Vec<(String, Revision)>,
     /// Keys of records that belong to no unfinished job, to be deleted.
-    pub garbage: Vec<(String, Stamp)>,
+    pub garbage: Vec<(String, Revision)>,
     /// Jobs whose records can't be read; they are left as they are.
     pub unreadable: BTreeMap<JobId, JobState>,
     /// Fenced zones, as recorded by earlier leaders.
@@ -52,7 +55,7 @@
     clock: Clock,
     inbox: Sender<Message>,
     epoch: Epoch,
-    stamp: Stamp,
+    stamp: Revision,
 ) {
     let addr = settings.platform.services.state;
     spawn("load", move || {
@@ -61,7 +64,7 @@
         let started_at = clock.now();
         for attempt in 0u64.. {
             let attempt_started_at = clock.now();
-            let loaded = load_state(&state, epoch, stamp, attempt_started_at, wall());
+            let loaded = load_state(&state, epoch, stamp, attempt_started_at, wall_time_now());
             let (now, attempts) = (clock.now(), attempt + 1);
             let ms = (now - attempt_started_at).0 / 1000;
             match loaded {
@@ -81,7 +84,7 @@
 }
 
 /// Reads all keys with that prefix, page by page.
-fn read_all(state: &impl State, prefix: &str) -> Result<Vec<Item>, ReadError> {
+fn read_all(state: &impl StateStore, prefix: &str) -> Result<Vec<Item>, ReadError> {
     let mut items: Vec<Item> = vec![];
     loop {
         let after = items.last().map(|i| i.key.clone());
@@ -100,11 +103,11 @@
 ///
 /// When a read of the state service fails.
 pub fn load_state(
-    state: &impl State,
+    state: &impl StateStore,
     epoch: Epoch,
-    stamp: Stamp,
+    stamp: Revision,
     now: Time,
-    wall: Wall,
+    wall: WallTime,
 ) -> Result<LoadedState, ReadError> {
     let mut jobs = BTreeMap::new();
     let mut loaded = LoadedState {
@@ -117,13 +120,13 @@
         fences: None,
         format: None,
     };
-    let pieces = Pieces::new(read_all(state, PIECES)?);
-    for item in read_all(state, LIVE)? {
-        let id = JobId::from(item.key.trim_start_matches(LIVE));
+    let pieces = Pieces::new(read_all(state, PIECES_PREFIX)?);
+    for item in read_all(state, UNFINISHED_PREFIX)? {
+        let id = JobId::from(item.key.trim_start_matches(UNFINISHED_PREFIX));
         let record = pieces.join(&id, 0, &item);
         match record.and_then(|value| Job::decode(&value, now, wall)) {
             Some(job) if *job.id() == id => {
-                loaded.revisions.push((item.key, item.stamp));
+                loaded.revisions.push((item.key, item.revision));
                 jobs.insert(id, job);
             }
             _ => {
@@ -134,8 +137,8 @@
             }
         }
     }
-    for item in read_all(state, PARTS)? {
-        let name = item.key.trim_start_matches(PARTS);
+    for item in read_all(state, PARTS_PREFIX)? {
+        let name = item.key.trim_start_matches(PARTS_PREFIX);
         let Some((id, part)) = name.rsplit_once('/') else {
             continue;
         };
@@ -144,7 +147,7 @@
             continue;
         }
         let Some(job) = jobs.get_mut(&id) else {
-            loaded.garbage.push((item.key, item.stamp));
+            loaded.garbage.push((item.key, item.revision));
             continue;
         };
         let part = part.parse().ok();
@@ -154,17 +157,17 @@
             tracing::error!(key = %item.key, "task record unreadable; its tasks will be restarted");
             job.damaged = true;
         }
-        loaded.revisions.push((item.key, item.stamp));
+        loaded.revisions.push((item.key, item.revision));
     }
-    let (stamps, litter) = pieces.sort(|id| jobs.contains_key(id), &loaded.unreadable);
+    let (stamps, litter) = pieces.partition(|id| jobs.contains_key(id), &loaded.unreadable);
     loaded.revisions.extend(stamps);
     loaded.garbage.extend(litter);
-    if let Some(item) = state.get(FENCES)? {
+    if let Some(item) = state.get(FENCES_KEY)? {
         loaded.fences = serde_json::from_value(item.value).ok();
-        loaded.revisions.push((item.key, item.stamp));
+        loaded.revisions.push((item.key, item.revision));
     }
     loaded.format = state
-        .get(FORMAT)?
+        .get(FORMAT_KEY)?
         .map(|item| FormatRecord::read(&item.value));
     for (_, mut job) in jobs {
         // A loaded part is stored: its version counter starts at 1.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -7,11 +7,11 @@
 mod inbound;
 mod outbound;
 
-use crate::ids::{Epoch, Instance, Label};
+use crate::ids::{ControllerId, Epoch, Instance};
 use crate::settings::Seed;
 use crate::time::{Clock, Span, Time};
 use crate::versions;
-use crate::wire::peer::{PeerMsg, PingMore, PingSelf};
+use crate::wire::peer::{PeerMessage, PingExtension, PingIdentity};
 use crossbeam_channel::{Sender, bounded};
 use hookworks_membership::{Membership, ReportedVersion};
 use std::collections::HashMap;
@@ -37,17 +37,17 @@
 pub enum PeerEvent {
     /// A message and the time of its arrival. Timeouts count from then, as the message may
     /// be queued for longer than an answer is useful.
-    Message(Time, PeerMsg),
+    Message(Time, PeerMessage),
     /// The process with that label, or the link from it, has ended: requests forwarded to
     /// it will not be answered.
-    Disconnected(Label),
+    Disconnected(ControllerId),
 }
 
 /// How many workers report to a controller, and how many it can hold.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerLoad {
     /// Which controller.
-    pub label: Label,
+    pub label: ControllerId,
     /// How many workers report to it.
     pub workers: u32,
     /// The most workers that it can hold; earlier versions don't report it.
@@ -56,7 +56,7 @@
 
 /// The outbound side of the link to one other controller.
 struct Link {
-    queue: Sender<Vec<PeerMsg>>,
+    queue: Sender<Vec<PeerMessage>>,
     /// Number of restarts seen of that controller. A connection to an earlier process is
     /// useless, but may not fail for a while.
     restart_count: AtomicU64,
@@ -65,7 +65,7 @@
 /// The identity of this process, and its limit of workers.
 pub struct LocalController {
     /// The label of this controller.
-    pub label: Label,
+    pub label: ControllerId,
     /// Distinguishes this process from earlier ones with the same label.
     pub instance: Instance,
     /// The most workers that it can hold.
@@ -76,7 +76,7 @@
 pub struct Peers {
     local: LocalController,
     clock: Clock,
-    links: HashMap<Label, Link>,
+    links: HashMap<ControllerId, Link>,
     membership: Mutex<Membership>,
     next_link_id: AtomicU64,
     worker_count: AtomicU32,
@@ -141,15 +141,18 @@
         self.clock.now()
     }
 
-    fn ping(&self) -> PeerMsg {
+    fn ping(&self) -> PeerMessage {
         let now = self.now();
         let membership = self.membership();
-        PeerMsg::Ping {
+        PeerMessage::Ping {
             from: self.local.label.to_string(),
             leader: membership
                 .announced_leader()
                 .map(|(label, epoch)| (label.to_string(), epoch.0)),
-            hears: membership.live_peers(now).map(Label::to_string).collect(),
+            reachable: membership
+                .live_peers(now)
+                .map(ControllerId::to_string)
+                .collect(),
             workers: self.worker_count.load(Ordering::Relaxed),
         }
     }
@@ -166,13 +169,13 @@
         self.local.max_workers
     }
 
-    fn ping_extension(&self) -> (PingMore, PingSelf) {
-        let extension = PingMore {
-            workers_most: Some(self.local.max_workers),
-            speaks: versions::OWN.0,
+    fn ping_extension(&self) -> (PingExtension, PingIdentity) {
+        let extension = PingExtension {
+            max_workers: Some(self.local.max_workers),
+            version: versions::OWN_VERSION.0,
         };
         let instance = self.local.instance.0;
-        (extension, PingSelf { instance })
+        (extension, PingIdentity { instance })
     }
 
     /// Sets how many workers report to this controller; announced to the others.
@@ -184,7 +187,7 @@
     pub fn worker_loads(&self) -> Vec<PeerLoad> {
         let now = self.now();
         let membership = self.membership();
-        let load = |label: &Label| {
+        let load = |label: &ControllerId| {
             membership.status(now, label).map(|status| PeerLoad {
                 label: label.clone(),
                 workers: status.workers,
@@ -195,19 +198,19 @@
     }
 
     /// Sets the leader that this controller knows; announced to the others.
-    pub fn set_leader(&self, leader: Option<(Label, Epoch)>) {
+    pub fn set_leader(&self, leader: Option<(ControllerId, Epoch)>) {
         if self.membership().set_leader(leader) {
             self.ping_all();
         }
     }
 
     /// The leader with the largest epoch that any connected controller has announced.
-    pub fn best_leader(&self) -> Option<(Label, Epoch)> {
+    pub fn best_leader(&self) -> Option<(ControllerId, Epoch)> {
         self.membership().latest_leader(self.now())
     }
 
     /// The epoch in which a connected controller claims to lead itself.
-    pub fn claimed_epoch(&self, label: &Label) -> Option<Epoch> {
+    pub fn claimed_epoch(&self, label: &ControllerId) -> Option<Epoch> {
         let membership = self.membership();
         let claim = membership.status(self.now(), label)?.leader.as_ref();
         claim.filter(|l| l.0 == *label).map(|l| l.1)
@@ -219,25 +222,25 @@
     }
 
     /// Controllers that are not directly reachable.
-    pub fn unreachable_peers(&self) -> Vec<Label> {
+    pub fn unreachable_peers(&self) -> Vec<ControllerId> {
         self.membership().unreachable(self.now())
     }
 
     /// The last reported version of each controller, connected or not.
-    pub fn versions(&self) -> Vec<(Label, ReportedVersion)> {
+    pub fn versions(&self) -> Vec<(ControllerId, ReportedVersion)> {
         let membership = self.membership();
-        let owned = |(label, reported): (&Label, _)| (label.clone(), reported);
+        let owned = |(label, reported): (&ControllerId, _)| (label.clone(), reported);
         membership.versions().map(owned).collect()
     }
 
     /// Whether a controller is reachable, directly or through the third one.
-    pub fn reachable(&self, to: &Label) -> bool {
+    pub fn reachable(&self, to: &ControllerId) -> bool {
         self.membership().route(self.now(), to).is_some()
     }
 
     /// Queues messages to a controller. False if it is unreachable or its queue is full;
     /// then nothing is sent.
-    pub fn send(&self, to: &Label, messages: Vec<PeerMsg>) -> bool {
+    pub fn send(&self, to: &ControllerId, messages: Vec<PeerMessage>) -> bool {
         let via = self.membership().route(self.now(), to).cloned();
         let link = via.and_then(|label| self.links.get(&label));
         link.is_some_and(|link| link.queue.try_send(messages).is_ok())
--- a/src/peer/outbound.rs
+++ b/src/peer/outbound.rs
@@ -1,8 +1,8 @@
 //! The outbound connection to one other controller, for pings and messages.
 
 use super::Peers;
-use crate::ids::Label;
-use crate::wire::peer::PeerMsg;
+use crate::ids::ControllerId;
+use crate::wire::peer::PeerMessage;
 use crate::wire::peer_frame::{self, MAX_FRAME_BYTES};
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use std::io::Write;
@@ -37,7 +37,12 @@
 
 impl Peers {
     /// Keeps a connection to that controller open as long as this process lives.
-    pub(super) fn keep_link(&self, to: &Label, addr: SocketAddr, queue: &Receiver<Vec<PeerMsg>>) {
+    pub(super) fn keep_link(
+        &self,
+        to: &ControllerId,
+        addr: SocketAddr,
+        queue: &Receiver<Vec<PeerMessage>>,
+    ) {
         let Some(link) = self.links.get(to) else {
             return;
         };
@@ -68,8 +73,8 @@
     fn serve_link(
         &self,
         stream: &mut TcpStream,
-        to: &Label,
-        queue: &Receiver<Vec<PeerMsg>>,
+        to: &ControllerId,
+        queue: &Receiver<Vec<PeerMessage>>,
         is_current: impl Fn() -> bool,
     ) -> ConnectionEnd {
         let connected_at = Instant::now();
@@ -102,8 +107,8 @@
     fn write(
         &self,
         stream: &mut TcpStream,
-        messages: Vec<PeerMsg>,
-        queue: &Receiver<Vec<PeerMsg>>,
+        messages: Vec<PeerMessage>,
+        queue: &Receiver<Vec<PeerMessage>>,
     ) -> std::io::Result<()> {
         let mut frames = vec![];
         let more = queue.try_iter().take(BATCHES_PER_WRITE);
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -3,15 +3,15 @@
 use super::job::{Job, LATER_GROWTH_BYTES, MIN_PART_TASKS, compact_part_size, part_size};
 use crate::ids::Zone;
 use crate::store::RecordFormat;
-use crate::store::limits::VALUE_MARGIN;
 use crate::time::Time;
-use crate::wire::cloud::Flavor;
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobSpec, Kind};
 
 use super::Resources;
 use super::Scheduler;
 use super::dependency_ids::DependencyIds;
+use crate::store::limits::VALUE_MARGIN_BYTES;
+use crate::wire::cloud::MachineType;
+use crate::wire::user::{JobKind, JobSpec};
 
 /// The response to a submission that names more unfinished jobs than its record can hold.
 pub(super) fn too_many_dependencies() -> Answer {
@@ -27,8 +27,8 @@
         };
         let need = Resources::of_task(s);
         let concurrent_tasks = match s.kind {
-            Kind::Array => 1,
-            Kind::Gang | Kind::Service => s.tasks as i64,
+            JobKind::Array => 1,
+            JobKind::Gang | JobKind::Service => s.tasks as i64,
         };
         if let Some(part) = limit.first_lacking(&need.scaled(concurrent_tasks)) {
             return Ok(Some(format!("{part}: more than the team's limit")));
@@ -36,8 +36,8 @@
         if self.machine_types.is_empty() {
             return Err("machine types are not known yet".into());
         }
-        let allowed = |f: &&Flavor| s.builds.as_ref().is_none_or(|b| b.contains(&f.build));
-        let types: Vec<&Flavor> = self.machine_types.values().filter(allowed).collect();
+        let allowed = |f: &&MachineType| s.builds.as_ref().is_none_or(|b| b.contains(&f.build));
+        let types: Vec<&MachineType> = self.machine_types.values().filter(allowed).collect();
         if types.is_empty() {
             return Ok(Some("Builds: no such machine type".into()));
         }
@@ -99,7 +99,7 @@
     /// The smallest announced value limit, in bytes.
     fn smallest_value(&self) -> usize {
         let kb = self.config.value_kb.min(self.config.min_limits.value_kb);
-        ((kb * 1024.0) as usize).saturating_sub(VALUE_MARGIN)
+        ((kb * 1024.0) as usize).saturating_sub(VALUE_MARGIN_BYTES)
     }
 
     /// Whether the job's first record exceeds the limits of the state service, current or
@@ -135,7 +135,7 @@
             Ok(spec) => spec,
             Err(e) => return Answer::error(400, &e),
         };
-        if spec.needs.contains(&spec.id) {
+        if spec.dependencies.contains(&spec.id) {
             return Answer::error(422, "Awaits: a job can't need itself");
         }
         match self.unsatisfiable(&spec) {
--- a/src/sched/attempt_places.rs
+++ b/src/sched/attempt_places.rs
@@ -7,7 +7,7 @@
 //! doesn't match, the places are ignored.
 
 use super::job::ActiveAttempt;
-use crate::ids::{Build, Host, Zone};
+use crate::ids::{Host, MachineTypeId, Zone};
 use serde::{Deserialize, Serialize};
 
 /// The zone and the kind of a machine.
@@ -16,7 +16,7 @@
     /// The zone.
     pub zone: Zone,
     /// The machine type.
-    pub build: Build,
+    pub build: MachineTypeId,
     /// Whether it is a spot instance.
     pub spot: bool,
 }
@@ -26,7 +26,7 @@
 pub struct AttemptPlaces {
     /// The distinct places.
     #[serde(rename = "k")]
-    kinds: Vec<(Zone, Build, bool)>,
+    kinds: Vec<(Zone, MachineTypeId, bool)>,
     /// The index in `kinds` for each attempt, as one base-36 digit.
     #[serde(rename = "i")]
     kind_indexes: String,
--- a/src/sched/consistency.rs
+++ b/src/sched/consistency.rs
@@ -17,7 +17,7 @@
                 active_attempts += 1;
                 let task = crate::ids::TaskId {
                     job: job.id().clone(),
-                    ix: *ix,
+                    index: *ix,
                 };
                 let machine = self.machines.get(&live.host);
                 if !machine.is_some_and(|machine| machine.allocations.contains_key(&task)) {
--- a/src/sched/direct_calls.rs
+++ b/src/sched/direct_calls.rs
@@ -7,7 +7,7 @@
 use super::{DirectResult, Effect, Scheduler};
 use crate::ids::{CallId, Host, JobId, Token};
 use crate::time::{Span, Time};
-use crate::wire::worker::{Order, Orders};
+use crate::wire::worker::{Command, Commands};
 
 /// Backoff after a refused or unanswered direct call; until then commands go with
 /// heartbeat answers.
@@ -34,7 +34,7 @@
             return;
         }
         let orders = self.orders_for(now, host, Delivery::DirectCall);
-        let is_urgent = |order: &Order| !matches!(order, Order::Clear { .. });
+        let is_urgent = |order: &Command| !matches!(order, Command::Clear { .. });
         if !orders.iter().any(is_urgent) {
             return;
         }
@@ -43,10 +43,10 @@
             return;
         };
         machine.direct_call = Some(call);
-        let orders = Orders {
+        let orders = Commands {
             token: machine.token,
             session: machine.session,
-            orders,
+            commands: orders,
         };
         self.effects.push(Effect::Orders {
             call,
@@ -124,7 +124,7 @@
         };
         machine.allocations.keys().any(|task| {
             let job = self.jobs.get(&task.job);
-            let live = job.and_then(|job| job.active.get(&task.ix));
+            let live = job.and_then(|job| job.active.get(&task.index));
             live.is_some_and(awaits_command)
         })
     }
--- a/src/sched/estimate.rs
+++ b/src/sched/estimate.rs
@@ -4,13 +4,13 @@
 use super::job::Job;
 use super::machine::ENDLESS;
 use crate::time::Span;
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 
 /// Finished tasks after which their median replaces the estimate of the submission.
 pub const MIN_FINISHED_TASKS: usize = 3;
 
 pub fn of(job: &Job) -> Span {
-    if job.spec.kind == Kind::Service {
+    if job.spec.kind == JobKind::Service {
         return ENDLESS;
     }
     Span::secs(job.median_runtime.unwrap_or(job.spec.estimate_s))
--- a/src/sched/fair_share.rs
+++ b/src/sched/fair_share.rs
@@ -13,7 +13,7 @@
 use super::Scheduler;
 use super::job::Job;
 use super::place::is_placed_individually;
-use crate::ids::{Class, JobId, TaskId, TaskIx, Team};
+use crate::ids::{Class, JobId, TaskId, TaskIndex, Team};
 use crate::time::{Span, Time};
 use hookworks_fairness::{
     FairnessPolicy, GroupMetrics, JobEvent, LargestJobs, LargestJobsMetrics, ShareTracker,
@@ -107,11 +107,11 @@
 
     /// A task of the job starts; counts it against the boost of the job, if there is
     /// one.
-    pub fn task_started(&mut self, id: &JobId, ix: TaskIx) {
+    pub fn task_started(&mut self, id: &JobId, ix: TaskIndex) {
         if let Some(n) = self.boosted.get_mut(id).filter(|n| **n > 0) {
             *n -= 1;
             let job = id.clone();
-            self.protected.insert(TaskId { job, ix });
+            self.protected.insert(TaskId { job, index: ix });
         }
     }
 
--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -7,10 +7,10 @@
 use super::machine::{Machine, MachineState};
 use super::place::may_run_on;
 use super::{Effect, Scheduler};
-use crate::ids::{Build, Epoch, Host, JobId, Label, TaskId, Zone};
+use crate::ids::{ControllerId, Epoch, Host, JobId, MachineTypeId, TaskId, Zone};
 use crate::time::{Span, Time};
-use crate::wire::cloud::{Hire, Listed};
-use crate::wire::user::Kind;
+use crate::wire::cloud::{ListedHost, RentalRequest};
+use crate::wire::user::JobKind;
 use hookworks_job_lifecycle::Failure;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -46,7 +46,7 @@
 /// The kind of a machine, as it is requested from the cloud.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct MachineKind {
-    build: Build,
+    build: MachineTypeId,
     zone: Zone,
     spot: bool,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    fn of_request(request: &Hire) -> MachineKind {
+    fn of_request(request: &RentalRequest) -> MachineKind {
         MachineKind {
             build: request.build.clone(),
             zone: request.zone.clone(),
@@ -90,7 +90,7 @@
 
 /// A rental request without a final answer yet.
 struct PendingRental {
-    request: Hire,
+    request: RentalRequest,
     /// When to send the request again; none while it is in flight.
     retry_at: Option<Time>,
     retries: u32,
@@ -109,7 +109,7 @@
     /// Machines whose return the cloud has confirmed.
     returned: HashSet<Host>,
     /// When other controllers were last found unreachable.
-    pub unreachable_controllers: HashMap<Label, Time>,
+    pub unreachable_controllers: HashMap<ControllerId, Time>,
     /// The sequence number of the first job that was submitted under this leader; jobs
     /// before it were loaded.
     pub first_submitted_seq: u64,
@@ -133,7 +133,7 @@
     }
 
     /// Whether heartbeats through that controller may have been lost.
-    fn route_may_be_lost(&self, now: Time, controller: &Option<Label>) -> bool {
+    fn route_may_be_lost(&self, now: Time, controller: &Option<ControllerId>) -> bool {
         let since = controller
             .as_ref()
             .and_then(|label| self.unreachable_controllers.get(label));
@@ -208,7 +208,7 @@
     }
 
     /// Processes a page of the cloud's list of machines.
-    pub(super) fn machines_listed(&mut self, now: Time, list: Vec<Listed>) {
+    pub(super) fn machines_listed(&mut self, now: Time, list: Vec<ListedHost>) {
         let mut unexpected = 0;
         let mut unreported = vec![];
         for listed in list {
@@ -232,7 +232,7 @@
         }
     }
 
-    fn add_unexpected(&mut self, now: Time, listed: &Listed) {
+    fn add_unexpected(&mut self, now: Time, listed: &ListedHost) {
         tracing::debug!(host = %listed.host, status = %listed.status, "unexpected machine in the cloud's list");
         let token = self.base_token();
         let rented = Time(now.0.saturating_sub(Span::secs(listed.age_s).0));
@@ -243,7 +243,7 @@
     }
 
     /// Updates a machine from the list; true if it runs and has not reported yet.
-    fn update_listed(&mut self, now: Time, listed: &Listed) -> bool {
+    fn update_listed(&mut self, now: Time, listed: &ListedHost) -> bool {
         let Some(machine) = self.machines.get_mut(&listed.host) else {
             return false;
         };
@@ -393,7 +393,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.active.get(&task.ix) else {
+        let Some(live) = job.active.get(&task.index) else {
             return;
         };
         let machine = self.machines.get(&live.host);
@@ -409,10 +409,12 @@
         let saves_now = saves && now + margin >= until;
         match kind {
             // A service is moved while its machine is still up.
-            Kind::Service => self.stop_attempt(now, &task.job, task.ix, save_s + 1.0),
-            Kind::Gang if saves_now => self.stop_gang(now, &task.job),
-            Kind::Array if saves_now => self.stop_attempt(now, &task.job, task.ix, save_s + 1.0),
-            Kind::Gang | Kind::Array => {}
+            JobKind::Service => self.stop_attempt(now, &task.job, task.index, save_s + 1.0),
+            JobKind::Gang if saves_now => self.stop_gang(now, &task.job),
+            JobKind::Array if saves_now => {
+                self.stop_attempt(now, &task.job, task.index, save_s + 1.0)
+            }
+            JobKind::Gang | JobKind::Array => {}
         }
     }
 
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -9,7 +9,7 @@
 use super::place::{Candidate, JobView, Score, may_run_on};
 use crate::ids::{Attempt, Host, JobId, Zone};
 use crate::time::{Span, Time};
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -259,7 +259,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.spec.kind != Kind::Gang {
+        if job.spec.kind != JobKind::Gang {
             return;
         }
         if job.active.is_empty() {
@@ -361,7 +361,7 @@
 impl Job {
     /// Notes that the gang has run: its members can't be replaced any more.
     pub(super) fn update_gang_ran(&mut self, phase: Phase) {
-        if self.spec.kind == Kind::Gang && matches!(phase, Phase::Running | Phase::Saving) {
+        if self.spec.kind == JobKind::Gang && matches!(phase, Phase::Running | Phase::Saving) {
             self.gang_ran = true;
         }
     }
--- a/src/sched/lifecycle.rs
+++ b/src/sched/lifecycle.rs
@@ -6,10 +6,10 @@
 use super::records::Purpose;
 use super::requests::job_view_json;
 use super::{Effect, Scheduler};
-use crate::ids::{Class, Host, JobId, ReqId, TaskId, TaskIx, Team};
+use crate::ids::{Class, Host, JobId, RequestId, TaskId, TaskIndex, Team};
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask};
-use crate::wire::user::{HoldView, JobDetail, JobState, JobView, Kind, TaskSeconds};
+use crate::wire::peer::{Answer, Request};
+use crate::wire::user::{HoldView, JobDetail, JobKind, JobState, JobView, ResourceSeconds};
 use hookworks_job_lifecycle::{
     Failure, History, Hold, HoldKind, HoldRequest, Holds, JobEvent, ReleaseRequest, RetryDecision,
     WallMillis,
@@ -25,7 +25,13 @@
 
 impl Scheduler {
     /// Answers a hold or release of a job that is not active. Returns true if it answered.
-    fn refuse_unless_active(&mut self, now: Time, req: ReqId, id: &JobId, ask: &Ask) -> bool {
+    fn refuse_unless_active(
+        &mut self,
+        now: Time,
+        req: RequestId,
+        id: &JobId,
+        ask: &Request,
+    ) -> bool {
         if let Some(f) = self.finals.get(id) {
             let a = Answer::new(409, job_view_json(id, f.state, f.done, 0));
             self.answer(req, a);
@@ -56,12 +62,12 @@
         true
     }
 
-    pub(super) fn hold(&mut self, now: Time, req: ReqId, id: JobId, body: Vec<u8>) {
+    pub(super) fn hold(&mut self, now: Time, req: RequestId, id: JobId, body: Vec<u8>) {
         let r = match HoldRequest::parse(&body) {
             Ok(r) => r,
             Err(e) => return self.answer(req, Answer::error(400, &e)),
         };
-        if self.refuse_unless_active(now, req, &id, &Ask::Hold(id.to_string(), body)) {
+        if self.refuse_unless_active(now, req, &id, &Request::Hold(id.to_string(), body)) {
             return;
         }
         let hold = Hold {
@@ -99,7 +105,7 @@
         let Some(j) = self.jobs.get(id) else { return };
         let leeway = j.spec.save_s + 1.0;
         let has_begun = |l: &ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
-        if j.spec.kind == Kind::Gang {
+        if j.spec.kind == JobKind::Gang {
             // A gang begins as a whole or not at all.
             if !j.gang_ran && !j.active.values().any(has_begun) {
                 self.stop_gang(now, id);
@@ -111,7 +117,7 @@
         let not_begun =
             |l: &ActiveAttempt| l.phase == Phase::Placed && l.stop.is_none() && !l.inherited;
         let some = j.active.iter().filter(|(_, l)| not_begun(l));
-        let tasks: Vec<TaskIx> = some.map(|(t, _)| *t).collect();
+        let tasks: Vec<TaskIndex> = some.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop_attempt(now, id, t, leeway);
         }
@@ -120,23 +126,23 @@
     /// Tells active attempts to save and end; a gang as a whole.
     fn stop_running(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
-        if j.spec.kind == Kind::Gang {
+        if j.spec.kind == JobKind::Gang {
             return self.stop_gang(now, id);
         }
         let leeway = j.spec.save_s + 1.0;
         let not_stopping = j.active.iter().filter(|(_, l)| l.stop.is_none());
-        let tasks: Vec<TaskIx> = not_stopping.map(|(t, _)| *t).collect();
+        let tasks: Vec<TaskIndex> = not_stopping.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop_attempt(now, id, t, leeway);
         }
     }
 
-    pub(super) fn release(&mut self, now: Time, req: ReqId, id: JobId, body: Vec<u8>) {
+    pub(super) fn release(&mut self, now: Time, req: RequestId, id: JobId, body: Vec<u8>) {
         let r = match ReleaseRequest::parse(&body) {
             Ok(r) => r,
             Err(e) => return self.answer(req, Answer::error(400, &e)),
         };
-        if self.refuse_unless_active(now, req, &id, &Ask::Release(id.to_string(), body)) {
+        if self.refuse_unless_active(now, req, &id, &Request::Release(id.to_string(), body)) {
             return;
         }
         if self.remove_hold(&id, r.kind, &r.by)
@@ -154,7 +160,7 @@
 
     /// Answers once all changes of the job are stored, also if this request changed nothing,
     /// as an earlier one may not be stored yet.
-    fn answer_when_stored(&mut self, req: ReqId, id: &JobId, held: bool) {
+    fn answer_when_stored(&mut self, req: RequestId, id: &JobId, held: bool) {
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
@@ -222,7 +228,7 @@
             .get(&j.spec.class)
             .copied()
             .unwrap_or_default();
-        let of = (t.ix.0, j.spec.tasks);
+        let of = (t.index.0, j.spec.tasks);
         match j.failure_counts.failed(of, l.host.as_str(), why, &rule) {
             RetryDecision::NotCounted => {}
             RetryDecision::RetryAfter(pause) => {
@@ -233,7 +239,7 @@
                 let hold = Hold {
                     kind: HoldKind::System,
                     by: RETRY_LIMIT_AUTHOR.into(),
-                    why: format!("task {} failed {n} times, at last on {}", t.ix, l.host),
+                    why: format!("task {} failed {n} times, at last on {}", t.index, l.host),
                     at: wall.into(),
                 };
                 tracing::info!(job = %t.job, why = %hold.why, "job held: retry limit reached");
@@ -286,7 +292,7 @@
                 // Only stored state is shown: any other could be lost.
                 Some(j) if j.parts[0].stored_version == 0 => {}
                 Some(j) if j.cancelled && !j.cancellation_stored() => {}
-                Some(j) => lines.push((id, Ok(j.detail().line()))),
+                Some(j) => lines.push((id, Ok(j.detail().into_line()))),
                 None => {
                     let state = self.finals.get(&id).map(|f| f.state);
                     lines.push((id, Err(state)));
@@ -298,7 +304,7 @@
 
     /// Answers with all details of a job; the record of a finished one is read from the
     /// store.
-    pub(super) fn show_job(&mut self, now: Time, req: ReqId, id: JobId) {
+    pub(super) fn show_job(&mut self, now: Time, req: RequestId, id: JobId) {
         if !self.may_start(now) {
             return self.answer_unconfirmed(req);
         }
@@ -319,7 +325,7 @@
                 self.answer(req, Answer::new(200, body));
             }
             Some(_) => self.answer(req, Answer::later("the job is being stored", 1)),
-            None if !JobId::well_formed(id.as_str()) => {
+            None if !JobId::is_well_formed(id.as_str()) => {
                 self.answer(req, Answer::error(404, "no such job"));
             }
             None if self.record_reads_in_flight >= MAX_RECORD_READS
@@ -338,7 +344,7 @@
     pub(super) fn record_read(
         &mut self,
         now: Time,
-        req: ReqId,
+        req: RequestId,
         id: JobId,
         r: Result<Option<Value>, ()>,
     ) {
@@ -383,7 +389,7 @@
             let Some(j) = self.jobs.get(&t.job) else {
                 continue;
             };
-            let (Some(limit), Some(l)) = (j.spec.limit_s, j.active.get(&t.ix)) else {
+            let (Some(limit), Some(l)) = (j.spec.limit_s, j.active.get(&t.index)) else {
                 continue;
             };
             let Some(since) = l.running_since else {
@@ -397,15 +403,15 @@
             }
             let saves = j.spec.save_s + 1.0;
             if l.timed_out {
-                self.stop_attempt(now, &t.job, t.ix, 0.0);
+                self.stop_attempt(now, &t.job, t.index, 0.0);
                 continue;
             }
             tracing::info!(task = %t, limit, "task exceeded its time limit");
             let again = now + Span::secs(saves + self.config.workers.report_s);
-            if j.spec.kind == Kind::Gang {
+            if j.spec.kind == JobKind::Gang {
                 self.stop_gang(now, &t.job);
             } else {
-                self.stop_attempt(now, &t.job, t.ix, saves);
+                self.stop_attempt(now, &t.job, t.index, saves);
             }
             if let Some(l) = self.active_attempt_mut(&t) {
                 l.timed_out = true;
@@ -444,7 +450,7 @@
         let useful = match self.spec.kind {
             _ if done || kept => ran,
             // A replica is useful for as long as it runs.
-            Kind::Service => ran,
+            JobKind::Service => ran,
             _ if step > 0 => ran / step * step,
             _ => 0,
         };
@@ -464,8 +470,8 @@
     pub fn detail(&self) -> JobDetail {
         let detail = self.summary().detail(self.job_view(), &self.stored_holds);
         JobDetail {
-            needs: self.shown_needs(),
-            needs_count: self.needs.len(),
+            dependencies: self.shown_needs(),
+            dependency_count: self.needs.len(),
             ..detail
         }
     }
@@ -548,7 +554,7 @@
         let of = |ms: u64| {
             let t = ms as f64 / 1000.0;
             let (cpu, accelerator, memory_gb) = self.takes;
-            TaskSeconds {
+            ResourceSeconds {
                 cpu: t * cpu,
                 accelerator: t * accelerator,
                 memory_gb: t * memory_gb,
@@ -565,8 +571,8 @@
             ended_ms: self.ended,
             due_ms: self.due,
             held: holds.iter().cloned().collect(),
-            needs: vec![],
-            needs_count: 0,
+            dependencies: vec![],
+            dependency_count: 0,
             cancelled_with: self.cancelled_with.clone(),
             counts: JobEvent::ALL
                 .iter()
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -7,7 +7,7 @@
 use crate::ids::{JobId, Team};
 use crate::settings::Objective;
 use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
+use crate::wire::user::{JobKind, Priority};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Weight of the time for which a job would fill the fleet; it counts against the job.
@@ -145,7 +145,7 @@
             .any(|job| !job.spec.spot && job.needs.is_empty());
         let is_ordinary_gang = |shortage: &Shortage| {
             let job = self.jobs.get(&shortage.job);
-            job.is_some_and(|job| job.spec.kind == Kind::Gang && !job.spec.spot)
+            job.is_some_and(|job| job.spec.kind == JobKind::Gang && !job.spec.spot)
         };
         let gang_is_waiting = self.fleet.shortages.iter().any(is_ordinary_gang);
         Order {
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -11,9 +11,9 @@
 use super::machine::Machine;
 use super::order::{Order, Rank};
 use super::place::{may_run_on, task_id};
-use crate::ids::{Host, JobId, TaskIx, Zone};
+use crate::ids::{Host, JobId, TaskIndex, Zone};
 use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
+use crate::wire::user::{JobKind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tasks stopped in one round; the next pass sees the effect.
@@ -42,7 +42,7 @@
     cheap: bool,
     rank: &'a Rank,
     job: &'a Job,
-    task: TaskIx,
+    task: TaskIndex,
     machine: &'a Machine,
     chosen: bool,
 }
@@ -85,7 +85,7 @@
     /// Resources of tasks that are being stopped already.
     stopping: Resources,
     examined: u32,
-    stops: Vec<(JobId, TaskIx)>,
+    stops: Vec<(JobId, TaskIndex)>,
 }
 
 impl<'a> Selection<'a> {
@@ -208,7 +208,7 @@
         }
     }
 
-    fn chosen_stops(&self, now: Time, order: &Order) -> Vec<(JobId, TaskIx)> {
+    fn chosen_stops(&self, now: Time, order: &Order) -> Vec<(JobId, TaskIndex)> {
         let preemptors = self.preemptors(now, order);
         if preemptors.is_empty() {
             return vec![];
@@ -249,7 +249,7 @@
         let within_guarantee = order.is_within_guarantee(&shortage.job);
         // A gang needs whole machines in one place: stopping single tasks here and
         // there does not help it.
-        let is_gang = job.spec.kind == Kind::Gang;
+        let is_gang = job.spec.kind == JobKind::Gang;
         if is_gang || job.priority() == Priority::Low && !within_guarantee {
             return None;
         }
@@ -291,7 +291,7 @@
                     (Phase::Running, Some(since)) => (now - since).as_secs(),
                     _ => 0.0,
                 };
-                let is_array = job.spec.kind == Kind::Array;
+                let is_array = job.spec.kind == JobKind::Array;
                 // Tasks started from the reserved share are protected.
                 let guarded = self.service_shares.is_protected(&task_id(job.id(), *task));
                 let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
@@ -339,7 +339,7 @@
 impl<'a> Victim<'a> {
     fn new(
         job: &'a Job,
-        task: TaskIx,
+        task: TaskIndex,
         ran_s: f64,
         rank: &'a Rank,
         machine: &'a Machine,
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -3,10 +3,10 @@
 use super::dependencies::ParentOutcome;
 use super::job::{Final, Job};
 use super::{Effect, Scheduler};
-use crate::ids::{JobId, TaskIx};
+use crate::ids::{JobId, TaskIndex};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobState, Kind, Priority};
+use crate::wire::user::{JobKind, JobState, Priority};
 use hookworks_fairness::JobEvent;
 use std::collections::{HashSet, VecDeque};
 
@@ -157,7 +157,7 @@
 
 impl Scheduler {
     /// Queues the progress of a task to be written.
-    pub(super) fn note_progress(&mut self, id: &JobId, t: TaskIx) {
+    pub(super) fn note_progress(&mut self, id: &JobId, t: TaskIndex) {
         if let Some(j) = self.jobs.get_mut(id) {
             j.mark_changed(j.part_of(t), &mut self.write_queue, Purpose::Progress);
         }
@@ -171,10 +171,10 @@
         if j.closing_state.is_some() || !j.active.is_empty() {
             return;
         }
-        if j.spec.kind == Kind::Gang && j.done_count > 0 {
+        if j.spec.kind == JobKind::Gang && j.done_count > 0 {
             // If one task of a gang is done, all are.
             for t in 0..j.spec.tasks {
-                j.set_done(TaskIx(t));
+                j.set_done(TaskIndex(t));
             }
         }
         if j.cancelled {
--- a/src/sched/report_reconciliation.rs
+++ b/src/sched/report_reconciliation.rs
@@ -7,10 +7,10 @@
 use super::machine::{Machine, MachineState};
 use super::reachability::SessionChange;
 use super::{Scheduler, estimate};
-use crate::ids::{Attempt, Host, JobId, Seq, Session, TaskId, TaskIx};
+use crate::ids::{Attempt, Host, JobId, Seq, Session, TaskId, TaskIndex};
 use crate::time::{Span, Time};
-use crate::wire::user::Kind;
-use crate::wire::worker::{Cause, Order, Report, TaskReport, TaskState};
+use crate::wire::user::JobKind;
+use crate::wire::worker::{Cause, Command, Report, TaskReport, TaskState};
 use hookworks_fairness::JobEvent::Started;
 use hookworks_job_lifecycle::{Failure, JobEvent};
 use std::collections::{BTreeMap, BTreeSet};
@@ -217,7 +217,7 @@
 
     /// The active attempt of a task, if any.
     pub(super) fn active_attempt_mut(&mut self, task: &TaskId) -> Option<&mut ActiveAttempt> {
-        self.jobs.get_mut(&task.job)?.active.get_mut(&task.ix)
+        self.jobs.get_mut(&task.job)?.active.get_mut(&task.index)
     }
 
     /// Applies the report of one task. Returns true if it is an active attempt of ours
@@ -246,7 +246,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.active.get_mut(&task.ix) else {
+        let Some(live) = job.active.get_mut(&task.index) else {
             return;
         };
         let changed = live.phase != phase;
@@ -269,7 +269,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.active.get_mut(&task.ix) else {
+        let Some(live) = job.active.get_mut(&task.index) else {
             return;
         };
         // An attempt of an earlier leader may have been running for long: the recorded
@@ -357,14 +357,14 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let live = job.active.remove(&task.ix);
+        let live = job.active.remove(&task.index);
         let inherited = live.as_ref().is_some_and(|live| live.inherited);
         if let Some(live) = &live {
             job.record_usage(now, live, true, false);
             job.history.note(JobEvent::Done, self.wall.into());
         }
-        job.failure_counts.done(task.ix.0);
-        job.set_done(task.ix);
+        job.failure_counts.done(task.index.0);
+        job.set_done(task.index);
         job.errors = 0;
         if let Some(since) = running_since.filter(|_| !inherited) {
             job.record_runtime((now - since).as_secs());
@@ -372,7 +372,7 @@
                 self.refresh_estimates(&task.job);
             }
         }
-        self.note_progress(&task.job, task.ix);
+        self.note_progress(&task.job, task.index);
         self.finish_if_complete(&task.job);
     }
 
@@ -383,15 +383,15 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let waits = job.closing_state.is_none() && !job.cancelled && job.is_startable(task.ix);
-        if job.spec.kind != Kind::Array || !waits {
+        let waits = job.closing_state.is_none() && !job.cancelled && job.is_startable(task.index);
+        if job.spec.kind != JobKind::Array || !waits {
             return;
         }
         tracing::debug!(%task, attempt = %report.attempt, "task completed by an attempt presumed lost");
         job.history.note(JobEvent::Done, self.wall.into());
-        job.failure_counts.done(task.ix.0);
-        job.set_done(task.ix);
-        self.note_progress(&task.job, task.ix);
+        job.failure_counts.done(task.index.0);
+        job.set_done(task.index);
+        self.note_progress(&task.job, task.index);
         self.finish_if_complete(&task.job);
     }
 
@@ -402,7 +402,7 @@
         for (ix, live) in &job.active {
             let task = TaskId {
                 job: id.clone(),
-                ix: *ix,
+                index: *ix,
             };
             if let Some(machine) = self.machines.get_mut(&live.host)
                 && let Some(allocation) = machine.allocations.get_mut(&task)
@@ -418,7 +418,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.active.get(&task.ix) else {
+        let Some(live) = job.active.get(&task.index) else {
             return;
         };
         self.teams.subtract(&job.spec.team, &job.need);
@@ -451,7 +451,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.active.remove(&task.ix) else {
+        let Some(live) = job.active.remove(&task.index) else {
             return;
         };
         job.record_usage(now, &live, false, kept);
@@ -461,14 +461,14 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.spec.kind == Kind::Gang && job.done_count > 0 {
+        if job.spec.kind == JobKind::Gang && job.done_count > 0 {
             // A gang completes as a whole: only this member's completion was not
             // reported.
-            job.set_done(task.ix);
+            job.set_done(task.index);
         }
-        job.requeue(task.ix);
+        job.requeue(task.index);
         self.gang_member_lost(now, &task.job);
-        self.note_progress(&task.job, task.ix);
+        self.note_progress(&task.job, task.index);
         self.finish_if_complete(&task.job);
     }
 
@@ -521,7 +521,12 @@
     /// The commands for a worker. A worker that misses an answer sends another
     /// heartbeat and gets the same commands again. Commands that end attempts are not
     /// limited in number.
-    pub(super) fn orders_for(&mut self, now: Time, host: &Host, delivery: Delivery) -> Vec<Order> {
+    pub(super) fn orders_for(
+        &mut self,
+        now: Time,
+        host: &Host,
+        delivery: Delivery,
+    ) -> Vec<Command> {
         // Nothing is started while the leadership is not proven.
         let may_run = self.may_start_on(now, host, delivery) && self.may_start(now);
         let Some(machine) = self.machines.get(host) else {
@@ -553,18 +558,18 @@
     }
 
     /// Commands to end attempts that are not ours, and to clear them once ended.
-    fn orders_for_unknown_attempts(&self, machine: &Machine, only_kill: bool) -> Vec<Order> {
+    fn orders_for_unknown_attempts(&self, machine: &Machine, only_kill: bool) -> Vec<Command> {
         let may_clear = !only_kill && machine.unconfirmed_token.is_none();
         let order = |((task, attempt), ended): (&(TaskId, Attempt), &bool)| {
             let (task, attempt) = (task.clone(), *attempt);
             if !ended {
-                return Some(Order::Kill {
+                return Some(Command::Kill {
                     task,
                     attempt,
                     leeway_s: 0.0,
                 });
             }
-            (may_clear && self.can_clear(&task)).then_some(Order::Clear { task, attempt })
+            (may_clear && self.can_clear(&task)).then_some(Command::Clear { task, attempt })
         };
         machine.unknown_attempts.iter().filter_map(order).collect()
     }
@@ -576,10 +581,10 @@
         seq: Seq,
         delivery: Delivery,
         may_run: bool,
-    ) -> Option<Order> {
+    ) -> Option<Command> {
         let answers = delivery != Delivery::DirectCall;
         let job = self.jobs.get(&task.job)?;
-        let stored = job.parts[job.part_of(task.ix)].stored_version;
+        let stored = job.parts[job.part_of(task.index)].stored_version;
         let live = self.active_attempt_mut(&task)?;
         let attempt = live.attempt;
         match (live.phase, live.stop) {
@@ -591,13 +596,13 @@
                 if answers {
                     live.run_sent_in = Some(seq);
                 }
-                Some(Order::Run { task, attempt })
+                Some(Command::Run { task, attempt })
             }
             // The attempt may start between this report and the answer, so an answer
             // that renews the lease must repeat every stop. A direct call renews no
             // lease.
             (Phase::Placed, Some(_)) if !(answers && live.run_sent) => None,
-            (_, Some(stop)) => Some(Order::Kill {
+            (_, Some(stop)) => Some(Command::Kill {
                 task,
                 attempt,
                 leeway_s: stop.leeway_s,
@@ -611,8 +616,8 @@
         match self.jobs.get(&task.job) {
             // The record of its outcome can't be read.
             None if self.unreadable.contains_key(&task.job) => false,
-            Some(job) if task.ix.0 < job.spec.tasks => {
-                job.closing_state.is_none() && job.part_stored(task.ix)
+            Some(job) if task.index.0 < job.spec.tasks => {
+                job.closing_state.is_none() && job.part_stored(task.index)
             }
             _ => true,
         }
@@ -621,10 +626,10 @@
     /// Stops an attempt, with `leeway_s` seconds to save its progress. The command is
     /// sent after the current event has been processed: sent earlier, it could carry
     /// `run` for attempts that the same event stops or declares gone.
-    pub(super) fn stop_attempt(&mut self, now: Time, id: &JobId, ix: TaskIx, leeway_s: f64) {
+    pub(super) fn stop_attempt(&mut self, now: Time, id: &JobId, ix: TaskIndex, leeway_s: f64) {
         let task = TaskId {
             job: id.clone(),
-            ix,
+            index: ix,
         };
         let Some(live) = self.active_attempt_mut(&task) else {
             return;
