--- a/tests/controller_requests.rs
+++ b/tests/controller_requests.rs
@@ -1,30 +1,31 @@
-//! Requests that controllers pass on among themselves, across the ends of processes.
+//! Requests forwarded between controllers, across restarts of their processes.
 
 use hookworks::ids::{Epoch, Instance, Label};
 use hookworks::node::{first_request_id, leader_restarted};
 
-/// Reports that a leader was asked before it ended waited for its answer until
-/// their workers gave up, though it led again under the same name.
+/// Guards against heartbeats that wait for a restarted leader: it leads again under the
+/// same label, but does not know the requests sent to its earlier process.
 #[test]
-fn a_leader_that_leads_again_has_forgotten_what_it_was_asked() {
+fn leader_with_a_larger_epoch_does_not_know_earlier_requests() {
     let of = |l: &str, e| (Label::from(l), Epoch(e));
-    let asked = of("a", 4);
-    assert!(leader_restarted(&asked, Some(&of("a", 5))));
-    assert!(!leader_restarted(&asked, Some(&of("a", 4))));
-    // Another leads: the answer may be on its way yet.
-    assert!(!leader_restarted(&asked, Some(&of("b", 5))));
-    assert!(!leader_restarted(&asked, None));
+    let forwarded_to = of("a", 4);
+    assert!(leader_restarted(&forwarded_to, Some(&of("a", 5))));
+    assert!(!leader_restarted(&forwarded_to, Some(&of("a", 4))));
+    // Another controller leads: the answer may still arrive.
+    assert!(!leader_restarted(&forwarded_to, Some(&of("b", 5))));
+    assert!(!leader_restarted(&forwarded_to, None));
 }
 
-/// A follower was back after 0.3 s with request 1 open when the leader's
-/// answer to request 1 of its earlier process arrived.
+/// Guards against a wrong answer: a follower restarted within 0.3 s and had request 1 open
+/// when the leader's answer to request 1 of its earlier process arrived.
 #[test]
-fn no_two_processes_of_a_label_number_their_requests_alike() {
-    let of = |i: u64| {
-        first_request_id(Instance(i))..first_request_id(Instance(i)) + (u32::MAX as u64 - 1)
+fn request_ids_of_two_processes_do_not_overlap() {
+    let ids_of = |instance: u64| {
+        first_request_id(Instance(instance))
+            ..first_request_id(Instance(instance)) + (u32::MAX as u64 - 1)
     };
     for (a, b) in [(0, 1), (7, 8), (u32::MAX as u64 - 1, u32::MAX as u64)] {
-        assert!(!of(a).contains(&first_request_id(Instance(b))));
-        assert!(!of(b).contains(&first_request_id(Instance(a))));
+        assert!(!ids_of(a).contains(&first_request_id(Instance(b))));
+        assert!(!ids_of(b).contains(&first_request_id(Instance(a))));
     }
 }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,4 +1,4 @@
-//! One leader by a leased key, whoever ends and comes back in whatever order.
+//! Leader election by a leased key, with processes that crash and restart in any order.
 
 mod world;
 
@@ -21,56 +21,56 @@
 const JOB: &str = "job-000001";
 const DONE: &str = "\"Status\":\"done\"";
 
-fn elector(s: &Handle, name: &str) -> Elector<Handle> {
-    candidate(s, name, 1, None)
+fn elector(store: &Handle, name: &str) -> Elector<Handle> {
+    candidate(store, name, 1, None)
 }
 
 fn candidate(
-    s: &Handle,
+    store: &Handle,
     name: &str,
     instance: u64,
     address: Option<BoundAddress>,
 ) -> Elector<Handle> {
-    let me = Candidate {
+    let candidate = Candidate {
         label: name.into(),
         instance: Instance(instance),
         address,
     };
-    Elector::new(s.clone(), me, Span::secs(2.0))
+    Elector::new(store.clone(), candidate, Span::secs(2.0))
 }
 
 #[test]
-fn each_term_has_a_larger_epoch_and_one_leader() {
-    let s = Handle::default();
-    let (mut a, mut b) = (elector(&s, "a"), elector(&s, "b"));
-    let won = |e: ElectionOutcome| match e {
+fn each_leadership_has_a_larger_epoch_and_one_leader() {
+    let store = Handle::default();
+    let (mut a, mut b) = (elector(&store, "a"), elector(&store, "b"));
+    let elected = |e: ElectionOutcome| match e {
         ElectionOutcome::Elected { epoch, .. } => epoch,
         e => panic!("{e:?}"),
     };
-    assert_eq!(won(a.step(|| Time(0))), Epoch(1));
+    assert_eq!(elected(a.step(|| Time(0))), Epoch(1));
     assert!(matches!(
         b.step(|| Time(0)),
         ElectionOutcome::Following(Some(_))
     ));
-    s.at(1_900_000);
+    store.at(1_900_000);
     assert_eq!(a.step(|| Time(7)), ElectionOutcome::Renewed(Time(7)));
-    s.at(4_000_000);
-    assert_eq!(won(b.step(|| Time(0))), Epoch(2));
+    store.at(4_000_000);
+    assert_eq!(elected(b.step(|| Time(0))), Epoch(2));
     assert_eq!(a.step(|| Time(0)), ElectionOutcome::LeaseLost);
     b.resign();
-    assert_eq!(won(a.step(|| Time(0))), Epoch(3));
+    assert_eq!(elected(a.step(|| Time(0))), Epoch(3));
 }
 
 #[test]
-fn an_election_whose_answer_is_lost_is_read_back() {
-    let s = Handle::default();
-    let mut a = elector(&s, "a");
-    s.lose_next_answer();
+fn lost_campaign_answer_is_read_back() {
+    let store = Handle::default();
+    let mut a = elector(&store, "a");
+    store.lose_next_answer();
     assert!(matches!(
         a.step(|| Time(0)),
         ElectionOutcome::Elected { .. }
     ));
-    assert!(s.read(LEADER).unwrap().is_some());
+    assert!(store.read(LEADER).unwrap().is_some());
 }
 
 fn bound_address(addr: &str, system: Option<&str>) -> BoundAddress {
@@ -80,78 +80,82 @@
     }
 }
 
-/// Whether a process at `now` ends what an earlier one of its label led at `then`.
-fn ends(then: Option<BoundAddress>, now: Option<BoundAddress>) -> bool {
-    let s = Handle::default();
-    let mut first = candidate(&s, "a", 1, then);
+/// Whether a process at address `new` revokes the lease of an earlier one with the same
+/// label at address `old`.
+fn revokes(old: Option<BoundAddress>, new: Option<BoundAddress>) -> bool {
+    let store = Handle::default();
+    let mut first = candidate(&store, "a", 1, old);
     assert!(matches!(
         first.step(|| Time(0)),
         ElectionOutcome::Elected { .. }
     ));
-    let won = matches!(
-        candidate(&s, "a", 2, now).step(|| Time(0)),
+    let elected = matches!(
+        candidate(&store, "a", 2, new).step(|| Time(0)),
         ElectionOutcome::Elected {
             epoch: Epoch(2),
             ..
         }
     );
-    // The earlier one, were it alive, would hear of it with its next renewal.
-    assert_eq!(first.step(|| Time(9)) == ElectionOutcome::LeaseLost, won);
-    won
+    // The earlier process would learn of it at its next renewal.
+    assert_eq!(
+        first.step(|| Time(9)) == ElectionOutcome::LeaseLost,
+        elected
+    );
+    elected
 }
 
-/// A controller was back after 0.3 s and waited more than a second for the
-/// lease of the very process that it had replaced.
+/// Guards against a restarted controller that waits for its predecessor's lease: after a
+/// restart of 0.3 s it waited more than a second for it to expire.
 #[test]
-fn the_lease_of_an_earlier_process_at_the_same_place_is_ended() {
+fn lease_of_an_earlier_process_at_the_same_address_is_revoked() {
     let at = |system| Some(bound_address("10.0.0.1:81", system));
-    assert!(ends(at(None), at(None)));
-    assert!(ends(at(Some("boot 1")), at(Some("boot 1"))));
-    // Where the system tells who it is, any address will do.
+    assert!(revokes(at(None), at(None)));
+    assert!(revokes(at(Some("boot 1")), at(Some("boot 1"))));
+    // Where the system is known, the address need not be unique.
     let local = Some(bound_address("127.0.0.1:81", Some("boot 1")));
-    assert!(ends(local.clone(), local));
+    assert!(revokes(local.clone(), local));
 }
 
-/// Whoever may be alive elsewhere counts on its lease: it answers polls and
-/// starts tasks until that has run out.
+/// A process that may be alive relies on its lease: it answers polls and starts tasks
+/// until the lease expires.
 #[test]
-fn the_lease_of_a_process_that_may_be_alive_is_left_alone() {
+fn lease_of_a_process_that_may_be_alive_is_not_revoked() {
     let at = |a: &str, system| Some(bound_address(a, system));
-    let place = at("10.0.0.1:81", None);
-    // The same label by mistake, elsewhere.
-    assert!(!ends(place.clone(), at("10.0.0.2:81", None)));
-    // A machine that has taken the address of one that is cut off.
+    let address = at("10.0.0.1:81", None);
+    // The same label, misconfigured on another machine.
+    assert!(!revokes(address.clone(), at("10.0.0.2:81", None)));
+    // A machine that has taken over the address of a partitioned one.
     let (one, two) = (Some("boot 1"), Some("boot 2"));
-    assert!(!ends(at("10.0.0.1:81", one), at("10.0.0.1:81", two)));
-    // Addresses that every machine has, on one that does not tell which it is.
+    assert!(!revokes(at("10.0.0.1:81", one), at("10.0.0.1:81", two)));
+    // Addresses that every machine has, on an unknown system.
     for a in ["0.0.0.0:81", "127.0.0.1:81", "[::]:81", "[::1]:81"] {
-        assert!(!ends(at(a, None), at(a, None)), "{a}");
+        assert!(!revokes(at(a, None), at(a, None)), "{a}");
     }
-    // An earlier version does not say where it is.
-    assert!(!ends(None, place.clone()));
-    assert!(!ends(place, None));
+    // An earlier version does not record its address.
+    assert!(!revokes(None, address.clone()));
+    assert!(!revokes(address, None));
 }
 
-/// Another label leads: its lease is nobody else's to end, wherever it is.
+/// The lease of a controller with another label is never revoked, at any address.
 #[test]
-fn the_lease_of_another_controller_is_left_alone() {
-    let s = Handle::default();
-    let place = Some(bound_address("10.0.0.1:81", None));
-    candidate(&s, "a", 1, place.clone()).step(|| Time(0));
-    let seen = candidate(&s, "b", 1, place).step(|| Time(0));
+fn lease_of_another_controller_is_not_revoked() {
+    let store = Handle::default();
+    let address = Some(bound_address("10.0.0.1:81", None));
+    candidate(&store, "a", 1, address.clone()).step(|| Time(0));
+    let seen = candidate(&store, "b", 1, address).step(|| Time(0));
     assert!(matches!(seen, ElectionOutcome::Following(Some(l)) if l.label == "a".into()));
 }
 
-/// The same number may come up for two processes in turn: the place decides.
+/// Two processes may draw the same random instance number: the address decides.
 #[test]
-fn an_instance_that_comes_up_twice_is_told_apart_by_what_it_leads() {
-    let s = Handle::default();
+fn repeated_instance_number_is_resolved_by_address() {
+    let store = Handle::default();
     let at = || Some(bound_address("10.0.0.1:81", None));
-    candidate(&s, "a", 7, at()).step(|| Time(0));
-    let mut next = candidate(&s, "a", 7, at());
-    let won = next.step(|| Time(0));
+    candidate(&store, "a", 7, at()).step(|| Time(0));
+    let mut next = candidate(&store, "a", 7, at());
+    let elected = next.step(|| Time(0));
     assert!(matches!(
-        won,
+        elected,
         ElectionOutcome::Elected {
             epoch: Epoch(2),
             ..
@@ -160,12 +164,12 @@
     assert_eq!(next.step(|| Time(5)), ElectionOutcome::Renewed(Time(5)));
 }
 
-/// An election given up as its outcome was unclear may be carried out later.
+/// A campaign abandoned because its outcome was unclear may be applied later.
 #[test]
-fn an_own_election_that_took_effect_late_is_ended_and_held_anew() {
-    let s = Handle::default();
-    let mut a = candidate(&s, "a", 1, Some(bound_address("10.0.0.1:81", None)));
-    let lease = s.grant(2_000).unwrap();
+fn own_campaign_applied_late_is_revoked_and_repeated() {
+    let store = Handle::default();
+    let mut a = candidate(&store, "a", 1, Some(bound_address("10.0.0.1:81", None)));
+    let lease = store.grant(2_000).unwrap();
     let late = serde_json::json!({
         "label": "a", "epoch": 1, "instance": 1, "home": bound_address("10.0.0.1:81", None)
     });
@@ -178,49 +182,50 @@
         conditions: vec![],
         changes: vec![put(LEADER, late, Some(lease))],
     };
-    assert!(matches!(s.apply(&txn), Outcome::Ok(_)));
+    assert!(matches!(store.apply(&txn), Outcome::Ok(_)));
     assert!(matches!(
         a.step(|| Time(0)),
         ElectionOutcome::Elected { .. }
     ));
-    assert_eq!(s.renew(lease), Ok(false));
+    assert_eq!(store.renew(lease), Ok(false));
 }
 
-/// What the replaced process had under way arrives after its lease was ended:
-/// before the next leader is there, and after.
+/// Transactions in flight from the replaced process arrive after its lease was revoked,
+/// before and after the next election.
 #[test]
-fn what_a_replaced_process_sent_is_not_applied_any_more() {
-    let s = Handle::default();
+fn transactions_of_a_replaced_process_are_refused() {
+    let store = Handle::default();
     let at = || Some(bound_address("10.0.0.1:81", None));
     let ElectionOutcome::Elected {
         revision: stamp, ..
-    } = candidate(&s, "a", 1, at()).step(|| Time(0))
+    } = candidate(&store, "a", 1, at()).step(|| Time(0))
     else {
         panic!()
     };
     let (_, _, txn, _) = submitted(stamp);
-    // Its lease is ended, nobody leads yet.
-    let lease = s.read(LEADER).unwrap().unwrap().lease.unwrap();
-    s.revoke(lease);
-    assert!(matches!(s.apply(&txn), Outcome::Conflict(_)));
-    candidate(&s, "a", 2, at()).step(|| Time(0));
-    assert!(matches!(s.apply(&txn), Outcome::Conflict(_)));
-    assert!(!s.keys().iter().any(|k| k.contains(JOB)));
-    // Nor does a renewal under way bring the lease back.
-    assert_eq!(s.renew(lease), Ok(false));
+    // Its lease is revoked, nobody leads yet.
+    let lease = store.read(LEADER).unwrap().unwrap().lease.unwrap();
+    store.revoke(lease);
+    assert!(matches!(store.apply(&txn), Outcome::Conflict(_)));
+    candidate(&store, "a", 2, at()).step(|| Time(0));
+    assert!(matches!(store.apply(&txn), Outcome::Conflict(_)));
+    assert!(!store.keys().iter().any(|k| k.contains(JOB)));
+    // A renewal in flight does not bring the lease back.
+    assert_eq!(store.renew(lease), Ok(false));
 }
 
-/// During an outage nothing is ended; the step after it does both at once.
+/// During an outage no lease is revoked; the first step after it revokes the lease and
+/// campaigns.
 #[test]
-fn an_outage_only_puts_the_end_of_that_lease_off() {
-    let s = Handle::default();
+fn outage_only_delays_the_revocation() {
+    let store = Handle::default();
     let at = || Some(bound_address("10.0.0.1:81", None));
-    candidate(&s, "a", 1, at()).step(|| Time(0));
-    s.down(true);
-    let mut next = candidate(&s, "a", 2, at());
+    candidate(&store, "a", 1, at()).step(|| Time(0));
+    store.down(true);
+    let mut next = candidate(&store, "a", 2, at());
     assert_eq!(next.step(|| Time(0)), ElectionOutcome::Unavailable);
     assert!(next.step_interval() < Span::millis(400));
-    s.down(false);
+    store.down(false);
     assert!(matches!(
         next.step(|| Time(0)),
         ElectionOutcome::Elected { .. }
@@ -229,166 +234,172 @@
 
 /// A new job through scheduler and committer, up to its transaction.
 fn submitted(stamp: Stamp) -> (Desk, Committer, hookworks::wire::state::Txn, TxnId) {
-    let mut d = Desk::new(1);
-    d.stores = false;
-    d.submit(&job(1, 2));
-    let mut c = Committer::new(stamp, &settings("x").platform.params.state);
-    let (id, txn) = c.next(Time(d.now), &mut d.s).expect("something to write");
-    (d, c, txn, id)
+    let mut desk = Desk::new(1);
+    desk.stores = false;
+    desk.submit(&job(1, 2));
+    let mut committer = Committer::new(stamp, &settings("x").platform.params.state);
+    let (id, txn) = committer
+        .next(Time(desk.now), &mut desk.s)
+        .expect("something to write");
+    (desk, committer, txn, id)
 }
 
 #[test]
-fn a_deposed_leader_writes_nothing() {
-    let s = Handle::default();
-    let mut a = elector(&s, "a");
+fn deposed_leader_writes_nothing() {
+    let store = Handle::default();
+    let mut a = elector(&store, "a");
     let ElectionOutcome::Elected {
         revision: stamp, ..
     } = a.step(|| Time(0))
     else {
         panic!()
     };
-    let (mut d, mut c, txn, id) = submitted(stamp);
-    s.at(5_000_000);
+    let (mut desk, mut committer, txn, id) = submitted(stamp);
+    store.at(5_000_000);
     assert!(matches!(
-        elector(&s, "b").step(|| Time(0)),
+        elector(&store, "b").step(|| Time(0)),
         ElectionOutcome::Elected { .. }
     ));
-    // The late transaction arrives: even a new key is not written.
-    let o = s.apply(&txn);
-    assert!(!s.keys().iter().any(|k| k.contains(JOB)));
-    let (events, steps) = c.finished(Time(d.now), id, o, &mut d.s);
+    // The late transaction arrives: not even a new key is written.
+    let outcome = store.apply(&txn);
+    assert!(!store.keys().iter().any(|k| k.contains(JOB)));
+    let (events, steps) = committer.finished(Time(desk.now), id, outcome, &mut desk.s);
     assert!(events.is_empty());
     assert_eq!(steps, vec![Step::Deposed]);
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_is_read_back_not_taken_for_granted() {
-    let s = Handle::default();
-    let mut a = elector(&s, "a");
+fn write_with_a_lost_answer_is_read_back_before_it_counts_as_stored() {
+    let store = Handle::default();
+    let mut a = elector(&store, "a");
     let ElectionOutcome::Elected {
         revision: stamp, ..
     } = a.step(|| Time(0))
     else {
         panic!()
     };
-    let (mut d, mut c, txn, id) = submitted(stamp);
-    s.apply(&txn);
-    let (events, _) = c.finished(Time(d.now), id, Outcome::Unclear, &mut d.s);
-    assert!(events.is_empty(), "an unclear outcome told as stored");
-    d.now += 500_000;
-    let (id, txn) = c.next(Time(d.now), &mut d.s).unwrap();
-    let o = s.apply(&txn);
-    assert!(matches!(o, Outcome::Conflict(_)));
-    let (_, steps) = c.finished(Time(d.now), id, o, &mut d.s);
+    let (mut desk, mut committer, txn, id) = submitted(stamp);
+    store.apply(&txn);
+    let (events, _) = committer.finished(Time(desk.now), id, Outcome::Unclear, &mut desk.s);
+    assert!(events.is_empty(), "unclear outcome reported as stored");
+    desk.now += 500_000;
+    let (id, txn) = committer.next(Time(desk.now), &mut desk.s).unwrap();
+    let outcome = store.apply(&txn);
+    assert!(matches!(outcome, Outcome::Conflict(_)));
+    let (_, steps) = committer.finished(Time(desk.now), id, outcome, &mut desk.s);
     for step in steps {
         let Step::Read(key) = step else { panic!() };
-        let item = s.read(&key).unwrap();
-        c.read_back(key, Ok(item), &mut d.s);
+        let item = store.read(&key).unwrap();
+        committer.read_back(key, Ok(item), &mut desk.s);
     }
-    let (id, txn) = c.next(Time(d.now), &mut d.s).unwrap();
-    let o = s.apply(&txn);
-    let (events, _) = c.finished(Time(d.now), id, o, &mut d.s);
+    let (id, txn) = committer.next(Time(desk.now), &mut desk.s).unwrap();
+    let outcome = store.apply(&txn);
+    let (events, _) = committer.finished(Time(desk.now), id, outcome, &mut desk.s);
     assert!(matches!(&events[..], [Event::Stored(Key::Part(j, 0), _)] if j.as_str() == JOB));
 }
 
 #[test]
 fn transactions_stay_within_the_limits() {
-    let mut d = Desk::new(1);
-    d.stores = false;
+    let mut desk = Desk::new(1);
+    desk.stores = false;
     for n in 0..200 {
-        d.submit(&job(n, 1));
+        desk.submit(&job(n, 1));
     }
     let limits = settings("x").platform.params.state;
-    let mut c = Committer::new(Stamp(1), &limits);
+    let mut committer = Committer::new(Stamp(1), &limits);
     let mut changes = 0;
     for step in 0..40 {
-        let now = Time(d.now + step * 25_000);
-        while let Some((id, txn)) = c.next(now, &mut d.s) {
+        let now = Time(desk.now + step * 25_000);
+        while let Some((id, txn)) = committer.next(now, &mut desk.s) {
             assert!(txn.changes.len() <= limits.txn_ops);
             assert!(txn.conditions.len() <= 4 * limits.txn_ops);
             changes += txn.changes.len();
-            c.finished(now, id, Outcome::Ok(Stamp(9)), &mut d.s);
+            committer.finished(now, id, Outcome::Ok(Stamp(9)), &mut desk.s);
         }
     }
-    // A second's worth and the burst that the service allows.
+    // The rate of one second plus the burst that the service allows.
     assert!(changes as f64 <= 2.0 * limits.write_rps, "{changes}");
     assert!(changes as f64 > 0.8 * limits.write_rps, "{changes}");
 }
 
-/// What a large job left behind took all changes while its sweeping went on, for
-/// fifteen seconds; and the ends of many small jobs passed those who waited.
+/// Guards against starved submissions: the garbage collection of a large job once used
+/// the whole write rate for fifteen seconds, and the final states of many small jobs were
+/// written before waiting submissions.
 #[test]
-fn neither_litter_nor_ends_hold_up_who_waits() {
-    let mut d = Desk::new(1);
-    d.stores = false;
+fn garbage_collection_and_final_states_do_not_delay_submissions() {
+    let mut desk = Desk::new(1);
+    desk.stores = false;
     let limits = settings("x").platform.params.state;
-    let mut c = Committer::new(Stamp(1), &limits);
+    let mut committer = Committer::new(Stamp(1), &limits);
     for n in 0..2000 {
-        c.add_litter(format!("hookworks/part/job-900000/{n:06}"), Stamp(1));
+        committer.add_litter(format!("hookworks/part/job-900000/{n:06}"), Stamp(1));
     }
     for n in 0..200 {
-        d.submit(&job(100 + n, 1));
+        desk.submit(&job(100 + n, 1));
     }
-    d.store();
+    desk.store();
     for n in 0..200 {
-        d.ask(Ask::Cancel(format!("job-{:06}", 100 + n)));
+        desk.ask(Ask::Cancel(format!("job-{:06}", 100 + n)));
     }
-    // The cancellations themselves are stored; the ends wait.
-    let lengths = d.s.dirty.lengths();
+    // The cancellations are stored; the final states wait.
+    let lengths = desk.s.dirty.lengths();
     assert!(lengths[0] + lengths[2] >= 200, "{lengths:?}");
-    let (mut swept, mut ended, mut longest) = (0, 0, 0);
+    let (mut collected, mut ended, mut longest_wait) = (0, 0, 0);
     let mut waiting: Option<(ReqId, u64)> = None;
     let mut burst: Vec<ReqId> = vec![];
     for step in 0..800 {
-        d.now += 25_000;
-        let now = Time(d.now);
-        d.s.handle(now, Event::Proven(now));
+        desk.now += 25_000;
+        let now = Time(desk.now);
+        desk.s.handle(now, Event::Proven(now));
         if step == 760 {
-            assert!(d.s.dirty.is_empty(), "nothing but litter is left");
-            burst = (0..8).map(|n| d.submit(&job(5000 + n, 1))).collect();
+            assert!(desk.s.dirty.is_empty(), "only garbage is left");
+            burst = (0..8).map(|n| desk.submit(&job(5000 + n, 1))).collect();
         } else if step == 764 {
-            let told = burst.iter().filter(|r| d.status(**r).is_some()).count();
-            assert_eq!(told, 8, "sweeping left nothing for them");
+            let answered = burst.iter().filter(|r| desk.status(**r).is_some()).count();
+            assert_eq!(answered, 8, "garbage collection used the whole write rate");
         }
         if step % 20 == 0 && waiting.is_none() && step > 200 && step < 700 {
-            waiting = Some((d.submit(&job(1000 + step, 1)), d.now));
+            waiting = Some((desk.submit(&job(1000 + step, 1)), desk.now));
         }
-        while let Some((id, txn)) = c.next(now, &mut d.s) {
-            let litter = |x: &&Change| x.key().contains("job-900000");
-            swept += txn.changes.iter().filter(litter).count();
-            let (events, _) = c.finished(now, id, Outcome::Ok(Stamp(9)), &mut d.s);
+        while let Some((id, txn)) = committer.next(now, &mut desk.s) {
+            let is_garbage = |change: &&Change| change.key().contains("job-900000");
+            collected += txn.changes.iter().filter(is_garbage).count();
+            let (events, _) = committer.finished(now, id, Outcome::Ok(Stamp(9)), &mut desk.s);
             for e in events {
                 ended += matches!(&e, Event::Stored(Key::Final(_), _)) as u32;
-                let fx = d.s.handle(now, e);
-                d.fx.extend(fx);
+                let fx = desk.s.handle(now, e);
+                desk.fx.extend(fx);
             }
         }
-        if let Some((req, since)) = waiting.filter(|(r, _)| d.status(*r).is_some()) {
-            assert_eq!(d.status(req), Some(201));
-            longest = longest.max(d.now - since);
+        if let Some((req, since)) = waiting.filter(|(r, _)| desk.status(*r).is_some()) {
+            assert_eq!(desk.status(req), Some(201));
+            longest_wait = longest_wait.max(desk.now - since);
             waiting = None;
         }
     }
     assert!(
-        (25_000..200_000).contains(&longest.max(25_000)),
-        "{longest} us"
+        (25_000..200_000).contains(&longest_wait.max(25_000)),
+        "{longest_wait} us"
+    );
+    assert!(waiting.is_none(), "a submission was not answered");
+    // Both still make progress.
+    assert!(
+        collected > 20 && ended > 50,
+        "{collected} collected, {ended} ended"
     );
-    assert!(waiting.is_none(), "a submission still waits");
-    // All the same, both go on.
-    assert!(swept > 20 && ended > 50, "{swept} swept, {ended} ended");
 }
 
-/// Its process ends with the `left`-th request: that one is carried out without
-/// an answer, or not at all.
-struct Dying {
+/// A store whose client process crashes at the request after `left` others: that request
+/// is carried out without an answer, or not at all.
+struct CrashingStore {
     store: Handle,
     left: Cell<u32>,
     carried_out: bool,
 }
 
-impl Dying {
-    /// None: the process is no more.
-    fn ask<T>(&self, request: impl FnOnce(&Handle) -> T) -> Option<T> {
+impl CrashingStore {
+    /// None if the process has crashed.
+    fn call<T>(&self, request: impl FnOnce(&Handle) -> T) -> Option<T> {
         let left = self.left.get();
         self.left.set(left.saturating_sub(1));
         let done = (left > 0 || self.carried_out).then(|| request(&self.store));
@@ -396,129 +407,138 @@
     }
 }
 
-impl State for Dying {
+impl State for CrashingStore {
     fn get(&self, key: &str) -> Result<Option<Item>, ReadError> {
-        self.ask(|s| s.get(key)).unwrap_or(Err(ReadError::Failed))
+        self.call(|store| store.get(key))
+            .unwrap_or(Err(ReadError::Failed))
     }
     fn page(&self, prefix: &str, after: Option<&str>, limit: u32) -> Result<Page, ReadError> {
-        let page = self.ask(|s| s.page(prefix, after, limit));
+        let page = self.call(|store| store.page(prefix, after, limit));
         page.unwrap_or(Err(ReadError::Failed))
     }
-    fn txn(&self, t: &Txn) -> Outcome {
-        self.ask(|s| s.txn(t)).unwrap_or(Outcome::Unclear)
+    fn txn(&self, txn: &Txn) -> Outcome {
+        self.call(|store| store.txn(txn))
+            .unwrap_or(Outcome::Unclear)
     }
     fn grant(&self, ttl_ms: u64) -> Result<u64, ReadError> {
-        let lease = self.ask(|s| s.grant(ttl_ms));
+        let lease = self.call(|store| store.grant(ttl_ms));
         lease.unwrap_or(Err(ReadError::Failed))
     }
     fn renew(&self, lease: u64) -> Result<bool, ReadError> {
-        let alive = self.ask(|s| s.renew(lease));
+        let alive = self.call(|store| store.renew(lease));
         alive.unwrap_or(Err(ReadError::Failed))
     }
     fn revoke(&self, lease: u64) {
-        self.ask(|s| s.revoke(lease));
+        self.call(|store| store.revoke(lease));
     }
 }
 
-/// A process ends at each request of ending its predecessor's lease and being
-/// elected, that request carried out or not; the next one leads at once, in a
-/// term of its own, and nobody else's word is left.
+/// A process crashes at each request while it revokes its predecessor's lease and
+/// campaigns, with that request carried out or not. The next process leads at once, in a
+/// larger epoch and with its own record in the key.
 #[test]
-fn a_process_may_end_anywhere_in_ending_the_lease_of_the_one_before() {
+fn process_may_crash_at_any_request_while_it_replaces_its_predecessor() {
     let at = || Some(bound_address("10.0.0.1:81", None));
-    let me = |instance| Candidate {
+    let candidate_of = |instance| Candidate {
         label: "a".into(),
         instance: Instance(instance),
         address: at(),
     };
     for left in 0..8 {
         for carried_out in [false, true] {
-            let s = Handle::default();
-            candidate(&s, "a", 1, at()).step(|| Time(0));
-            let store = Dying {
-                store: s.clone(),
+            let store = Handle::default();
+            candidate(&store, "a", 1, at()).step(|| Time(0));
+            let crashing_store = CrashingStore {
+                store: store.clone(),
                 left: Cell::new(left),
                 carried_out,
             };
-            let mut second = Elector::new(store, me(2), Span::secs(2.0));
-            let won = matches!(second.step(|| Time(0)), ElectionOutcome::Elected { .. });
-            let mut third = candidate(&s, "a", 3, at());
+            let mut second = Elector::new(crashing_store, candidate_of(2), Span::secs(2.0));
+            let elected = matches!(second.step(|| Time(0)), ElectionOutcome::Elected { .. });
+            let mut third = candidate(&store, "a", 3, at());
             let ElectionOutcome::Elected {
                 epoch,
                 revision: stamp,
                 ..
             } = third.step(|| Time(0))
             else {
-                panic!("not at once: {left} {carried_out}");
+                panic!("not elected at once: {left} {carried_out}");
             };
-            let key = s.read(LEADER).unwrap().unwrap();
+            let key = store.read(LEADER).unwrap().unwrap();
             assert_eq!(key.stamp, stamp);
             assert_eq!(key.value["instance"], 3);
-            assert!(epoch > Epoch(if won { 2 } else { 1 }));
-            assert_eq!(s.read(EPOCH).unwrap().unwrap().value, epoch.0);
+            assert!(epoch > Epoch(if elected { 2 } else { 1 }));
+            assert_eq!(store.read(EPOCH).unwrap().unwrap().value, epoch.0);
         }
     }
 }
 
-/// A job was cancelled while nobody knew whether its first write had been carried
-/// out. It had: its record stayed beside the final state, and the next leader
-/// took the job for one that waits to run.
+/// Guards against a leftover job record: a job was cancelled while the outcome of its
+/// first write was unclear. The write had been applied, so its record stayed beside the
+/// final state, and the next leader took the job for a queued one.
 #[test]
-fn a_job_that_ends_while_its_first_write_is_unclear_leaves_no_record() {
-    let s = Handle::default();
-    let mut a = elector(&s, "a");
+fn cancellation_during_an_unclear_first_write_leaves_no_job_record() {
+    let store = Handle::default();
+    let mut a = elector(&store, "a");
     let ElectionOutcome::Elected {
         revision: stamp, ..
     } = a.step(|| Time(0))
     else {
         panic!()
     };
-    let (mut d, mut c, txn, id) = submitted(stamp);
-    assert!(matches!(s.apply(&txn), Outcome::Ok(_)));
-    c.finished(Time(d.now), id, Outcome::Unclear, &mut d.s);
-    d.ask(hookworks::wire::peer::Ask::Cancel(JOB.into()));
+    let (mut desk, mut committer, txn, id) = submitted(stamp);
+    assert!(matches!(store.apply(&txn), Outcome::Ok(_)));
+    committer.finished(Time(desk.now), id, Outcome::Unclear, &mut desk.s);
+    desk.ask(hookworks::wire::peer::Ask::Cancel(JOB.into()));
     for _ in 0..6 {
-        d.now += 300_000;
-        let Some((id, txn)) = c.next(Time(d.now), &mut d.s) else {
+        desk.now += 300_000;
+        let Some((id, txn)) = committer.next(Time(desk.now), &mut desk.s) else {
             break;
         };
-        let outcome = s.apply(&txn);
-        let (events, steps) = c.finished(Time(d.now), id, outcome, &mut d.s);
+        let outcome = store.apply(&txn);
+        let (events, steps) = committer.finished(Time(desk.now), id, outcome, &mut desk.s);
         for e in events {
-            d.event(e);
+            desk.event(e);
         }
         for step in steps {
             let Step::Read(key) = step else { panic!() };
-            let item = s.read(&key);
-            let (events, _) = c.read_back(key, item, &mut d.s);
+            let item = store.read(&key);
+            let (events, _) = committer.read_back(key, item, &mut desk.s);
             for e in events {
-                d.event(e);
+                desk.event(e);
             }
         }
     }
-    let left: Vec<String> = s.keys().into_iter().filter(|k| k.contains(JOB)).collect();
+    let left: Vec<String> = store
+        .keys()
+        .into_iter()
+        .filter(|k| k.contains(JOB))
+        .collect();
     assert_eq!(left, [hookworks::store::final_key(&JOB.into())]);
 }
 
-/// A submission was sent again after its job was done and another leader had
-/// come; before the store answered, it was cancelled. The conflict of that end
-/// with the one on record was taken for a lost answer: done became cancelled.
+/// Guards against a done job that becomes cancelled: a submission was repeated under a
+/// new leader after its job was done, and cancelled before the store had answered. The
+/// conflict of that final state with the stored one was taken for a lost answer.
 #[test]
-fn a_late_retry_that_is_cancelled_at_once_tells_what_is_on_record() {
-    let mut d = Desk::new(6);
-    d.stores = false;
-    let submitted = d.submit(&job(1, 7));
-    let cancelled = d.ask(hookworks::wire::peer::Ask::Cancel(JOB.into()));
-    let f = Final {
+fn cancelled_late_resubmission_reports_the_stored_final_state() {
+    let mut desk = Desk::new(6);
+    desk.stores = false;
+    let submitted = desk.submit(&job(1, 7));
+    let cancelled = desk.ask(hookworks::wire::peer::Ask::Cancel(JOB.into()));
+    let stored = Final {
         state: JobState::Done,
         done: 7,
     };
-    d.event(Event::AlreadyFinal(JOB.into(), f));
+    desk.event(Event::AlreadyFinal(JOB.into(), stored));
     for req in [submitted, cancelled] {
-        let a = d.answer(req).expect("answered");
-        assert!(a.status == 200 && a.body.contains(DONE), "{a:?}");
+        let answer = desk.answer(req).expect("answered");
+        assert!(
+            answer.status == 200 && answer.body.contains(DONE),
+            "{answer:?}"
+        );
     }
-    let poll = d.ask(hookworks::wire::peer::Ask::Poll(JOB.into()));
-    assert!(d.answer(poll).unwrap().body.contains(DONE));
-    assert!(d.s.jobs.is_empty());
+    let poll = desk.ask(hookworks::wire::peer::Ask::Poll(JOB.into()));
+    assert!(desk.answer(poll).unwrap().body.contains(DONE));
+    assert!(desk.s.jobs.is_empty());
 }
--- a/tests/handover/orders.rs
+++ b/tests/handover/orders.rs
@@ -1,4 +1,4 @@
-//! What leaves for a machine while a report of it, or a cancellation, is being taken.
+//! Commands sent to a machine while its heartbeat, or a cancellation, is being handled.
 
 use crate::world::desk::{Desk, report, task};
 use crate::world::job;
@@ -11,9 +11,9 @@
 const FIRST: &str = "job-000001";
 const LATER: &str = "job-000002";
 
-/// Attempts that direct commands under way tell to run.
-fn runs(d: &mut Desk) -> Vec<(TaskId, Attempt)> {
-    let orders = d.direct().into_iter().flat_map(|(_, _, o)| o.orders);
+/// The attempts that direct calls in flight start.
+fn attempts_started(desk: &mut Desk) -> Vec<(TaskId, Attempt)> {
+    let orders = desk.direct().into_iter().flat_map(|(_, _, o)| o.orders);
     let run = |o| match o {
         Order::Run { task, attempt } => Some((task, attempt)),
         _ => None,
@@ -21,70 +21,90 @@
     orders.filter_map(run).collect()
 }
 
-/// The tasks of `id` are told to run directly, and are seen to run.
-fn begins(d: &mut Desk, id: &str, tasks: u32, seq: u64) -> Vec<TaskReport> {
-    let (call, host, _) = d.direct().pop().expect("a direct command");
-    let run = |ix| task(id, ix, d.attempt(id, ix).unwrap(), TaskState::Running);
-    let shown: Vec<_> = (0..tasks).map(run).collect();
-    let r = Report {
-        tasks: shown.clone(),
+/// Answers the direct call that starts the tasks of `id`, and reports them as running.
+fn confirm_start(desk: &mut Desk, id: &str, tasks: u32, seq: u64) -> Vec<TaskReport> {
+    let (call, host, _) = desk.direct().pop().expect("a direct call");
+    let run = |ix| task(id, ix, desk.attempt(id, ix).unwrap(), TaskState::Running);
+    let reported: Vec<_> = (0..tasks).map(run).collect();
+    let heartbeat = Report {
+        tasks: reported.clone(),
         ..report(1, seq, Token(0))
     };
-    d.event(Event::Direct(call, host, DirectResult::Done(Box::new(r))));
-    shown
+    desk.event(Event::Direct(
+        call,
+        host,
+        DirectResult::Done(Box::new(heartbeat)),
+    ));
+    reported
 }
 
-/// One task more, which the answer to a report tells to run; whether that arrives is
-/// not known, and a direct command may leave again.
-fn told_in_an_answer(d: &mut Desk, shown: &[TaskReport], j: &str, ix: u32) -> Attempt {
-    let told = d.attempt(j, ix).expect("placed");
-    let r = Report {
-        tasks: shown.to_vec(),
+/// Starts one more task by the answer to a heartbeat. Whether that answer arrives is
+/// unknown, and direct calls are possible again.
+fn start_in_heartbeat_answer(
+    desk: &mut Desk,
+    reported: &[TaskReport],
+    job_id: &str,
+    ix: u32,
+) -> Attempt {
+    let attempt_sent = desk.attempt(job_id, ix).expect("placed");
+    let heartbeat = Report {
+        tasks: reported.to_vec(),
         ..report(1, 10, Token(0))
     };
-    let orders = d.beat(&r).expect("an answer").orders;
-    let run = |o: &Order| matches!(o, Order::Run { attempt, .. } if *attempt == told);
+    let orders = desk.beat(&heartbeat).expect("an answer").orders;
+    let run = |o: &Order| matches!(o, Order::Run { attempt, .. } if *attempt == attempt_sent);
     assert!(orders.iter().any(run), "{orders:?}");
-    d.refuses = false;
-    // Longer than a refused call keeps others back, shorter than its report counts.
-    d.wait(4.25);
-    assert_eq!(runs(d), []);
-    told
+    desk.refuses = false;
+    // Longer than a refused call delays the next one, shorter than the heartbeat is valid.
+    desk.wait(4.25);
+    assert_eq!(attempts_started(desk), []);
+    attempt_sent
 }
 
-/// A machine's next session shows that all it had is gone. One member of its gang
-/// stopped the other at once, and that command told a task to run that the same
-/// report proved gone: it was placed anew elsewhere, and ran twice.
+/// Guards against a task that runs twice: a machine's new session proves that all its
+/// tasks are gone. The first lost gang member stopped the other one at once, and that
+/// command also started a task that the same heartbeat proved gone and that was then
+/// placed elsewhere.
 #[test]
-fn nothing_that_a_report_proves_gone_is_told_to_run_while_it_is_taken() {
-    let mut d = Desk::set_up(5, vec![], |c| c.teams[0].cpus_max = 99.0);
-    d.beat(&report(1, 1, Token(0)));
+fn attempts_that_a_heartbeat_proves_gone_are_not_started_meanwhile() {
+    let mut desk = Desk::set_up(5, vec![], |c| c.teams[0].cpus_max = 99.0);
+    desk.beat(&report(1, 1, Token(0)));
     let mut gang = job(1, 2);
     gang.kind = Kind::Gang;
-    d.submit(&gang);
-    let shown = begins(&mut d, FIRST, 2, 5);
-    d.refuses = true;
-    d.submit(&job(2, 1));
-    let told = told_in_an_answer(&mut d, &shown, LATER, 0);
-    d.beat(&Report {
+    desk.submit(&gang);
+    let reported = confirm_start(&mut desk, FIRST, 2, 5);
+    desk.refuses = true;
+    desk.submit(&job(2, 1));
+    let attempt_sent = start_in_heartbeat_answer(&mut desk, &reported, LATER, 0);
+    desk.beat(&Report {
         session: Session(2),
         ..report(1, 11, Token(0))
     });
-    assert_ne!(d.attempt(LATER, 0), Some(told), "not taken for gone");
-    let under_way = runs(&mut d);
-    assert!(under_way.iter().all(|r| r.1 != told), "{under_way:?}");
+    assert_ne!(
+        desk.attempt(LATER, 0),
+        Some(attempt_sent),
+        "attempt not recognized as gone"
+    );
+    let in_flight = attempts_started(&mut desk);
+    assert!(
+        in_flight.iter().all(|r| r.1 != attempt_sent),
+        "{in_flight:?}"
+    );
 }
 
-/// A cancelled job's first task that was stopped took a `run` along for the next one,
-/// which could begin after its user had been told.
+/// Guards against a start after a confirmed cancellation: the command that stopped the
+/// first task of a cancelled job also carried a `run` for the next one.
 #[test]
-fn a_cancellation_tells_no_task_of_its_job_to_run() {
-    let mut d = Desk::new(5);
-    d.beat(&report(1, 1, Token(0)));
-    d.refuses = true;
-    d.submit(&job(1, 2));
-    let told = told_in_an_answer(&mut d, &[], FIRST, 1);
-    d.ask(Ask::Cancel(FIRST.into()));
-    let under_way = runs(&mut d);
-    assert!(under_way.iter().all(|r| r.1 != told), "{under_way:?}");
+fn cancellation_starts_no_task_of_its_job() {
+    let mut desk = Desk::new(5);
+    desk.beat(&report(1, 1, Token(0)));
+    desk.refuses = true;
+    desk.submit(&job(1, 2));
+    let attempt_sent = start_in_heartbeat_answer(&mut desk, &[], FIRST, 1);
+    desk.ask(Ask::Cancel(FIRST.into()));
+    let in_flight = attempts_started(&mut desk);
+    assert!(
+        in_flight.iter().all(|r| r.1 != attempt_sent),
+        "{in_flight:?}"
+    );
 }
--- a/tests/inbox.rs
+++ b/tests/inbox.rs
@@ -1,11 +1,11 @@
-//! The order in which the main loop takes messages, and what it takes no more.
+//! The order in which the main loop takes messages, and the requests that it drops.
 
 use hookworks::node::inbox::inbox;
 use hookworks::node::is_expired;
 use hookworks::time::Span;
 use hookworks::wire::peer::Ask;
 
-/// Heartbeats of some 4,000 machines that came faster than they were handled.
+/// Heartbeats of about 4,000 machines that arrive faster than they are handled.
 const BACKLOG: u32 = 4000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,7 +14,8 @@
     Question(u32),
 }
 
-/// Questions waited behind thousands of heartbeats until their users had given up.
+/// Guards against questions that wait behind thousands of heartbeats until their users
+/// have timed out.
 #[test]
 fn question_does_not_wait_behind_a_backlog_of_heartbeats() {
     let (senders, mut inbox) = inbox(BACKLOG as usize);
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn each_line_keeps_its_order_and_nothing_is_lost() {
+fn each_queue_keeps_its_order_and_loses_nothing() {
     let (senders, mut inbox) = inbox(BACKLOG as usize);
     for n in 0..100 {
         senders.heartbeats.send(Message::Heartbeat(n)).unwrap();
@@ -63,10 +64,10 @@
     assert_eq!(questions, expected);
 }
 
-/// Requests whose senders had given up were worked off like the others, which kept up the
-/// overload that had delayed them.
+/// Guards against a lasting overload: requests whose senders had timed out were handled
+/// like all others, which delayed the next ones.
 #[test]
-fn request_whose_sender_has_given_up_is_not_worked_off() {
+fn request_whose_sender_has_timed_out_is_not_handled() {
     let question = Ask::Poll("job-000412".into());
     let heartbeat = Ask::Report(vec![]);
     let submission = Ask::Submit(vec![]);
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Controllers that end and are back under the same name at once, or later.
+//! Controllers that crash and restart under the same label, at once or later.
 
 mod world;
 
@@ -7,220 +7,224 @@
 use hookworks::wire::user::{JobState, Priority};
 use world::{Ev, World, job};
 
-/// Jobs that keep a small fleet busy, asked for again until they are taken.
-fn busy(seed: u64) -> World {
-    let mut w = World::new(seed, 3);
-    w.run(2.0);
+/// A small fleet with a steady load; each job is submitted until it is accepted.
+fn busy_world(seed: u64) -> World {
+    let mut world = World::new(seed, 3);
+    world.run(2.0);
     for n in 0..8 {
-        let mut j = job(n, 3);
-        j.team = if n % 2 == 0 { "red" } else { "blue" }.into();
+        let mut spec = job(n, 3);
+        spec.team = if n % 2 == 0 { "red" } else { "blue" }.into();
         if n % 4 == 3 {
-            j.priority = Priority::High;
+            spec.priority = Priority::High;
         }
-        let body = serde_json::to_vec(&j).unwrap();
-        w.specs.insert(j.id.clone(), j);
+        let body = serde_json::to_vec(&spec).unwrap();
+        world.specs.insert(spec.id.clone(), spec);
         for k in 0..8 {
             let at = n as f64 * 2.0 + 4.0 * k as f64;
-            w.at(at, Ev::User(Ask::Submit(body.clone())));
+            world.at(at, Ev::User(Ask::Submit(body.clone())));
         }
         for k in 0..30 {
             let poll = Ask::Poll(format!("job-{n:06}"));
-            w.at(3.0 * k as f64, Ev::User(poll));
+            world.at(3.0 * k as f64, Ev::User(poll));
         }
     }
-    w
+    world
 }
 
-/// Everything comes to its end, and no rule was broken on the way.
-fn ends_well(mut w: World, what: &str) {
-    w.run(150.0);
-    assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
-    for id in w.specs.keys().cloned().collect::<Vec<JobId>>() {
-        let state = w.state_of(id.as_str());
+/// Asserts that all jobs finish and that no invariant was violated.
+fn assert_all_jobs_finish(mut world: World, what: &str) {
+    world.run(150.0);
+    assert!(world.broken.is_empty(), "{what}: {:?}", world.broken);
+    for id in world.specs.keys().cloned().collect::<Vec<JobId>>() {
+        let state = world.state_of(id.as_str());
         assert_eq!(state, Some(JobState::Done), "{what}: {id}");
     }
 }
 
-/// The leader ends after each event in turn, of placing, writing, telling, and
-/// of the take-overs in between, and is back after so long.
+/// The leader crashes after each event in turn, be it of placement, writes, commands or
+/// failovers, and restarts after a delay.
 #[test]
-fn a_leader_may_end_at_any_event_and_be_back_at_any_time() {
+fn leader_may_crash_at_any_event_and_restart_at_any_time() {
     for (k, back) in [0.05, 0.3, 1.0, 6.0].into_iter().enumerate() {
         for n in 0..60 {
-            let mut w = busy(7);
-            w.run(12.0);
-            let end = w.now + 60_000_000;
+            let mut world = busy_world(7);
+            world.run(12.0);
+            let end = world.now + 60_000_000;
             for _ in 0..n * 5 + k {
-                w.step(end);
+                world.step(end);
             }
-            let led = w.leader().unwrap();
-            w.at(0.0, Ev::Kill(led));
-            w.at(back, Ev::Restart(led));
-            // And once more, in the midst of catching up.
-            w.at(back + 0.004 * n as f64, Ev::Kill(led));
-            w.at(2.0 * back + 0.004 * n as f64, Ev::Restart(led));
-            ends_well(w, &format!("event {n}, back after {back} s"));
+            let led = world.leader().unwrap();
+            world.at(0.0, Ev::Kill(led));
+            world.at(back, Ev::Restart(led));
+            // A second crash, while the state is loaded.
+            world.at(back + 0.004 * n as f64, Ev::Kill(led));
+            world.at(2.0 * back + 0.004 * n as f64, Ev::Restart(led));
+            assert_all_jobs_finish(world, &format!("event {n}, back after {back} s"));
         }
     }
 }
 
 #[test]
-fn all_may_end_at_once_four_times_in_eight_seconds() {
+fn all_controllers_may_crash_at_once_four_times_in_eight_seconds() {
     for seed in 0..12 {
-        let mut w = busy(seed);
+        let mut world = busy_world(seed);
         for (k, at) in [10.0, 12.0, 15.0, 18.0].into_iter().enumerate() {
             for i in 0..3 {
-                w.at(at, Ev::Kill(i));
-                w.at(at + 0.3 + 0.07 * ((i + k) % 3) as f64, Ev::Restart(i));
+                world.at(at, Ev::Kill(i));
+                world.at(at + 0.3 + 0.07 * ((i + k) % 3) as f64, Ev::Restart(i));
             }
         }
-        ends_well(w, &format!("seed {seed}"));
+        assert_all_jobs_finish(world, &format!("seed {seed}"));
     }
 }
 
-/// In an outage, 50 ms before its end, and as it ends.
+/// All controllers crash in the middle of an outage, 50 ms before its end, and at its end.
 #[test]
-fn all_may_end_while_the_state_service_is_down() {
+fn all_controllers_may_crash_during_a_state_service_outage() {
     for seed in 0..12 {
-        let mut w = busy(seed);
-        w.at(10.0, Ev::StoreDown(true));
-        w.at(22.0, Ev::StoreDown(false));
+        let mut world = busy_world(seed);
+        world.at(10.0, Ev::StoreDown(true));
+        world.at(22.0, Ev::StoreDown(false));
         for at in [14.0, 21.95, 22.0] {
             for i in 0..3 {
-                w.at(at, Ev::Kill(i));
-                w.at(at + 0.3, Ev::Restart(i));
+                world.at(at, Ev::Kill(i));
+                world.at(at + 0.3, Ev::Restart(i));
             }
         }
-        ends_well(w, &format!("seed {seed}"));
+        assert_all_jobs_finish(world, &format!("seed {seed}"));
     }
 }
 
-/// From the end of a leader that is back after 0.3 s until somebody leads.
+/// A leader that restarts within 0.3 s leads again within 50 ms.
 #[test]
-fn a_leader_that_is_back_at_once_leads_at_once() {
-    let mut w = busy(3);
-    w.run(12.0);
-    let led = w.leader().unwrap();
-    w.at(0.0, Ev::Kill(led));
-    w.at(0.3, Ev::Restart(led));
-    w.run(0.29);
-    assert_eq!(w.leader(), None);
-    w.run(0.05);
-    assert_eq!(w.leader(), Some(led));
-    ends_well(w, "back at once");
+fn leader_that_restarts_at_once_leads_at_once() {
+    let mut world = busy_world(3);
+    world.run(12.0);
+    let led = world.leader().unwrap();
+    world.at(0.0, Ev::Kill(led));
+    world.at(0.3, Ev::Restart(led));
+    world.run(0.29);
+    assert_eq!(world.leader(), None);
+    world.run(0.05);
+    assert_eq!(world.leader(), Some(led));
+    assert_all_jobs_finish(world, "immediate restart");
 }
 
-/// The leader's process stands still after each event in turn, of a submission, an
-/// answer to a report, a direct call, a write, a renewal, for less than a lease of
-/// the leadership, for more, and for longer than a lease of the workers.
+/// The leader's process is suspended after each event in turn, be it a submission, an
+/// answer to a heartbeat, a direct call, a write or a renewal: for less than the leader's
+/// lease, for longer, and for longer than a worker's lease.
 #[test]
-fn a_leader_may_stand_still_at_any_event() {
+fn leader_may_be_suspended_at_any_event() {
     for long in [0.7, 2.4, 11.0, 30.0] {
         for n in 0..40 {
-            let mut w = busy(7);
-            w.run(12.0);
-            let end = w.now + 60_000_000;
+            let mut world = busy_world(7);
+            world.run(12.0);
+            let end = world.now + 60_000_000;
             for _ in 0..n * 3 {
-                w.step(end);
+                world.step(end);
             }
-            let led = w.leader().unwrap();
-            w.at(0.0, Ev::Freeze(led, long));
-            ends_well(w, &format!("event {n}, still for {long} s"));
+            let led = world.leader().unwrap();
+            world.at(0.0, Ev::Freeze(led, long));
+            assert_all_jobs_finish(world, &format!("event {n}, suspended for {long} s"));
         }
     }
 }
 
-/// The same for the leader that loses state service and other controllers, but not
-/// its workers, for as long; alone, or all of them one after the other.
+/// The leader loses the state service and the other controllers, but not its workers;
+/// either only the leader, or all controllers one after the other.
 #[test]
-fn a_controller_may_be_alone_with_its_workers_at_any_event() {
+fn controller_may_be_isolated_with_its_workers_at_any_event() {
     for (all, long) in [(false, 3.0), (false, 30.0), (true, 12.0), (true, 24.0)] {
         for n in 0..30 {
-            let mut w = busy(5);
-            w.run(12.0);
-            let end = w.now + 60_000_000;
+            let mut world = busy_world(5);
+            world.run(12.0);
+            let end = world.now + 60_000_000;
             for _ in 0..n * 3 {
-                w.step(end);
+                world.step(end);
             }
-            let led = w.leader().unwrap();
+            let led = world.leader().unwrap();
             for i in (0..3).filter(|i| all || *i == led) {
-                w.at(0.2 * i as f64, Ev::Lonely(i, true));
-                w.at(long + 0.1 * i as f64, Ev::Lonely(i, false));
+                world.at(0.2 * i as f64, Ev::Lonely(i, true));
+                world.at(long + 0.1 * i as f64, Ev::Lonely(i, false));
             }
-            ends_well(w, &format!("event {n}, all {all}, for {long} s"));
+            assert_all_jobs_finish(world, &format!("event {n}, all {all}, for {long} s"));
         }
     }
 }
 
 #[test]
-fn two_of_three_may_end_in_turn_every_moment() {
+fn two_of_three_controllers_may_crash_in_turn_every_300_ms() {
     for seed in 0..10 {
-        let mut w = busy(seed);
+        let mut world = busy_world(seed);
         for k in 0..33 {
             let at = 10.0 + 0.3 * k as f64;
-            w.at(at, Ev::Kill(k % 2));
-            w.at(at + 0.25, Ev::Restart(k % 2));
+            world.at(at, Ev::Kill(k % 2));
+            world.at(at + 0.25, Ev::Restart(k % 2));
         }
-        ends_well(w, &format!("seed {seed}"));
+        assert_all_jobs_finish(world, &format!("seed {seed}"));
     }
 }
 
-/// A machine that is back at once, under a new session, while what it was told in
-/// the one before is still under way.
+/// Machines restart at once with a new session, while commands of the earlier session are
+/// still in flight.
 #[test]
-fn machines_may_be_back_at_once_while_their_orders_are_under_way() {
+fn machines_may_restart_while_their_commands_are_in_flight() {
     for n in 0..40 {
-        let mut w = busy(9);
-        w.chaos.late = 0.1;
-        w.run(12.0);
-        let end = w.now + 60_000_000;
+        let mut world = busy_world(9);
+        world.chaos.late = 0.1;
+        world.run(12.0);
+        let end = world.now + 60_000_000;
         for _ in 0..n * 4 {
-            w.step(end);
+            world.step(end);
         }
-        let hosts: Vec<_> = w.workers.keys().cloned().collect();
+        let hosts: Vec<_> = world.workers.keys().cloned().collect();
         for (k, h) in hosts.into_iter().enumerate() {
-            w.at(0.1 * k as f64, Ev::Reborn(h));
+            world.at(0.1 * k as f64, Ev::Reborn(h));
         }
-        let led = w.leader().unwrap();
-        w.at(0.15, Ev::Kill(led));
-        w.at(0.4, Ev::Restart(led));
-        ends_well(w, &format!("event {n}"));
+        let led = world.leader().unwrap();
+        world.at(0.15, Ev::Kill(led));
+        world.at(0.4, Ev::Restart(led));
+        assert_all_jobs_finish(world, &format!("event {n}"));
     }
 }
 
-/// What a machine that hears nothing has runs elsewhere once its lease is over, and
-/// not before; the most that a job takes longer for it.
+/// The tasks of a machine that receives no answers run elsewhere after its lease has
+/// expired, and not before. Bounds how much longer the jobs take for that.
 #[test]
-fn the_tasks_of_a_machine_that_hears_nothing_run_elsewhere() {
+fn tasks_of_a_machine_without_answers_run_elsewhere() {
     let took = |deaf: bool, seed: u64| {
-        let mut w = busy(seed);
-        w.run(14.0);
-        let busiest = w.workers.values().max_by_key(|w| w.present().len());
+        let mut world = busy_world(seed);
+        world.run(14.0);
+        let busiest = world
+            .workers
+            .values()
+            .max_by_key(|worker| worker.present().len());
         let host = busiest.unwrap().host.clone();
         if deaf {
-            w.at(0.0, Ev::Deaf(host, true));
+            world.at(0.0, Ev::Deaf(host, true));
         }
-        // Some more, for which it looks as good as any.
+        // More jobs, for which that machine looks as suitable as any other.
         for n in 8..20 {
-            let mut j = job(n, 1);
-            j.team = "blue".into();
-            let body = serde_json::to_vec(&j).unwrap();
-            w.specs.insert(j.id.clone(), j);
-            w.at(1.5 * (n - 7) as f64, Ev::User(Ask::Submit(body)));
+            let mut spec = job(n, 1);
+            spec.team = "blue".into();
+            let body = serde_json::to_vec(&spec).unwrap();
+            world.specs.insert(spec.id.clone(), spec);
+            world.at(1.5 * (n - 7) as f64, Ev::User(Ask::Submit(body)));
         }
-        let from = w.now;
-        let all: usize = w.specs.values().map(|s| s.tasks as usize).sum();
-        while w.done_tasks.len() < all && w.now < from + 300_000_000 {
-            w.run(0.5);
+        let from = world.now;
+        let all: usize = world.specs.values().map(|s| s.tasks as usize).sum();
+        while world.done_tasks.len() < all && world.now < from + 300_000_000 {
+            world.run(0.5);
         }
-        w.assert_rules();
-        (w.now - from) as f64 / 1e6
+        world.assert_rules();
+        (world.now - from) as f64 / 1e6
     };
     let longer = (1..=24).map(|seed| took(true, seed) - took(false, seed));
     let longer: Vec<f64> = longer.collect();
     let mean = longer.iter().sum::<f64>() / longer.len() as f64;
     let most = longer.iter().copied().fold(0.0, f64::max);
-    println!("with a machine that hears nothing {mean:.1} s longer, at most {most} s");
-    // 6.4 s and 12.5 s; 35 s and 250 s where it goes on being chosen.
+    println!("with a machine that receives no answers {mean:.1} s longer, at most {most} s");
+    // Measured: mean 6.4 s and maximum 12.5 s; 35 s and 250 s if such a machine is still
+    // chosen for new tasks.
     assert!(mean <= 7.0 && most <= 13.0, "{longer:?}");
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new leader makes of the tasks that it finds on record.
+//! How a new leader recovers the tasks that it finds in the state service.
 
 mod world;
 
@@ -13,17 +13,17 @@
 
 const JOB: &str = "job-000001";
 
-/// A leader with room for all places eight tasks on two machines, and tells nobody.
+/// A leader places eight tasks on two machines, and no command has reached a worker.
 fn eight_placed() -> Desk {
-    let mut d = Desk::set_up(5, vec![], |c| c.teams[0].cpus_max = 99.0);
+    let mut desk = Desk::set_up(5, vec![], |c| c.teams[0].cpus_max = 99.0);
     for n in 1..=2 {
-        d.beat(&report(n, 1, Token(0)));
+        desk.beat(&report(n, 1, Token(0)));
     }
-    d.submit(&job(1, 8));
-    d
+    desk.submit(&job(1, 8));
+    desk
 }
 
-/// Loads what `first` has on record of a job, as the next leader does.
+/// Loads the job record that `first` has stored, as the next leader does.
 fn inherit(first: &Desk, change: impl Fn(&mut Config)) -> Desk {
     let record = first.s.jobs[&JobId::from(JOB)].encode(0);
     let loaded = Job::decode(&record, Time(first.now), Wall(1_000_000)).unwrap();
@@ -31,17 +31,17 @@
     Desk::set_up(6, vec![loaded], change)
 }
 
-/// Machines 1 and 2 report thrice, the token known from the second time on; what
-/// they are told to run.
-fn reports(d: &mut Desk) -> Vec<(TaskId, Attempt)> {
+/// Sends three heartbeats of machines 1 and 2, with the current token from the second one
+/// on. Returns the attempts that the answers start.
+fn send_heartbeats(desk: &mut Desk) -> Vec<(TaskId, Attempt)> {
     let confirmed = Token(Epoch(6).base());
     let mut runs = vec![];
     for (seq, token) in [(2, Token(0)), (3, confirmed), (4, confirmed)] {
         for n in 1..=2 {
-            let a = d.beat(&report(n, seq, token)).unwrap();
+            let a = desk.beat(&report(n, seq, token)).unwrap();
             for o in a.orders {
                 if let Order::Run { task, attempt } = o {
-                    assert!(seq > 2, "an earlier leader's command may be under way");
+                    assert!(seq > 2, "an earlier leader's command may be in flight");
                     runs.push((task, attempt));
                 }
             }
@@ -50,55 +50,56 @@
     runs
 }
 
-/// What was stored and never begun is begun by the next leader under the same
-/// attempt: placed anew, a thousand tasks waited for a write each.
+/// A placement that is stored but not started is started by the next leader under the
+/// same attempt. Guards against a slow failover: new attempts for a thousand tasks had to
+/// wait for one write each.
 #[test]
-fn what_an_earlier_leader_never_began_is_begun_without_a_write() {
+fn stored_placements_are_started_without_a_write() {
     let first = eight_placed();
-    let mut d = inherit(&first, |c| c.teams[0].cpus_max = 99.0);
-    d.refuses = true;
-    let mut runs = reports(&mut d);
+    let mut desk = inherit(&first, |c| c.teams[0].cpus_max = 99.0);
+    desk.refuses = true;
+    let mut runs = send_heartbeats(&mut desk);
     runs.sort();
     runs.dedup();
     let old = |t: u32| first.attempt(JOB, t).unwrap();
     assert_eq!(runs.len(), 8);
     assert!(runs.iter().all(|(t, a)| *a == old(t.ix.0)), "{runs:?}");
-    assert_eq!(d.written, 0);
+    assert_eq!(desk.written, 0);
 }
 
-/// An earlier leader may have given the room of what it never began to others,
-/// and ended before that was stored: beginning it took a team past its limit.
+/// Guards against an exceeded team limit: an earlier leader may have assigned the resources
+/// of tasks that it never started to others, and failed before that was stored.
 #[test]
-fn what_does_not_fit_the_limit_any_more_is_not_begun() {
+fn stored_placements_beyond_the_team_limit_are_not_started() {
     let first = eight_placed();
-    let mut d = inherit(&first, |_| {});
-    d.refuses = true;
-    let mut runs = reports(&mut d);
+    let mut desk = inherit(&first, |_| {});
+    desk.refuses = true;
+    let mut runs = send_heartbeats(&mut desk);
     runs.sort();
     runs.dedup();
     assert_eq!(runs.len(), 6, "as many as the limit allows: {runs:?}");
-    assert_eq!(d.s.jobs[&JobId::from(JOB)].live.len(), 6);
+    assert_eq!(desk.s.jobs[&JobId::from(JOB)].live.len(), 6);
 }
 
-/// Held, cancelled or on a machine that takes nothing: nothing is begun there.
+/// Tasks of a held job, or on a machine that accepts no tasks, are not started.
 #[test]
-fn what_may_not_start_now_is_not_begun_either() {
+fn placements_that_may_not_start_are_not_started() {
     let first = eight_placed();
-    let mut d = inherit(&first, |c| c.teams[0].cpus_max = 99.0);
-    d.refuses = true;
-    d.ask(Ask::Hold(
+    let mut desk = inherit(&first, |c| c.teams[0].cpus_max = 99.0);
+    desk.refuses = true;
+    desk.ask(Ask::Hold(
         JOB.into(),
         br#"{"By":"ann","Kind":"user","Why":""}"#.to_vec(),
     ));
-    assert_eq!(reports(&mut d), []);
-    let mut d = inherit(&first, |c| c.teams[0].cpus_max = 99.0);
-    d.refuses = true;
+    assert_eq!(send_heartbeats(&mut desk), []);
+    let mut desk = inherit(&first, |c| c.teams[0].cpus_max = 99.0);
+    desk.refuses = true;
     for n in 1..=2 {
         let noticed = Report {
             notice_s: Some(20.0),
             ..report(n, 3, Token(Epoch(6).base()))
         };
-        let a = d.beat(&noticed).unwrap();
-        assert_eq!(a.orders, [], "a machine that is about to be taken");
+        let a = desk.beat(&noticed).unwrap();
+        assert_eq!(a.orders, [], "a machine with a preemption notice");
     }
 }
--- a/tests/worker_balance.rs
+++ b/tests/worker_balance.rs
@@ -1,4 +1,4 @@
-//! Workers are spread over the controllers, none above its bound.
+//! Balancing of workers over the controllers, within the limit of each.
 
 use hookworks::ids::{Host, Label};
 use hookworks::node::balance::{
@@ -14,9 +14,9 @@
     }
 }
 
-/// A small controller once got as many workers as a large one.
+/// Guards against a small controller that is assigned as many workers as a large one.
 #[test]
-fn nobody_is_counted_on_to_hold_more_than_its_bound() {
+fn no_controller_is_assigned_more_workers_than_its_limit() {
     let split = |all, capacities: &[Capacity]| -> Vec<u32> {
         shares(all, capacities)
             .iter()
@@ -35,7 +35,7 @@
         capacity(8.0, Some(900)),
     ];
     assert_eq!(split(919.0, &small), [100, 728, 91]);
-    // All bounds together are too few: nobody is named for the rest.
+    // The limits together are too small: the rest is assigned to no controller.
     let few = [
         capacity(1.0, Some(10)),
         capacity(1.0, Some(20)),
@@ -45,26 +45,26 @@
 }
 
 #[test]
-fn a_worker_without_a_seat_goes_where_most_are_free() {
+fn worker_is_redirected_to_the_controller_with_most_free_capacity() {
     let load = |l: &str, workers, most| PeerLoad {
         label: l.into(),
         workers,
         max_workers: most,
     };
-    let near = [
+    let loads = [
         load("a", 500, Some(600)),
         load("b", 100, Some(150)),
         load("old", 0, None),
     ];
-    let e = most_free_controller(&near).unwrap();
-    assert!(format!("{e:?}").contains("a") && format!("{e:?}").contains("100"));
-    assert!(most_free_controller(&near[2..]).is_none());
+    let target = most_free_controller(&loads).unwrap();
+    assert!(format!("{target:?}").contains("a") && format!("{target:?}").contains("100"));
+    assert!(most_free_controller(&loads[2..]).is_none());
     assert!(most_free_controller(&[load("a", 600, Some(600))]).is_none());
 }
 
-/// All workers may come to one controller, as after the end of another.
+/// All workers may report to one controller, as after the failure of another.
 #[test]
-fn too_many_workers_are_sent_on_a_few_at_a_time_and_no_one_twice() {
+fn excess_workers_are_redirected_a_few_at_a_time_and_never_twice() {
     let mut balance = WorkerBalance::default();
     let host = |n: u32| Host::from(format!("m{n}").as_str());
     let other = |label: &str, workers, capacity| ControllerLoad {
@@ -79,16 +79,16 @@
         other("y", 5, capacity(1.0, Some(900))),
     ];
     balance.tick(now, own, others.clone());
-    let mut sent = vec![];
+    let mut redirected = vec![];
     for n in 0..60 {
         if balance.redirect_target(now, &host(n)).is_some() {
-            sent.push(n);
+            redirected.push(n);
         }
     }
-    assert_eq!(sent.len() as u32, MAX_REDIRECTS_PER_TICK);
+    assert_eq!(redirected.len() as u32, MAX_REDIRECTS_PER_TICK);
     balance.tick(now, own, others);
-    assert_eq!(balance.redirect_target(now, &host(sent[0])), None);
-    // Alone there is nobody to send to.
+    assert_eq!(balance.redirect_target(now, &host(redirected[0])), None);
+    // Without other controllers no worker is redirected.
     balance.tick(now, own, vec![]);
     assert_eq!(balance.redirect_target(now, &host(99)), None);
 }
