--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -106,7 +106,7 @@
         let election = self.request_log.election;
         let connections = self.server.metrics();
         let look_ups = match &self.role {
-            Role::Leader(leadership) => leadership.scheduler.look_up_counts(),
+            Role::Leader(leadership) => leadership.scheduler.lookup_counts(),
             _ => LookUpCounts::default(),
         };
         tracing::info!(
--- a/src/node/threads/cloud.rs
+++ b/src/node/threads/cloud.rs
@@ -108,7 +108,7 @@
             CloudRequest::Rent(request_epoch, rental) if request_epoch == epoch => {
                 self.wait_for_budget();
                 let result = self.client.rent(&rental);
-                self.send(epoch, Event::Hired(rental, result));
+                self.send(epoch, Event::RentalResult(rental, result));
             }
             CloudRequest::Return(request_epoch, hosts) if request_epoch == epoch => {
                 self.wait_for_budget();
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -1,37 +1,38 @@
-//! The scheduler itself: no I/O, no clock, no threads. Whatever happens comes
-//! in as an event with its time; what is to be done goes out as effects.
+//! The scheduler as a state machine without I/O, clock or threads. Events enter with their
+//! time through [`Scheduler::handle`], which returns the effects to be carried out.
 
 mod admission;
 mod allowed_zones;
-mod consistency;
+pub mod attempt_places;
 mod dependencies;
-mod direct_calls;
+pub mod dependency_ids;
 mod estimate;
+mod fair_share;
 mod fences;
 mod fleet;
 mod gang;
-mod heartbeats;
+mod headroom;
 mod inheritance;
 pub mod job;
-mod life;
+mod lifecycle;
 pub mod machine;
-mod named_jobs;
 mod order;
 mod overview;
 mod place;
 mod preempt;
-mod reachability;
 mod records;
-mod recovery;
-mod report_reconciliation;
+mod referenced_jobs;
+mod requests;
+mod resources;
 mod team;
-mod users;
+mod wait_limits;
 mod zones;
 
 pub use fences::FenceRecord;
-pub use life::detail_of_record;
-pub use records::{Dirty, DirtyQueue, Key, Purpose};
-pub use users::{LookUpCounts, answer_final};
+pub use lifecycle::detail_of_record;
+pub use records::{Key, PendingWrite, Purpose, WriteQueue};
+pub use requests::{LookUpCounts, answer_final};
+pub use resources::Resources;
 
 use crate::ids::{
     Attempt, Build, CallId, Class, Epoch, Host, JobId, Label, ReqId, TaskId, Token, Zone,
@@ -44,72 +45,72 @@
 use crate::wire::peer::{Answer, Ask};
 use crate::wire::user::JobState;
 use crate::wire::worker::{Orders, Report};
-use hookworks_job_lifecycle::RetryPolicy as RetryRule;
+use hookworks_job_lifecycle::RetryPolicy;
 use job::{Final, Job};
-use machine::{Allocation, Machine, MachineState};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-pub mod attempt_places;
-pub mod dependency_ids;
-mod fair_share;
-mod headroom;
-mod resources;
-mod wait_limits;
-pub use resources::Resources;
+mod consistency;
+mod direct_calls;
+mod heartbeats;
+mod reachability;
+mod recovery;
+mod report_reconciliation;
+use machine::{Allocation, Machine, MachineState};
 
-/// What may happen to the scheduler.
+/// An input of the scheduler.
 #[derive(Debug)]
 pub enum Event {
     Ask(ReqId, Ask),
-    /// A worker's report by way of another controller.
+    /// A heartbeat that another controller forwarded.
     Relayed(ReqId, Label, Vec<u8>),
-    /// Controllers that can't be talked to at the moment.
-    OutOfReach(Vec<Label>),
-    /// A part of a job, or its final state, is in the store for certain.
+    /// Controllers that are currently unreachable.
+    Unreachable(Vec<Label>),
+    /// A record is durably stored, up to this version.
     Stored(Key, u64),
-    /// The state service refuses to store anything of this job for now.
+    /// The state service currently refuses writes for this job.
     NotStored(JobId),
-    /// The store already holds a final state for a job that was to be new.
+    /// The store already holds a final state for a job that was taken for new.
     AlreadyFinal(JobId, Final),
-    /// A consistent read of a final state came back, or failed.
+    /// Result of a consistent read of a final state; `Err` if the read failed.
     FinalRead(JobId, Result<Option<Final>, ()>),
-    /// The same for the whole record, which somebody wants to see.
+    /// Result of a consistent read of the whole final record, for a request that shows the
+    /// job.
     RecordRead(ReqId, JobId, Result<Option<serde_json::Value>, ()>),
     Direct(CallId, Host, DirectResult),
-    Flavors(Vec<Flavor>),
+    MachineTypes(Vec<Flavor>),
     Listed(Vec<Listed>),
-    Hired(Hire, HireResult),
+    RentalResult(Hire, RentalResult),
     Released(Vec<Host>, bool),
-    /// Leadership is proven as of this moment, when the renewal was sent.
-    Proven(Time),
+    /// The leader lease was renewed; the time is when the renewal was sent.
+    LeadershipConfirmed(Time),
     Tick(Wall),
-    /// Requests have waited here for so long that answers may come too late.
-    Behind,
-    /// The moment that `wake_at` named.
+    /// Requests have queued here for so long that their responses may arrive too late.
+    Overloaded,
+    /// The time returned by [`Scheduler::wake_at`] has come.
     Wake,
 }
 
 #[derive(Debug)]
 pub enum DirectResult {
     Done(Box<Report>),
-    /// Not executed: the token or the session was not right.
+    /// Not executed: the fencing token or the session did not match.
     Conflict(Box<Report>),
     /// The connection was refused, so nothing was sent.
     Refused,
-    /// It waited for too long here and was not sent: no word on the worker.
+    /// It was queued here for too long and not sent; this says nothing about the worker.
     Unsent,
-    /// May be executed at any later time.
+    /// The outcome is unknown; the command may still be executed at any later time.
     Unclear,
 }
 
 #[derive(Debug, PartialEq)]
-pub enum HireResult {
+pub enum RentalResult {
     Ok(Vec<Host>),
     NoCapacity,
-    /// Not carried out; the same request may be sent again.
+    /// Not carried out; the same request may be retried.
     Busy,
-    /// May have been carried out; to be repeated under the same name.
+    /// The outcome is unknown; to be retried under the same idempotency name.
     Unclear,
-    /// Will never be carried out.
+    /// Rejected for good.
     Invalid,
 }
 
@@ -124,11 +125,11 @@
         addr: String,
         orders: Orders,
     },
-    Hire(Hire),
+    Rent(Hire),
     Release(Vec<Host>),
 }
 
-/// What the scheduler is told once, at the start of a term.
+/// Settings of the scheduler, fixed for one leadership.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub workers: Workers,
@@ -136,234 +137,242 @@
     pub teams: Vec<crate::settings::TeamLimit>,
     pub objectives: Vec<crate::settings::Objective>,
     pub value_kb: f64,
-    /// The smallest limits that the state service is known to have at some time.
-    pub smallest: crate::settings::LimitValues,
-    /// Finished jobs read one by one for whoever wants to see them, a second.
-    pub look_ups: f64,
+    /// The smallest limits that the state service is announced to have at any time.
+    pub min_limits: crate::settings::LimitValues,
+    /// Reads of finished jobs per second for requests that show one job.
+    pub lookup_reads_per_s: f64,
     pub leader_lease: Span,
-    pub pass_every: Span,
-    pub hold: Span,
-    /// When a zone counts as lost, and what follows.
+    pub pass_interval: Span,
+    pub heartbeat_hold: Span,
+    /// When a zone counts as lost, and how the scheduler reacts.
     pub zones: hookworks_zones::Limits,
-    /// Verdicts on zones are acted on, not only shown.
+    /// Whether zone verdicts are acted on, or only shown.
     pub act_on_zones: bool,
-    /// Unfinished jobs; more are turned away.
-    pub most_jobs: usize,
-    /// Final states kept at hand; older ones are read from the store.
-    pub finals: usize,
-    /// Room for classes and teams that are hardly served.
-    pub floor: hookworks_fairness::FairnessPolicy,
-    /// How far the time of day may be off.
+    /// Maximum number of unfinished jobs; further submissions are rejected.
+    pub max_jobs: usize,
+    /// Maximum number of final states cached in memory; older ones are read from the store.
+    pub max_finals: usize,
+    /// Minimum share of resources for classes and teams that get hardly any.
+    pub fairness: hookworks_fairness::FairnessPolicy,
+    /// Maximum error of the wall clock.
     pub clock_error: Span,
-    /// How old the cloud's list of machines may be at most.
-    pub oldest_list: Span,
+    /// Maximum age of the cloud's list of machines.
+    pub max_list_age: Span,
     /// The other controllers and their zones.
     pub controllers: BTreeMap<Label, Zone>,
 }
 
 impl Config {
     pub fn from(s: &Settings) -> Config {
-        // Settings that can't be served were refused at start.
+        // Settings with invalid sizes were rejected at startup.
         let sizes = s.sizes().ok();
         Config {
-            most_jobs: sizes.map_or(LEAST_JOBS, |s| s.jobs),
-            finals: sizes.map_or(LEAST_JOBS, |s| s.finals),
+            max_jobs: sizes.map_or(DEFAULT_MAX_JOBS, |s| s.jobs),
+            max_finals: sizes.map_or(DEFAULT_MAX_JOBS, |s| s.finals),
             workers: s.platform.params.workers.clone(),
             tuning: s.tuning.clone(),
             teams: s.platform.params.teams.clone(),
             objectives: s.platform.params.objectives.clone(),
             value_kb: s.platform.params.state.value_kb,
-            smallest: s.platform.params.state.smallest(),
-            look_ups: s.platform.params.state.rps * LOOK_UPS,
+            min_limits: s.platform.params.state.smallest(),
+            lookup_reads_per_s: s.platform.params.state.rps * LOOKUP_REQUEST_SHARE,
             leader_lease: Span::secs(s.tuning.leader_lease_s),
-            pass_every: Span::secs(s.tuning.pass_ms / 1000.0),
-            hold: Span::secs(s.tuning.hold_ms / 1000.0),
+            pass_interval: Span::secs(s.tuning.pass_ms / 1000.0),
+            heartbeat_hold: Span::secs(s.tuning.hold_ms / 1000.0),
             zones: s.tuning.zones.limits(s.platform.params.workers.report_s),
             act_on_zones: s.tuning.zones.act,
-            floor: s.tuning.served.floor(),
+            fairness: s.tuning.served.floor(),
             clock_error: Span::secs(s.platform.params.clock_error_ms / 1000.0),
-            oldest_list: Span::secs(s.platform.params.cloud.list_lag_s * 2.0),
+            max_list_age: Span::secs(s.platform.params.cloud.list_lag_s * 2.0),
             controllers: s.platform.controllers(),
         }
     }
-    /// For this long after its last proof a leader may go on answering
-    /// reports: whatever it keeps alive is still gone `cancel_s` later.
+    /// How long after its last lease renewal a leader may still answer heartbeats: every
+    /// task that it keeps running this way has still ended `cancel_s` later.
     pub fn report_grace(&self) -> Span {
         let s = self.workers.cancel_s - self.workers.lease_s - 2.0;
         Span::secs(s).max(self.leader_lease).shrunk()
     }
 }
 
-pub struct Sched {
-    pub cfg: Config,
+pub struct Scheduler {
+    pub config: Config,
     pub epoch: Epoch,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<Host, Machine>,
-    pub flavors: BTreeMap<Build, Flavor>,
-    pub dirty: DirtyQueue,
-    /// The form in which records are written.
+    pub machine_types: BTreeMap<Build, Flavor>,
+    pub write_queue: WriteQueue,
+    /// The format in which records are written.
     record_format: RecordFormat,
     teams: team::Teams,
-    /// Classes that want to start sooner than a machine can be rented.
-    quick: BTreeSet<Class>,
-    /// How often tasks of a class may fail.
-    rules: BTreeMap<Class, RetryRule>,
+    /// Classes whose start target is shorter than the time to rent a machine.
+    fast_start_classes: BTreeSet<Class>,
+    /// Retry policy of each class.
+    retry_policies: BTreeMap<Class, RetryPolicy>,
     arrivals: headroom::RecentArrivals,
     fleet: fleet::Fleet,
     probes: recovery::Probes,
-    books: fair_share::FairnessState,
-    watch: zones::ZoneMonitor,
+    service_shares: fair_share::FairnessState,
+    zone_monitor: zones::ZoneMonitor,
     fences: fences::Fences,
     finals: HashMap<JobId, Final>,
     finals_order: VecDeque<JobId>,
     dependencies: dependencies::Dependencies,
     inheritance: inheritance::InheritanceQueue,
-    look_ups_for_submissions: named_jobs::LookUps,
-    /// When running tasks reach their limit.
+    submission_lookups: referenced_jobs::Lookups,
+    /// When running tasks reach their time limit.
     time_limits: BTreeSet<(Time, TaskId)>,
-    reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
-    record_reads: usize,
-    look_ups: Budget,
-    /// The same for polls of jobs that are over or unknown.
-    poll_reads: Budget,
-    look_up_counts: LookUpCounts,
-    counter: u64,
+    pending_final_reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
+    record_reads_in_flight: usize,
+    lookup_budget: Budget,
+    /// Budget for polls of jobs that are finished or unknown.
+    poll_budget: Budget,
+    lookup_counts: LookUpCounts,
+    id_counter: u64,
     next_seq: u64,
     next_call: u64,
-    proven: Time,
-    began: Time,
-    /// The latest tick, and the end of the latest pause in which this process stood
-    /// still: what was not heard meanwhile says nothing of others.
-    ticked: Time,
-    awake: Time,
-    /// When requests were last found to have waited for too long.
-    behind: Time,
+    leadership_confirmed: Time,
+    leading_since: Time,
+    /// The latest tick, and the end of the latest pause of this process. Missing heartbeats
+    /// during such a pause are no evidence against workers or controllers.
+    last_tick: Time,
+    resumed_at: Time,
+    /// When requests were last found to have queued for too long.
+    overloaded_at: Time,
     wall: Wall,
-    /// Something has changed that the next pass over the jobs should see.
+    /// Something has changed that requires another placement pass.
     replan: bool,
-    /// Passes gather what happens meanwhile: no next one before this moment.
-    pass_at: Time,
-    /// Nor before this one, however urgent: the rest has its share.
-    rests_until: Time,
-    preempt_at: Time,
-    sum_up_at: Time,
-    /// The job with which the next pass goes on.
-    goes_on_at: Option<JobId>,
-    /// The last pass got no further than who is served ahead of that job.
-    stuck: bool,
-    /// Machines judged for tasks since the beginning: how much work placing is.
-    judged: std::cell::Cell<u64>,
+    /// Earliest time of the next placement pass; passes are batched.
+    next_pass_at: Time,
+    /// No placement pass before this time, however urgent, so that other work gets its
+    /// share.
+    no_pass_before: Time,
+    next_preemption_at: Time,
+    next_summary_at: Time,
+    /// The job at which the next placement pass resumes.
+    resume_pass_at: Option<JobId>,
+    /// The last pass ended within the jobs that are served ahead of `resume_pass_at`.
+    pass_stalled: bool,
+    /// Machines evaluated for tasks since the leadership began: a measure of placement work.
+    machines_evaluated: std::cell::Cell<u64>,
     reports_held: u64,
     reports_refused: u64,
-    /// Jobs just taken; written after the next pass, along with what it starts.
-    taken: Vec<JobId>,
-    /// Machines with attempts whose `run` has not left yet.
-    unsent: BTreeSet<Host>,
-    /// Machines for which something has been stored since commands last left.
-    ready: BTreeSet<Host>,
-    /// Reports whose answers wait for what is being stored.
-    held: BTreeMap<Host, heartbeats::PendingHeartbeat>,
-    /// Those that wait for their zone to be taken back on record.
-    at_fence: BTreeMap<Host, heartbeats::PendingHeartbeat>,
-    out: Vec<Effect>,
-    /// Jobs whose records can't be read, and whether what can be says that they
-    /// were cancelled. They are left alone, but known.
+    /// Newly accepted jobs; written after the next pass, together with the starts of that
+    /// pass.
+    newly_accepted: Vec<JobId>,
+    /// Machines with attempts whose `run` command has not been sent yet.
+    machines_with_unsent_runs: BTreeSet<Host>,
+    /// Machines for which something has been stored since commands were last sent.
+    machines_to_push: BTreeSet<Host>,
+    /// Heartbeats whose response waits for a write to be stored.
+    held_heartbeats: BTreeMap<Host, heartbeats::PendingHeartbeat>,
+    /// Heartbeats that wait until the removal of their zone's fence is stored.
+    fenced_heartbeats: BTreeMap<Host, heartbeats::PendingHeartbeat>,
+    effects: Vec<Effect>,
+    /// Jobs with unreadable records, and whether the readable part says that they were
+    /// cancelled. They are left untouched but stay known.
     unreadable: BTreeMap<JobId, JobState>,
 }
 
-/// Share of the state service's requests that look-ups may take: the rest is for
-/// what users and workers wait for.
-const LOOK_UPS: f64 = 0.1;
-/// Ticks come four times a second; so long without any, this process stood still.
-const STOOD_STILL: Span = Span(2_000_000);
-/// Where sizes can't be told.
-const LEAST_JOBS: usize = 1000;
-/// How full the fleet is goes to the log so often.
-const SUM_UP_EVERY: Span = Span(10_000_000);
-
-impl Sched {
-    pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: Wall) -> Sched {
-        let look_ups = 2.0 * cfg.look_ups;
-        Sched {
+/// Share of the state service's request quota for look-ups; the rest is for requests of
+/// users and workers that must not wait.
+const LOOKUP_REQUEST_SHARE: f64 = 0.1;
+/// Longest gap between ticks, which come four times a second; after a longer gap this
+/// process was paused.
+const MAX_TICK_GAP: Span = Span(2_000_000);
+/// Limit for jobs and cached final states where the settings give no valid sizes.
+const DEFAULT_MAX_JOBS: usize = 1000;
+/// Interval of the log line about fleet utilization.
+const SUMMARY_INTERVAL: Span = Span(10_000_000);
+
+impl Scheduler {
+    pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: Wall) -> Scheduler {
+        let look_ups = 2.0 * cfg.lookup_reads_per_s;
+        Scheduler {
             teams: team::Teams::new(&cfg.teams),
-            quick: BTreeSet::new(),
-            rules: cfg.tuning.rules(),
-            record_reads: 0,
-            look_ups: Budget::new(cfg.look_ups, (2.0 * cfg.look_ups).max(1.0)),
-            poll_reads: Budget::new(2.0 * cfg.look_ups, (4.0 * cfg.look_ups).max(1.0)),
-            look_up_counts: LookUpCounts::default(),
+            fast_start_classes: BTreeSet::new(),
+            retry_policies: cfg.tuning.rules(),
+            record_reads_in_flight: 0,
+            lookup_budget: Budget::new(
+                cfg.lookup_reads_per_s,
+                (2.0 * cfg.lookup_reads_per_s).max(1.0),
+            ),
+            poll_budget: Budget::new(
+                2.0 * cfg.lookup_reads_per_s,
+                (4.0 * cfg.lookup_reads_per_s).max(1.0),
+            ),
+            lookup_counts: LookUpCounts::default(),
             arrivals: Default::default(),
             fleet: fleet::Fleet::new(epoch),
             probes: Default::default(),
-            books: fair_share::FairnessState::new(cfg.floor),
-            watch: zones::ZoneMonitor::new(&cfg, now),
+            service_shares: fair_share::FairnessState::new(cfg.fairness),
+            zone_monitor: zones::ZoneMonitor::new(&cfg, now),
             fences: Default::default(),
-            cfg,
+            config: cfg,
             epoch,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            flavors: BTreeMap::new(),
-            dirty: DirtyQueue::default(),
+            machine_types: BTreeMap::new(),
+            write_queue: WriteQueue::default(),
             record_format: RecordFormat::default(),
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
             dependencies: dependencies::Dependencies::new(look_ups),
             inheritance: Default::default(),
-            look_ups_for_submissions: named_jobs::LookUps::new(look_ups),
+            submission_lookups: referenced_jobs::Lookups::new(look_ups),
             time_limits: BTreeSet::new(),
-            reads: HashMap::new(),
-            counter: 0,
+            pending_final_reads: HashMap::new(),
+            id_counter: 0,
             next_seq: 1,
             next_call: 1,
-            proven,
-            began: now,
-            ticked: now,
-            awake: Time::default(),
-            behind: Time::default(),
+            leadership_confirmed: proven,
+            leading_since: now,
+            last_tick: now,
+            resumed_at: Time::default(),
+            overloaded_at: Time::default(),
             wall,
             replan: false,
-            pass_at: now,
-            rests_until: Time::default(),
-            preempt_at: now,
-            sum_up_at: now,
-            goes_on_at: None,
-            stuck: false,
-            judged: Default::default(),
+            next_pass_at: now,
+            no_pass_before: Time::default(),
+            next_preemption_at: now,
+            next_summary_at: now,
+            resume_pass_at: None,
+            pass_stalled: false,
+            machines_evaluated: Default::default(),
             reports_held: 0,
             reports_refused: 0,
-            taken: vec![],
-            unsent: BTreeSet::new(),
-            ready: BTreeSet::new(),
-            held: BTreeMap::new(),
-            at_fence: BTreeMap::new(),
-            out: vec![],
+            newly_accepted: vec![],
+            machines_with_unsent_runs: BTreeSet::new(),
+            machines_to_push: BTreeSet::new(),
+            held_heartbeats: BTreeMap::new(),
+            fenced_heartbeats: BTreeMap::new(),
+            effects: vec![],
             unreadable: Default::default(),
         }
     }
 
-    /// The form in which records are written from now on. The compact one is never
-    /// given up again.
+    /// Sets the format of records written from now on. The compact format is never reverted.
     pub fn set_format(&mut self, format: RecordFormat) {
         self.record_format = self.record_format.max(format);
     }
 
-    /// Jobs that wait for others may be taken: every controller knows what their
-    /// records say.
+    /// Whether jobs with dependencies may be accepted: every controller can read their
+    /// records.
     pub fn accepts_dependencies(&self) -> bool {
         self.record_format == RecordFormat::Compact
     }
 
-    /// The only way in: an event at a time leads to effects.
+    /// Handles one event and returns the resulting effects. This is the only entry point.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
-        self.dirty.now = now;
-        // One for a turn of the loop, not one for each of its messages: with a pass
-        // due again after each, a turn took 5.8 s, and reports waited for it.
+        self.write_queue.now = now;
+        // At most one placement pass per turn of the main loop, not one per message: with a
+        // pass due after each message, a turn took 5.8 s and heartbeats waited for it.
         let turn_ends = matches!(event, Event::Wake | Event::Tick(_));
-        let may_pass = turn_ends || self.cfg.pass_every == Span::ZERO;
+        let may_pass = turn_ends || self.config.pass_interval == Span::ZERO;
         match event {
-            Event::Ask(req, ask) => self.ask(now, req, ask),
+            Event::Ask(req, ask) => self.handle_request(now, req, ask),
             Event::Relayed(req, by, body) => self.handle_heartbeat(now, req, &body, Some(by)),
-            Event::OutOfReach(away) => {
+            Event::Unreachable(away) => {
                 for l in away {
                     self.fleet.unreachable_controllers.insert(l, now);
                 }
@@ -374,12 +383,14 @@
             Event::FinalRead(job, r) => self.final_read(now, job, r),
             Event::RecordRead(req, job, r) => self.record_read(now, req, job, r),
             Event::Direct(call, host, r) => self.handle_call_result(now, call, host, r),
-            Event::Flavors(f) => self.take_flavors(f),
+            Event::MachineTypes(f) => self.set_machine_types(f),
             Event::Listed(l) => self.machines_listed(now, l),
-            Event::Hired(h, r) => self.rental_answered(now, h, r),
+            Event::RentalResult(h, r) => self.rental_answered(now, h, r),
             Event::Released(hosts, ok) => self.machines_returned(now, hosts, ok),
-            Event::Proven(t) => self.proven = self.proven.max(t),
-            Event::Behind => self.behind = now,
+            Event::LeadershipConfirmed(t) => {
+                self.leadership_confirmed = self.leadership_confirmed.max(t)
+            }
+            Event::Overloaded => self.overloaded_at = now,
             Event::Wake => {
                 self.send_ready_commands(now);
                 self.answer_held_heartbeats(now, false);
@@ -393,76 +404,83 @@
         self.inherit();
         if may_pass && self.replan && now >= self.pass_due() && self.may_start(now) {
             self.replan = false;
-            self.pass_at = now + self.cfg.pass_every;
+            self.next_pass_at = now + self.config.pass_interval;
             self.place(now);
-            for id in std::mem::take(&mut self.taken) {
-                if let Some(j) = self.jobs.get_mut(&id).filter(|j| j.parts[0].stored == 0) {
-                    j.queue(0, &mut self.dirty, Purpose::Now);
+            for id in std::mem::take(&mut self.newly_accepted) {
+                if let Some(j) = self
+                    .jobs
+                    .get_mut(&id)
+                    .filter(|j| j.parts[0].stored_version == 0)
+                {
+                    j.enqueue_write(0, &mut self.write_queue, Purpose::Now);
                 }
             }
             self.answer_held_heartbeats(now, true);
         }
-        if self.cfg.pass_every == Span::ZERO {
+        if self.config.pass_interval == Span::ZERO {
             self.send_ready_commands(now);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     fn pass_due(&self) -> Time {
-        self.pass_at.max(self.rests_until)
+        self.next_pass_at.max(self.no_pass_before)
     }
 
-    /// No pass before this moment: the last one has taken so much that the rest is
-    /// to have its turn.
-    pub fn rest(&mut self, until: Time) {
-        self.rests_until = until;
+    /// Allows no placement pass before `until`: the last one took so long that other work
+    /// must run first.
+    pub fn defer_pass(&mut self, until: Time) {
+        self.no_pass_before = until;
     }
 
-    /// When `Wake` is due, if there is anything for it to do: the next pass,
-    /// commands that may leave, answers that have waited.
+    /// When [`Event::Wake`] is due, if there is anything to do: the next pass, commands that
+    /// can be sent, or held heartbeats to be answered.
     pub fn wake_at(&self) -> Option<Time> {
         let pass = self.replan.then_some(self.pass_due());
-        let ready = (!self.ready.is_empty()).then_some(Time::default());
-        let goes_on = self.dependencies.is_announcing() || !self.inheritance.is_empty();
-        let goes_on = goes_on.then_some(Time::default());
-        let due = [pass, ready, goes_on, self.next_held_deadline()];
+        let ready = (!self.machines_to_push.is_empty()).then_some(Time::default());
+        let has_dependency_work = self.dependencies.is_announcing() || !self.inheritance.is_empty();
+        let has_dependency_work = has_dependency_work.then_some(Time::default());
+        let due = [pass, ready, has_dependency_work, self.next_held_deadline()];
         due.into_iter().flatten().min()
     }
 
-    /// Leadership is proven at this moment; anything new needs that.
+    /// Whether the leader lease is valid at `now`; every new action requires it.
     pub fn may_start(&self, now: Time) -> bool {
-        now < self.proven_until()
+        now < self.leadership_valid_until()
     }
 
-    /// Until when the leadership is proven.
-    pub fn proven_until(&self) -> Time {
-        self.proven + (self.cfg.leader_lease.shrunk() - Span::millis(50))
+    /// When the confirmed leader lease ends, with a safety margin.
+    pub fn leadership_valid_until(&self) -> Time {
+        self.leadership_confirmed + (self.config.leader_lease.shrunk() - Span::millis(50))
     }
 
-    /// Reports may be answered for a while after the last proof: in an outage of
-    /// the state service for all. Who hears no other controller either may be the
-    /// only one that has lost it, and its workers are served better elsewhere.
+    /// Heartbeats are answered for a grace period after the last lease renewal, so that an
+    /// outage of the state service affects no worker. A controller that reaches no other one
+    /// may be the only one cut off from the state service; its workers are better served by
+    /// another.
     pub fn may_report(&self, now: Time) -> bool {
-        self.may_start(now) || now < self.proven + self.cfg.report_grace() && !self.alone(now)
+        self.may_start(now)
+            || now < self.leadership_confirmed + self.config.report_grace()
+                && !self.is_isolated(now)
     }
 
-    /// There are other controllers, and none of them can be talked to; unless it is
-    /// this one that is too busy to hear them.
-    fn alone(&self, now: Time) -> bool {
+    /// There are other controllers and all are unreachable, while this one is not
+    /// overloaded.
+    fn is_isolated(&self, now: Time) -> bool {
         let away = |l| self.fleet.unreachable_controllers.get(l);
         let lately = |l| away(l).is_some_and(|t| now - *t < Span::secs(1.0));
-        let others = &self.cfg.controllers;
+        let others = &self.config.controllers;
         !others.is_empty() && self.answers_are_timely(now) && others.keys().all(lately)
     }
 
     fn next_token(&mut self) -> Token {
-        self.counter += 1;
-        Token(self.epoch.base() + self.counter)
+        self.id_counter += 1;
+        Token(self.epoch.base() + self.id_counter)
     }
 
     fn next_attempt(&mut self) -> Attempt {
-        self.counter += 1;
-        Attempt(self.epoch.base() + self.counter)
+        self.id_counter += 1;
+        Attempt(self.epoch.base() + self.id_counter)
     }
 
     fn base_token(&self) -> Token {
@@ -470,42 +488,42 @@
     }
 
     fn answer(&mut self, req: ReqId, a: Answer) {
-        self.out.push(Effect::Answer(req, a));
+        self.effects.push(Effect::Answer(req, a));
     }
 
-    fn take_flavors(&mut self, flavors: Vec<Flavor>) {
+    fn set_machine_types(&mut self, flavors: Vec<Flavor>) {
         let usable = |f: &Flavor| {
             let fine = f.cpus > 0.0 && f.gpus >= 0.0 && f.memory_gb >= 0.0;
             if !fine {
-                tracing::warn!(build = %f.build, "a machine type without room is ignored");
+                tracing::warn!(build = %f.build, "machine type ignored: negative capacity or no CPUs");
             }
             fine
         };
         let flavors = flavors.into_iter().filter(usable);
-        self.flavors = flavors.map(|f| (f.build.clone(), f)).collect();
+        self.machine_types = flavors.map(|f| (f.build.clone(), f)).collect();
         self.update_quick_classes();
         for m in self.machines.values_mut() {
-            if let Some(f) = self.flavors.get(&m.build) {
+            if let Some(f) = self.machine_types.get(&m.build) {
                 m.set_machine_type(f);
             }
         }
         self.replan = true;
     }
 
-    /// Takes over what earlier leaders stored; called before any event.
+    /// Loads the jobs stored by earlier leaders; called before any event.
     pub fn load(&mut self, now: Time, jobs: Vec<Job>, unreadable: BTreeMap<JobId, JobState>) {
         self.unreadable = unreadable;
         for mut job in jobs {
             if job.damaged {
-                // What the lost part had on machines is not known: it is over, by
-                // our word or with its lease, before anything of the job starts.
+                // Attempts in the unreadable part are unknown: they have ended, by command
+                // or by lease expiry, before anything of the job starts.
                 job.backoff_until =
                     self.latest_lease_renewal(now) + self.lease_bound() + self.lease_bound();
             }
             self.next_seq = self.next_seq.max(job.seq + 1);
             let id = job.id().clone();
             let estimate = estimate::of(&job);
-            for (t, l) in &job.live {
+            for (t, l) in &job.active {
                 let slot = Allocation {
                     need: job.need,
                     start: l.placed,
@@ -522,9 +540,9 @@
                 if let Some(p) = &l.place {
                     (m.zone, m.build, m.spot) = (p.zone.clone(), p.build.clone(), p.spot);
                 }
-                // Earlier leaders may have answered its reports until now, and
-                // one that doesn't know of us yet may for some time to come.
-                m.last_renewal = now.max(self.began + self.cfg.report_grace());
+                // Earlier leaders may have answered its heartbeats until now, and one that
+                // has not noticed the new leadership may do so for some time.
+                m.last_renewal = now.max(self.leading_since + self.config.report_grace());
                 self.fences.bound_machine_times(m);
                 m.unconfirmed_token = Some(token);
                 m.used += job.need;
@@ -536,8 +554,8 @@
                 self.teams.add(&job.spec.team, &job.need);
             }
             self.jobs.insert(id.clone(), job);
-            self.finish_if_over(&id);
-            // A cancelled job's tasks are to go; who told its user counts on it.
+            self.finish_if_complete(&id);
+            // Tasks of a cancelled job must end: the cancellation was confirmed to its user.
             if self.jobs.get(&id).is_some_and(|j| j.cancelled) {
                 self.stop_all(now, &id);
             }
@@ -545,14 +563,14 @@
         self.fleet.first_submitted_seq = self.next_seq;
         self.record_loaded_jobs(now);
         self.load_dependencies(now);
-        self.dirty.changed.extend(self.jobs.keys().cloned());
+        self.write_queue.changed.extend(self.jobs.keys().cloned());
         self.replan = true;
     }
 
-    fn remember_final(&mut self, id: &JobId, f: Final) {
+    fn cache_final(&mut self, id: &JobId, f: Final) {
         if self.finals.insert(id.clone(), f).is_none() {
             self.finals_order.push_back(id.clone());
-            if self.finals_order.len() > self.cfg.finals
+            if self.finals_order.len() > self.config.max_finals
                 && let Some(old) = self.finals_order.pop_front()
             {
                 self.finals.remove(&old);
@@ -561,10 +579,13 @@
     }
 
     fn tick(&mut self, now: Time) {
-        let pause = now - std::mem::replace(&mut self.ticked, now);
-        if pause > STOOD_STILL {
-            tracing::warn!(seconds = pause.as_secs(), "stood still");
-            self.awake = now;
+        let gap = now - std::mem::replace(&mut self.last_tick, now);
+        if gap > MAX_TICK_GAP {
+            tracing::warn!(
+                seconds = gap.as_secs(),
+                "process was paused: no tick for longer than the limit"
+            );
+            self.resumed_at = now;
         }
         self.send_ready_commands(now);
         self.answer_held_heartbeats(now, false);
@@ -577,24 +598,24 @@
         self.retry_unsent_commands(now);
         self.update_fairness(now);
         self.read_parents(now);
-        self.go_on_looking_up(now);
-        self.end_overlong(now);
-        // What waits for time alone, such as a back-off, is tried again.
+        self.continue_lookups(now);
+        self.enforce_time_limits(now);
+        // Jobs that wait only for time to pass, such as a backoff, are tried again.
         self.replan = true;
-        if now >= self.sum_up_at {
-            self.sum_up_at = now + SUM_UP_EVERY;
-            self.sum_up(now);
+        if now >= self.next_summary_at {
+            self.next_summary_at = now + SUMMARY_INTERVAL;
+            self.log_summary(now);
             self.log_fairness();
         }
     }
 
-    /// Reads of final states so far.
-    pub fn look_up_counts(&self) -> LookUpCounts {
-        self.look_up_counts
+    /// Counters of final-state reads since the leadership began.
+    pub fn lookup_counts(&self) -> LookUpCounts {
+        self.lookup_counts
     }
 
-    /// Machines judged for tasks so far, a measure of the work of placing.
-    pub fn judged(&self) -> u64 {
-        self.judged.get()
+    /// Machines evaluated for tasks since the leadership began: a measure of placement work.
+    pub fn machines_evaluated(&self) -> u64 {
+        self.machines_evaluated.get()
     }
 }
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -1,16 +1,17 @@
-//! What operators see: the line of figures in the log, and the overview.
+//! Figures for operators: the periodic log line and the overview page.
 
+use super::Resources;
+use super::Scheduler;
 use super::job::{self, Job};
 use super::machine::MachineState;
-use super::{Resources, Sched};
 use crate::time::Time;
 use crate::wire::user::Kind;
 use std::collections::BTreeMap;
 
-/// Waiting gangs that are told of one by one.
-const MOST_GANGS: usize = 20;
+/// Maximum waiting gangs listed one by one.
+const MAX_GANGS_SHOWN: usize = 20;
 
-fn room_view(capacity: &Resources, used: &Resources) -> serde_json::Value {
+fn resources_view(capacity: &Resources, used: &Resources) -> serde_json::Value {
     let one = |of: i64, n: i64| {
         let (of, n) = (of as f64 / 1000.0, n as f64 / 1000.0);
         serde_json::json!({"up": of, "used": n})
@@ -22,9 +23,9 @@
     })
 }
 
-impl Sched {
-    /// How full the fleet is, for whoever reads the log.
-    pub(super) fn sum_up(&self, now: Time) {
+impl Scheduler {
+    /// Logs the utilization of the fleet.
+    pub(super) fn log_summary(&self, now: Time) {
         let fresh = self.max_heartbeat_age();
         let (mut up, mut booting, mut spot) = (0, 0, 0);
         let (mut spot_used, mut starting) = (Resources::default(), Resources::default());
@@ -47,8 +48,8 @@
         }
         for j in self.jobs.values() {
             pending += j.need.scaled(j.pending() as i64);
-            let begins = |l: &&job::Live| l.running_since.is_none();
-            let n = j.live.values().filter(begins).count();
+            let is_starting = |l: &&job::ActiveAttempt| l.running_since.is_none();
+            let n = j.active.values().filter(is_starting).count();
             starting += j.need.scaled(n as i64);
         }
         tracing::info!(
@@ -62,18 +63,18 @@
             %starting,
             %free,
             %pending,
-            writes = ?self.dirty.lengths(),
+            writes = ?self.write_queue.lengths(),
             "fleet"
         );
     }
 
-    /// Numbers for operators.
+    /// The scheduler's part of the overview page, as JSON.
     pub fn overview(&self, now: Time) -> serde_json::Value {
         let mut by_class: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         for j in self.jobs.values() {
             let e = by_class.entry(j.spec.class.to_string()).or_default();
             e.0 += j.pending() as u64;
-            e.1 += j.live.len() as u64;
+            e.1 += j.active.len() as u64;
         }
         let (mut capacity, mut used) = (Resources::default(), Resources::default());
         let mut machines_up = 0;
@@ -84,7 +85,7 @@
                 capacity += m.capacity;
             }
         }
-        let writes = self.dirty.lengths();
+        let writes = self.write_queue.lengths();
         serde_json::json!({
             "epoch": self.epoch,
             "proven": self.may_start(now),
@@ -92,19 +93,19 @@
             "machines": self.machines.len(),
             "machines_up": machines_up,
             "zones": self.zones_overview(now),
-            "room": room_view(&capacity, &used),
+            "room": resources_view(&capacity, &used),
             "gangs_waiting": self.gangs_waiting(),
             "replicas_missing": self.replicas_missing(),
             "classes": by_class.into_iter().map(|(c, (p, l))|
                 (c, serde_json::json!({"pending": p, "started": l}))).collect::<serde_json::Map<_, _>>(),
             "teams": self.teams.overview(),
-            "served": self.books.overview(),
-            "unwritten": self.dirty.len(),
+            "served": self.service_shares.overview(),
+            "unwritten": self.write_queue.len(),
             "writes_waiting": {
                 "now": writes[0], "starts": writes[1], "ends": writes[2], "progress": writes[3],
             },
-            "look_ups": self.look_up_counts,
-            "judged": self.judged.get(),
+            "look_ups": self.lookup_counts,
+            "judged": self.machines_evaluated.get(),
             "reports_held": self.reports_held,
             "reports_refused": self.reports_refused,
             "rentals_under_way": self.fleet.requests_in_flight(),
@@ -118,7 +119,7 @@
             let short = self.fleet.shortages.iter().find(|s| s.job == *j.id());
             let left = self.teams.remaining(&j.spec.team).tasks_that_fit(&j.need);
             let waits_for = match short {
-                _ if !j.live.is_empty() => "its members to be gone or replaced",
+                _ if !j.active.is_empty() => "its members to be gone or replaced",
                 _ if left < j.pending() as i64 => "its team's limit",
                 Some(_) => "machines",
                 None => "the next pass",
@@ -132,10 +133,10 @@
             })
         };
         let gangs = self.jobs.values().filter(waits);
-        gangs.take(MOST_GANGS).map(one).collect()
+        gangs.take(MAX_GANGS_SHOWN).map(one).collect()
     }
 
-    /// Replicas of services that are not up, by class.
+    /// Number of service replicas that are not running, by class.
     fn replicas_missing(&self) -> BTreeMap<String, u32> {
         let mut missing = BTreeMap::new();
         let services = self.jobs.values().filter(|j| j.spec.kind == Kind::Service);
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -342,7 +342,7 @@
         desk.ask(Ask::Cancel(format!("job-{:06}", 100 + n)));
     }
     // The cancellations are stored; the final states wait.
-    let lengths = desk.s.dirty.lengths();
+    let lengths = desk.s.write_queue.lengths();
     assert!(lengths[0] + lengths[2] >= 200, "{lengths:?}");
     let (mut collected, mut ended, mut longest_wait) = (0, 0, 0);
     let mut waiting: Option<(ReqId, u64)> = None;
@@ -350,9 +350,9 @@
     for step in 0..800 {
         desk.now += 25_000;
         let now = Time(desk.now);
-        desk.s.handle(now, Event::Proven(now));
+        desk.s.handle(now, Event::LeadershipConfirmed(now));
         if step == 760 {
-            assert!(desk.s.dirty.is_empty(), "only garbage is left");
+            assert!(desk.s.write_queue.is_empty(), "only garbage is left");
             burst = (0..8).map(|n| desk.submit(&job(5000 + n, 1))).collect();
         } else if step == 764 {
             let answered = burst.iter().filter(|r| desk.status(**r).is_some()).count();
--- a/tests/flood.rs
+++ b/tests/flood.rs
@@ -40,7 +40,7 @@
 /// Asserts that the leader's state does not grow with the number of finished jobs.
 fn assert_bounded(world: &World) {
     let Some(i) = world.leader() else { return };
-    let (jobs, dirty) = (world.sched(i).jobs.len(), world.sched(i).dirty.len());
+    let (jobs, dirty) = (world.sched(i).jobs.len(), world.sched(i).write_queue.len());
     let max_pending = (JOBS_PER_SECOND * BACKLOG_S) as usize;
     assert!(jobs <= max_pending, "{jobs} jobs at {}", world.now);
     assert!(dirty <= max_pending, "{dirty} writes at {}", world.now);
@@ -77,7 +77,7 @@
             "{:?}",
             world.sched(i).jobs.keys()
         );
-        assert!(world.sched(i).dirty.is_empty());
+        assert!(world.sched(i).write_queue.is_empty());
         world.set(Conditions::default());
         let mut ended = [0, 0];
         for (id, state) in world.states() {
