--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -2,11 +2,14 @@
 //! rental requests are answered.
 
 use super::{MachineKind, PendingRental};
-use crate::sched::Effect;
-use crate::sched::RentalResult;
-use crate::sched::Resources;
-use crate::sched::Scheduler;
-use crate::sched::machine::MachineState;
+use crate::ids::{Build, Host, Team, Zone};
+use crate::sched::allowed_zones::AllowedZones;
+use crate::sched::job::Job;
+use crate::sched::machine::{Machine, MachineState};
+use crate::sched::{Effect, RentalResult, Resources, Scheduler};
+use crate::time::{Span, Time};
+use crate::wire::cloud::{Flavor, Hire};
+use std::collections::BTreeMap;
 
 /// A kind of machine that was refused is not requested again for this time.
 pub(super) const REFUSED_KIND_BACKOFF: Span = Span(15_000_000);
@@ -485,11 +488,3 @@
         && (spec.spot || !kind.spot)
         && allowed.contains(&kind.zone)
 }
-
-use crate::ids::{Build, Host, Team, Zone};
-use crate::sched::allowed_zones::AllowedZones;
-use crate::sched::job::Job;
-use crate::sched::machine::{Life, Machine};
-use crate::time::{Span, Time};
-use crate::wire::cloud::{Flavor, Hire};
-use std::collections::BTreeMap;
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -1,9 +1,14 @@
 //! The order in which jobs are served, computed once for each pass.
 
-use super::Resources;
-use super::Scheduler;
-use super::estimate;
 use super::fleet::Shortage;
+use super::inheritance::LATE_FACTOR;
+use super::job::Job;
+use super::{Resources, Scheduler, estimate};
+use crate::ids::{JobId, Team};
+use crate::settings::Objective;
+use crate::time::{Span, Time};
+use crate::wire::user::{Kind, Priority};
+use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Weight of the time for which a job would fill the fleet; it counts against the job.
 const WORK_WEIGHT: f64 = 12.0;
@@ -259,11 +264,3 @@
         start_times.filter(|t| *t > now).min()
     }
 }
-
-use super::inheritance::LATE_FACTOR;
-use super::job::Job;
-use crate::ids::{JobId, Team};
-use crate::settings::Objective;
-use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
-use std::collections::{BTreeMap, HashMap, HashSet};
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -2,16 +2,18 @@
 //! machines, and gives back those of a lost zone whose work is worth starting
 //! elsewhere. What a verdict means for an attempt is nothing: proof is as ever.
 
-use super::Config;
-use super::Resources;
-use super::Scheduler;
-use super::estimate;
 use super::fleet::boot_timeout;
-use super::machine::MachineState;
-use hookworks_zones::AttemptAtRisk;
-use hookworks_zones::AttemptKind;
-use hookworks_zones::LostMachine;
-use hookworks_zones::plan_releases;
+use super::job::{ActiveAttempt, Job, Phase};
+use super::machine::{Machine, MachineState};
+use super::{Config, Resources, Scheduler, estimate};
+use crate::ids::{Host, Label, TaskId, Zone};
+use crate::time::{Span, Time};
+use crate::wire::user::{Kind, Priority};
+use hookworks_zones::{
+    AttemptAtRisk, AttemptKind, Budget, Change, Evidence, LostMachine, State, Zones, plan_releases,
+};
+use serde::Serialize;
+use std::collections::{BTreeMap, HashSet};
 
 /// What is worth moving is looked into so often.
 const PLAN_INTERVAL: Span = Span(1_000_000);
@@ -483,12 +485,3 @@
 fn may_be_preempted(j: &Job) -> bool {
     j.spec.kind == Kind::Array && j.priority() > Priority::High
 }
-
-use super::job::{ActiveAttempt, Job, Phase};
-use super::machine::{Life, Machine};
-use crate::ids::{Host, Label, TaskId, Zone};
-use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
-use hookworks_zones::{Budget, Case, Change, Evidence, Stake, Standing, State, Zones, plan};
-use serde::Serialize;
-use std::collections::{BTreeMap, HashSet};
