--- a/src/sched/fair_share.rs
+++ b/src/sched/fair_share.rs
@@ -89,7 +89,7 @@
 
     /// How many of its tasks may start ahead of others, if any.
     pub fn boosted_tasks(&self, id: &JobId) -> Option<i64> {
-        self.boosted.get(id).copied().filter(|n| *n > 0)
+        self.boosted.get(id).copied().filter(|tasks| *tasks > 0)
     }
 
     /// Whether the job has been overtaken for as long as it may be, and goes first as a
@@ -101,28 +101,28 @@
     pub fn boosted_jobs(&self) -> impl Iterator<Item = &JobId> {
         self.boosted
             .iter()
-            .filter(|(_, n)| **n > 0)
+            .filter(|(_, tasks)| **tasks > 0)
             .map(|(id, _)| id)
     }
 
     /// A task of the job starts; counts it against the boost of the job, if there is
     /// one.
     pub fn task_started(&mut self, id: &JobId, ix: TaskIx) {
-        if let Some(n) = self.boosted.get_mut(id).filter(|n| **n > 0) {
-            *n -= 1;
+        if let Some(tasks) = self.boosted.get_mut(id).filter(|tasks| **tasks > 0) {
+            *tasks -= 1;
             let job = id.clone();
             self.protected.insert(TaskId { job, ix });
         }
     }
 
-    pub fn task_ended(&mut self, t: &TaskId) {
-        self.protected.remove(t);
+    pub fn task_ended(&mut self, task: &TaskId) {
+        self.protected.remove(task);
     }
 
     /// Whether the task is protected from preemption, as it was started from reserved
     /// capacity.
-    pub fn is_protected(&self, t: &TaskId) -> bool {
-        self.protected.contains(t)
+    pub fn is_protected(&self, task: &TaskId) -> bool {
+        self.protected.contains(task)
     }
 
     pub fn overview(&self) -> FairnessOverview {
@@ -145,7 +145,7 @@
 
 /// The time since which the job has waited for a start of its remaining tasks.
 fn waiting_for_start_since(job: &Job) -> Time {
-    let last_start = job.active.values().map(|live| live.placed).max();
+    let last_start = job.active.values().map(|attempt| attempt.placed).max();
     last_start.map_or(job.ready_since, |start| start.max(job.ready_since))
 }
 
--- a/src/sched/fleet.rs
+++ b/src/sched/fleet.rs
@@ -491,7 +491,7 @@
                 let mut free_after = free;
                 free_after.take(&machine.capacity, spot);
                 let needed_for_headroom = !free_after.all.covers(&headroom.all)
-                    || !spot && !free_after.plain.covers(&headroom.plain);
+                    || !spot && !free_after.ordinary.covers(&headroom.ordinary);
                 if needed_for_headroom
                     || !self.idle_timeout_expired(now, machine)
                     || self.is_wanted(machine)
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -389,7 +389,7 @@
     fn missing_headroom(&self, now: Time) -> Option<(MachineKind, f64)> {
         let headroom = self.headroom(now);
         let free = self.free_capacity(now);
-        let lacks_ordinary = !free.plain.covers(&headroom.plain);
+        let lacks_ordinary = !free.ordinary.covers(&headroom.ordinary);
         if !lacks_ordinary && free.all.covers(&headroom.all) {
             return None;
         }
@@ -403,7 +403,7 @@
         let kind = kinds.find(|kind| !lacks_ordinary || !kind.spot)?;
         let capacity = Resources::of_machine_type(self.machine_types.get(&kind.build)?);
         let lacking = if lacks_ordinary {
-            headroom.plain.minus(&free.plain)
+            headroom.ordinary.minus(&free.ordinary)
         } else {
             headroom.all.minus(&free.all)
         };
@@ -460,12 +460,12 @@
 
     fn add_rented(&mut self, now: Time, host: Host, request: &Hire) {
         let token = self.base_token();
-        let flavor = self.machine_types.get(&request.build);
+        let machine_type = self.machine_types.get(&request.build);
         let machine = self.machines.entry(host.clone()).or_insert_with(|| {
             let (build, zone) = (request.build.clone(), request.zone.clone());
             let mut machine = Machine::new(host, build, zone, request.spot, now, token);
-            if let Some(flavor) = flavor {
-                machine.set_machine_type(flavor);
+            if let Some(machine_type) = machine_type {
+                machine.set_machine_type(machine_type);
             }
             machine
         });
--- a/src/sched/gang.rs
+++ b/src/sched/gang.rs
@@ -25,7 +25,7 @@
     /// Tasks for which no machine is up or boots.
     to_rent: i64,
     /// Machines that are reserved for the gang.
-    held: Vec<Host>,
+    reserved: Vec<Host>,
 }
 
 /// A machine that may soon run tasks of a gang.
@@ -64,8 +64,8 @@
         {
             return None;
         }
-        if let Some(live) = job.active.values().next() {
-            let attempt = live.attempt;
+        if let Some(member) = job.active.values().next() {
+            let attempt = member.attempt;
             if !takes_replacement(job, attempt) {
                 return None;
             }
@@ -81,7 +81,7 @@
         if !not_rentable || reserved.is_empty() {
             // Of the gangs for which no machine can be rented, only one at a time
             // reserves machines.
-            reserved.extend(target.held);
+            reserved.extend(target.reserved);
         }
         Some(Shortage {
             job: id.clone(),
@@ -132,7 +132,7 @@
         let job = self.jobs.get(id)?;
         let candidates = self.suitable_machines(now, job, reserved, order);
         if !job.spec.one_zone {
-            return fill(job, &candidates, None).map(|places| places.hosts);
+            return fill(job, &candidates, None).map(|machines| machines.hosts);
         }
         // A gang starts together with its slowest member, so the zone with the fewest
         // late images is best.
@@ -140,8 +140,8 @@
         let fills = zones
             .into_iter()
             .filter_map(|zone| fill(job, &candidates, Some(zone)));
-        let best = fills.min_by_key(|places| places.late_images);
-        best.map(|places| places.hosts)
+        let best = fills.min_by_key(|machines| machines.late_images);
+        best.map(|machines| machines.hosts)
     }
 
     /// The machines on which a task of the gang may start, the best first.
@@ -214,7 +214,10 @@
                 zones.entry(&machine.zone).or_default().push(soon_free);
             }
         }
-        let rentable = self.machine_types.values().flat_map(|flavor| &flavor.zones);
+        let rentable = self
+            .machine_types
+            .values()
+            .flat_map(|machine_type| &machine_type.zones);
         let is_allowed = |zone: &&Zone| job.spec.zone.as_ref().is_none_or(|only| only == *zone);
         for zone in rentable.filter(is_allowed) {
             zones.entry(zone).or_default();
@@ -249,7 +252,7 @@
             machine
                 .allocations
                 .values()
-                .any(|slot| slot.overran_estimate(now))
+                .any(|allocation| allocation.overran_estimate(now))
         };
         (empty_after < boot_wait && !any_overran()).then(|| soon_free(empty_after, tasks_if_empty))
     }
@@ -282,7 +285,10 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let running = job.active.iter().filter(|(_, live)| live.stop.is_none());
+        let running = job
+            .active
+            .iter()
+            .filter(|(_, member)| member.stop.is_none());
         let tasks: Vec<_> = running.map(|(task, _)| *task).collect();
         for task in tasks {
             self.stop_attempt(now, id, task, grace_s);
@@ -294,9 +300,10 @@
 /// while the gang has not run. In any other case all its attempts must end first.
 fn takes_replacement(job: &Job, attempt: Attempt) -> bool {
     // After a failover it isn't known yet whether an attempt waits or has run.
-    let state_known = |live: &ActiveAttempt| !(live.run_sent && live.phase == Phase::Placed);
-    let is_waiting =
-        |live: &ActiveAttempt| live.stop.is_none() && live.attempt == attempt && state_known(live);
+    let state_known = |member: &ActiveAttempt| !(member.run_sent && member.phase == Phase::Placed);
+    let is_waiting = |member: &ActiveAttempt| {
+        member.stop.is_none() && member.attempt == attempt && state_known(member)
+    };
     !job.gang_ran && job.active.values().all(is_waiting)
 }
 
@@ -342,7 +349,7 @@
             zone: zone.cloned(),
             lacks: tasks,
             to_rent: tasks,
-            held: vec![],
+            reserved: vec![],
         };
         for soon_free in machines {
             if result.to_rent <= 0 {
@@ -352,7 +359,7 @@
             if soon_free.after != ENDLESS {
                 result.lacks = result.to_rent;
             }
-            result.held.push(soon_free.machine.host.clone());
+            result.reserved.push(soon_free.machine.host.clone());
         }
         result
     }
--- a/src/sched/headroom.rs
+++ b/src/sched/headroom.rs
@@ -32,7 +32,7 @@
 /// An amount of free resources, on ordinary machines only and on all of them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FreeCapacity {
-    pub plain: Resources,
+    pub ordinary: Resources,
     pub all: Resources,
 }
 
@@ -72,11 +72,11 @@
             if let Some(arrival) = sorted.get(sorted.len() * 8 / 10) {
                 headroom.all += arrival.resources;
                 if arrival.ordinary {
-                    headroom.plain += arrival.resources;
+                    headroom.ordinary += arrival.resources;
                 }
             }
         }
-        headroom.plain = headroom.plain.scaled_f64(factor);
+        headroom.ordinary = headroom.ordinary.scaled_f64(factor);
         headroom.all = headroom.all.scaled_f64(factor);
         headroom
     }
@@ -87,19 +87,19 @@
         let free = machine.free().at_least_zero();
         self.all += free;
         if !machine.spot {
-            self.plain += free;
+            self.ordinary += free;
         }
     }
 
     fn minus(mut self, other: &FreeCapacity) -> FreeCapacity {
-        self.plain -= other.plain;
+        self.ordinary -= other.ordinary;
         self.all -= other.all;
         self
     }
 
     /// Whether a task with this need may use a machine, `spot` or ordinary.
     pub fn covers_task(&self, need: &Resources, spot: bool) -> bool {
-        self.all.covers(need) && (spot || self.plain.covers(need))
+        self.all.covers(need) && (spot || self.ordinary.covers(need))
     }
 
     /// Whether no resource that a task needs is overdrawn already.
@@ -110,13 +110,13 @@
                 && not_overdrawn(have.gpu, need.gpu)
                 && not_overdrawn(have.mem, need.mem)
         };
-        is_available(&self.all) && (spot || is_available(&self.plain))
+        is_available(&self.all) && (spot || is_available(&self.ordinary))
     }
 
     pub fn take(&mut self, need: &Resources, spot: bool) {
         self.all -= *need;
         if !spot {
-            self.plain -= *need;
+            self.ordinary -= *need;
         }
     }
 }
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -60,26 +60,26 @@
     /// turn at their own position. The second value is the number of turns before that
     /// of the job at which the last pass stopped.
     pub fn turns(&self, sched: &Scheduler, now: Time) -> (Vec<Turn>, usize) {
-        let may_start = |j: &&Job| j.pending() > 0 && now >= j.backoff_until;
+        let may_start = |job: &&Job| job.pending() > 0 && now >= job.backoff_until;
         let boosted = sched
             .service_shares
             .boosted_jobs()
             .filter_map(|id| sched.jobs.get(id));
-        let boosted = boosted.filter(may_start).map(|j| Turn {
-            job: j.id().clone(),
-            max_tasks: sched.service_shares.boosted_tasks(j.id()),
+        let boosted = boosted.filter(may_start).map(|job| Turn {
+            job: job.id().clone(),
+            max_tasks: sched.service_shares.boosted_tasks(job.id()),
             boosted: true,
         });
         let waiting = sched.jobs.values().filter(may_start);
         let mut ranked: Vec<(&Rank, &JobId)> = waiting
-            .filter_map(|j| Some((self.ranks.get(j.id())?, j.id())))
+            .filter_map(|job| Some((self.ranks.get(job.id())?, job.id())))
             .collect();
         ranked.sort_by(|a, b| a.0.partial_cmp(b.0).unwrap_or(std::cmp::Ordering::Equal));
         // A job that fails everywhere is tried with one task at a time: with all of its
         // tasks it takes machines from others, and fetches its image on each, in vain.
-        let tried_singly = |j: &&Job| j.failed_on_many_machines() && !j.has_healthy_task(now);
-        let remaining = |j: &Job| 1 - j.active.len().min(1) as i64;
-        let max_tasks = |id: &JobId| sched.jobs.get(id).filter(tried_singly).map(remaining);
+        let tried_singly = |job: &&Job| job.failed_on_many_machines() && !job.has_healthy_task(now);
+        let remaining = |job: &Job| 1 - job.active.len().min(1) as i64;
+        let singly_limit = |id: &JobId| sched.jobs.get(id).filter(tried_singly).map(remaining);
         // Continues where the last pass stopped, after the urgent jobs.
         let start = sched.resume_pass_at.as_ref();
         let start = start.and_then(|id| ranked.iter().position(|entry| entry.1 == id));
@@ -91,7 +91,7 @@
         let ranked = urgent.into_iter().chain(following).chain(others);
         let turns = ranked.map(|(_, id)| Turn {
             job: (*id).clone(),
-            max_tasks: max_tasks(id),
+            max_tasks: singly_limit(id),
             boosted: false,
         });
         let mut all_turns: Vec<Turn> = boosted.collect();
@@ -239,15 +239,15 @@
             .iter()
             .filter(is_own_class)
             .filter_map(|objective| objective.within_s);
-        let objectives = objectives.map(|s| job.ready_since + Span::secs(s));
+        let objectives = objectives.map(|limit_s| job.ready_since + Span::secs(limit_s));
         let deadline = job.spec.deadline_s.into_iter();
-        let deadline = deadline.flat_map(|d| [d, LATE_FACTOR * d]);
-        let deadline = deadline.map(|s| job.arrived + Span::secs(s));
+        let deadline = deadline.flat_map(|deadline_s| [deadline_s, LATE_FACTOR * deadline_s]);
+        let deadline = deadline.map(|limit_s| job.arrived + Span::secs(limit_s));
         let inherited = [job.inherited.due.in_time, job.inherited.due.late];
         let deadlines = objectives
             .chain(deadline)
             .chain(inherited.into_iter().flatten());
-        deadlines.filter(|t| *t > now).min()
+        deadlines.filter(|deadline| *deadline > now).min()
     }
 
     /// The time by which a task of the job should start, for the next of its waiting
@@ -259,8 +259,8 @@
             _ => false,
         };
         let objectives = self.config.objectives.iter().filter(applies);
-        let start_times =
-            objectives.filter_map(|o| Some(job.ready_since + Span::secs(o.within_s?)));
-        start_times.filter(|t| *t > now).min()
+        let start_times = objectives
+            .filter_map(|objective| Some(job.ready_since + Span::secs(objective.within_s?)));
+        start_times.filter(|start| *start > now).min()
     }
 }
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -253,12 +253,12 @@
             if !allowed_zones.contains(&machine.zone) {
                 continue;
             }
-            let (free, span) = (machine.free(), machine.remaining_range(now));
+            let (free, remaining) = (machine.free(), machine.remaining_range(now));
             let is_reserved = reserved.contains(&machine.host);
             let candidate = Candidate {
                 machine,
                 free,
-                remaining: span,
+                remaining: remaining,
                 reserved: is_reserved,
             };
             let Some(score) = view.score(&candidate) else {
@@ -300,10 +300,10 @@
             Purpose::Start
         };
         let machine = self.machines.get(host);
-        let place = machine.map(|m| AttemptPlace {
-            zone: m.zone.clone(),
-            build: m.build.clone(),
-            spot: m.spot,
+        let place = machine.map(|machine| AttemptPlace {
+            zone: machine.zone.clone(),
+            build: machine.build.clone(),
+            spot: machine.spot,
         });
         let version = job.mark_changed(record_part, &mut self.write_queue, purpose);
         job.active.insert(
@@ -326,9 +326,9 @@
         );
         self.teams.add(&job.spec.team, &job.need);
         let mut holds_image = false;
-        if let Some(m) = self.machines.get_mut(host) {
-            holds_image = m.has_image(&job.spec.image);
-            m.used += job.need;
+        if let Some(machine) = self.machines.get_mut(host) {
+            holds_image = machine.has_image(&job.spec.image);
+            machine.used += job.need;
             let allocation = Allocation {
                 need: job.need,
                 start: now,
@@ -336,7 +336,7 @@
                 endless: expected == ENDLESS,
                 image: job.spec.image.clone(),
             };
-            m.allocations.insert(task_id(id, task), allocation);
+            machine.allocations.insert(task_id(id, task), allocation);
         }
         self.machines_with_unsent_runs.insert(host.clone());
         tracing::debug!(job = %id, class = %job.spec.class, task = %task, %host, holds_image, "placed");
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -98,14 +98,14 @@
         }
         let little_loss = |i: &usize| victims[*i].loses_little();
         let little_loss = (0..victims.len()).filter(little_loss).collect();
-        let mut whole = Resources::default();
+        let mut fleet_capacity = Resources::default();
         for machine in sched.machines.values() {
-            whole += machine.capacity;
+            fleet_capacity += machine.capacity;
         }
         Selection {
             sched,
             order,
-            fleet_capacity: whole,
+            fleet_capacity,
             victims,
             little_loss,
             on_machine,
@@ -124,9 +124,9 @@
     fn serve(&mut self, preemptor: &Preemptor) {
         // Tasks that are being stopped already make room for the first preemptors.
         let resource = self.fleet_capacity.dominant_resource(&preemptor.job.need);
-        let asked = preemptor.job.need.scaled(preemptor.tasks);
-        let mut lacking = (resource(&asked) - resource(&self.stopping)).max(0);
-        self.stopping = self.stopping.minus(&asked).at_least_zero();
+        let requested = preemptor.job.need.scaled(preemptor.tasks);
+        let mut lacking = (resource(&requested) - resource(&self.stopping)).max(0);
+        self.stopping = self.stopping.minus(&requested).at_least_zero();
         let candidates = if preemptor.is_urgent() {
             self.victims.len()
         } else {
@@ -231,7 +231,7 @@
         let zones: BTreeSet<&Zone> = self.machines.values().map(|m| &m.zone).collect();
         let shortages = self.fleet.shortages.iter();
         let preemptors =
-            shortages.filter_map(|shortages| self.preemptor(now, shortages, order, &free, &zones));
+            shortages.filter_map(|shortage| self.preemptor(now, shortage, order, &free, &zones));
         preemptors.collect()
     }
 
@@ -258,15 +258,18 @@
         if !is_quick && !free.has_no_shortage(&job.need, job.spec.spot) {
             return None;
         }
-        let allowed = AllowedZones::of(self, job);
-        let closed = zones.iter().copied().filter(|zone| !allowed.contains(zone));
+        let allowed_zones = AllowedZones::of(self, job);
+        let excluded_zones = zones
+            .iter()
+            .copied()
+            .filter(|zone| !allowed_zones.contains(zone));
         Some(Preemptor {
             now,
             job,
             rank,
-            within_guarantee: within_guarantee,
+            within_guarantee,
             tasks: shortage.tasks,
-            excluded_zones: closed.collect(),
+            excluded_zones: excluded_zones.collect(),
         })
     }
 
@@ -279,23 +282,24 @@
         for job in self.jobs.values().filter(|job| !job.active.is_empty()) {
             let estimate_s = estimate::of(job).as_secs();
             let rank = order.rank(job.id());
-            for (task, live) in &job.active {
-                if live.stop.is_some() {
+            for (task, attempt) in &job.active {
+                if attempt.stop.is_some() {
                     stopping += job.need;
                     continue;
                 }
-                let (Some(machine), Some(rank)) = (self.machines.get(&live.host), rank) else {
+                let (Some(machine), Some(rank)) = (self.machines.get(&attempt.host), rank) else {
                     continue;
                 };
-                let ran_s = match (live.phase, live.running_since) {
+                let ran_s = match (attempt.phase, attempt.running_since) {
                     (Phase::Running, Some(since)) => (now - since).as_secs(),
                     _ => 0.0,
                 };
                 let is_array = job.spec.kind == Kind::Array;
                 // Tasks started from the reserved share are protected.
-                let guarded = self.service_shares.is_protected(&task_id(job.id(), *task));
+                let is_protected = self.service_shares.is_protected(&task_id(job.id(), *task));
                 let nearly_done = ran_s > NEARLY_DONE_SHARE * estimate_s;
-                if guarded || !is_array || nearly_done || !machine.accepts_tasks(now, max_age) {
+                if is_protected || !is_array || nearly_done || !machine.accepts_tasks(now, max_age)
+                {
                     continue;
                 }
                 victims.push(Victim::new(job, *task, ran_s, rank, machine));
@@ -317,17 +321,17 @@
         }
         let (theirs, ours) = (&victim.job.spec, &preemptor.job.spec);
         let (their_priority, our_priority) = (victim.job.priority(), preemptor.job.priority());
-        let lower = their_priority > our_priority;
-        if lower && (preemptor.is_urgent() || victim.cheap) {
+        let has_lower_priority = their_priority > our_priority;
+        if has_lower_priority && (preemptor.is_urgent() || victim.cheap) {
             return may_run_on(ours, victim.machine);
         }
         // If the fetch of the image takes longer than the work that is lost, nobody
         // gains time.
         let machine = victim.machine;
-        let fetch = machine.fetch_time(preemptor.now, &ours.image, ours.image_gb);
+        let fetch_time = machine.fetch_time(preemptor.now, &ours.image, ours.image_gb);
         preemptor.within_guarantee
             && victim.lost_s < MAX_BORROWED_LOSS_S
-            && fetch.as_secs() < MAX_BORROWED_LOSS_S
+            && fetch_time.as_secs() < MAX_BORROWED_LOSS_S
             && theirs.team != ours.team
             && their_priority >= our_priority
             && !order.is_within_guarantee(victim.job.id())
--- a/src/sched/wait_limits.rs
+++ b/src/sched/wait_limits.rs
@@ -33,14 +33,17 @@
 
     /// Whether the job has waited too long, and none of its tasks started meanwhile.
     pub(super) fn waited_without_start(&self, now: Time) -> bool {
-        let last_start = self.active.values().map(|live| live.placed).max();
+        let last_start = self.active.values().map(|attempt| attempt.placed).max();
         self.waited_too_long(now) && last_start.is_none_or(|since| now - since >= MAX_RULE_WAIT)
     }
 
     /// Whether one of its tasks has run long enough to count as healthy, whatever
     /// failed before.
     pub(super) fn has_healthy_task(&self, now: Time) -> bool {
-        let since = self.active.values().filter_map(|live| live.running_since);
+        let since = self
+            .active
+            .values()
+            .filter_map(|attempt| attempt.running_since);
         since
             .min()
             .is_some_and(|since| now - since >= HEALTHY_RUN_TIME)
