--- a/tests/accelerators.rs
+++ b/tests/accelerators.rs
@@ -1,5 +1,5 @@
-//! Machines whose accelerators run short before anything else: services, gangs
-//! and arrays on them.
+//! Machines whose accelerators are the scarcest resource: services, gangs and arrays on
+//! them.
 
 mod world;
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_amount_of_0_is_no_limit_and_what_passes_one_is_named() {
+fn amount_of_0_is_no_limit_and_the_exceeded_limit_is_named() {
     let mut d = desk();
     let fine = d.submit(&half(1, 50));
     assert_eq!(d.status(fine), Some(201));
@@ -86,14 +86,14 @@
         let a = &d.answer(req).unwrap().body;
         assert!(a.contains(field), "{field}: {a}");
     }
-    // The limit on accelerators holds all the same.
+    // The limit on accelerators still applies.
     for n in 1..=30 {
         d.beat(&machine(n, "a", false, 1));
     }
     assert_eq!(hosts(&d, "job-000001").len(), 40);
 }
 
-/// A replica: it may not use spot machines.
+/// A service replica: it may not use spot machines.
 fn service(n: u64, tasks: u32) -> JobSpec {
     let mut j = half(n, tasks);
     (j.kind, j.priority, j.spot) = (Kind::Service, Priority::Production, false);
@@ -110,8 +110,8 @@
     j
 }
 
-/// Rental requests made since the last look.
-fn take_hires(d: &mut Desk) -> Vec<Hire> {
+/// Takes the rental requests made since the last call.
+fn take_rental_requests(d: &mut Desk) -> Vec<Hire> {
     let one = |e: &Effect| match e {
         Effect::Rent(h) => Some(h.clone()),
         _ => None,
@@ -121,13 +121,13 @@
     asked
 }
 
-/// The cloud gives whatever is asked for; answers how many machines of each
-/// kind were rented, as zone and spot or not.
+/// Grants every rental request; returns zone, spot flag and count of the machines
+/// rented.
 fn rent_all(d: &mut Desk, next: &mut u32) -> Vec<(String, bool, u32)> {
     let mut rented = vec![];
     for _ in 0..20 {
         d.wait(0.25);
-        for h in take_hires(d) {
+        for h in take_rental_requests(d) {
             let names = (0..h.count).map(|k| format!("n-9{:05}", *next + k));
             let hosts: Vec<Host> = names.map(|n| n.as_str().into()).collect();
             *next += h.count;
@@ -142,7 +142,7 @@
     rented.iter().filter(|r| r.1 == spot).map(|r| r.2).sum()
 }
 
-/// Everything placed on the machine runs there.
+/// Reports everything placed on the machine as running.
 fn runs(d: &mut Desk, mut r: Report) {
     for j in d.s.jobs.values() {
         for (t, l) in j.active.iter().filter(|(_, l)| l.host == r.host) {
@@ -155,24 +155,24 @@
 }
 
 #[test]
-fn machines_of_another_kind_on_their_way_keep_nobody_from_renting() {
+fn expected_machines_of_another_kind_do_not_prevent_rentals() {
     let mut d = desk();
     let mut next = 0;
     d.submit(&half(1, 10));
     let first = rent_all(&mut d, &mut next);
     assert_eq!((count(&first, true), count(&first, false)), (5, 0));
-    // The five that boot are no use to replicas or a gang.
+    // The five spot machines that boot are no use to replicas or a gang.
     d.submit(&service(2, 4));
     let second = rent_all(&mut d, &mut next);
     assert_eq!(count(&second, true), 0);
-    // Two machines, and as many again for the headroom of their class.
+    // Two machines for the replicas, and as many for the headroom of their class.
     assert!(count(&second, false) >= 2, "{second:?}");
 }
 
-/// Replicas could use any machine on its way and took the gang's into account,
-/// whose zone was rented for ten times over.
+/// Guards against renting again and again in the zone of a gang: replicas that can use
+/// any expected machine reserve the gang's.
 #[test]
-fn a_gang_rents_in_one_zone_only_what_is_lacking_there_and_once() {
+fn gang_rents_only_the_missing_machines_in_one_zone_and_once() {
     let mut d = desk();
     d.beat(&machine(1, "a", false, 1));
     d.beat(&machine(2, "a", false, 1));
@@ -185,14 +185,15 @@
     let rented = rent_all(&mut d, &mut next);
     let there = |z: &str| rented.iter().filter(|r| r.0 == z).map(|r| r.2).sum::<u32>();
     assert!(hosts(&d, "job-000001").is_empty());
-    // The gang lacks at most its four; the replicas six machines less what is up.
+    // The gang lacks at most four machines; the replicas need six, less those that are
+    // up.
     assert!(there("a") + there("b") + there("c") <= 4 + 6, "{rented:?}");
     let again = rent_all(&mut d, &mut next);
-    assert!(again.is_empty(), "asked for again: {again:?}");
+    assert!(again.is_empty(), "requested again: {again:?}");
 }
 
 #[test]
-fn a_gang_without_room_keeps_its_machines_and_stops_nobody() {
+fn gang_that_lacks_machines_reserves_some_and_preempts_nothing() {
     let mut d = Desk::set_up(1, vec![], |c| {
         for (t, gpus) in c.teams.iter_mut().zip([1.0, 8.0]) {
             (t.cpus, t.cpus_max, t.gpus, t.gpus_max) = (0.0, 0.0, gpus, 40.0);
@@ -209,7 +210,7 @@
         runs(&mut d, machine(n, "a", false, 2));
     }
     d.submit(&gang(2, 2));
-    // One machine is empty and held for the gang: other work leaves it alone.
+    // One machine is empty and reserved for the gang: other jobs don't use it.
     let mut plain = half(3, 1);
     plain.spot = false;
     plain.estimate_s = 5000.0;
@@ -224,7 +225,7 @@
 }
 
 #[test]
-fn a_gang_takes_the_zone_that_holds_its_image() {
+fn gang_uses_the_zone_that_has_its_image() {
     let mut d = Desk::set_up(1, vec![], |c| {
         c.teams[1].gpus_max = 40.0;
         c.teams[1].cpus_max = 0.0;
@@ -248,7 +249,7 @@
 }
 
 #[test]
-fn an_image_that_takes_longer_than_the_aim_decides_before_the_fit() {
+fn image_fetch_longer_than_the_objective_counts_more_than_the_fit() {
     let starts = |image_gb: f64| {
         let mut d = desk();
         d.s.config.objectives[0].within_s = Some(12.0);
@@ -273,7 +274,7 @@
 }
 
 #[test]
-fn lendable_work_leaves_empty_plain_machines_to_others_while_it_can_rent() {
+fn lendable_job_leaves_empty_ordinary_machines_to_others_while_it_can_rent() {
     let mut d = desk();
     let mut full = service(1, 2);
     full.class = "work".into();
@@ -287,13 +288,13 @@
     assert!(hosts(&d, "job-000002").is_empty());
     d.beat(&machine(4, "b", true, 1));
     assert_eq!(hosts(&d, "job-000002"), ["n-000004"]);
-    // With none to rent, the plain ones that are up serve.
+    // If none can be rented, the ordinary machines that are up are used.
     let mut more = half(3, 4);
     more.team = "blue".into();
     d.submit(&more);
     for seq in 2..8 {
         d.wait(0.5);
-        for h in take_hires(&mut d) {
+        for h in take_rental_requests(&mut d) {
             d.event(Event::RentalResult(h, RentalResult::NoCapacity));
         }
         d.beat(&machine(3, "a", false, seq));
@@ -303,7 +304,7 @@
 }
 
 #[test]
-fn free_cpus_without_an_accelerator_are_no_room() {
+fn free_cpus_without_a_free_accelerator_do_not_count() {
     let mut d = desk();
     for n in 1..=2 {
         d.beat(&machine(n, "a", false, 1));
@@ -320,7 +321,7 @@
 }
 
 #[test]
-fn a_class_is_quick_if_it_wants_to_start_before_a_machine_could_boot() {
+fn class_is_quick_if_its_objective_is_shorter_than_a_boot() {
     let kept = |within_s: f64| {
         let mut d = desk();
         d.s.config.objectives[0].within_s = Some(within_s);
@@ -335,7 +336,7 @@
 }
 
 #[test]
-fn after_a_take_over_a_gang_gets_no_replacement_before_its_members_are_heard() {
+fn gang_gets_no_replacement_after_a_failover_before_its_members_report() {
     let mut first = desk();
     for n in 1..=3 {
         first.beat(&machine(n, "a", false, 1));
@@ -365,7 +366,7 @@
 }
 
 #[test]
-fn while_a_gang_waits_lendable_work_joins_only_what_services_hold_open() {
+fn lendable_job_joins_only_machines_of_services_while_a_gang_waits() {
     let joins = |gang_waits: bool, held_open: bool| {
         let mut d = desk();
         d.beat(&machine(1, "a", false, 1));
@@ -385,13 +386,13 @@
     };
     assert!(joins(false, false));
     assert!(joins(true, true));
-    assert!(!joins(true, false), "the gang would wait for ever");
+    assert!(!joins(true, false), "the gang would wait indefinitely");
 }
 
-/// Every task seemed to have begun at the take-over, so that machines looked
-/// busy for longer than they were and runtimes were learnt far too short.
+/// Guards against a failover that resets the start of every task: machines seem busy
+/// for longer than they are, and measured runtimes are far too short.
 #[test]
-fn a_task_that_ran_before_the_take_over_keeps_the_time_of_its_start() {
+fn task_that_ran_before_a_failover_keeps_its_start_time() {
     let mut first = desk();
     first.beat(&machine(1, "a", false, 1));
     first.submit(&half(1, 2));
@@ -405,7 +406,7 @@
     runs(&mut d, machine(1, "a", false, 2));
     let m = &d.s.machines[&Host::from("n-000001")];
     let left = m.remaining_range(hookworks::time::Time(d.now)).unwrap().1;
-    // Of 100 s some 60 are over.
+    // About 60 of 100 s have passed.
     assert!(left.as_secs() < 41.0, "{left:?}");
     let a = d.attempt("job-000001", 0).unwrap();
     let mut r = machine(1, "a", false, 3);
@@ -415,7 +416,7 @@
 }
 
 #[test]
-fn operators_see_what_gangs_wait_for_and_which_replicas_are_missing() {
+fn overview_shows_what_gangs_wait_for_and_missing_replicas() {
     let mut d = desk();
     d.beat(&machine(1, "a", false, 1));
     d.submit(&gang(1, 3));
--- a/tests/attempt_places.rs
+++ b/tests/attempt_places.rs
@@ -1,4 +1,4 @@
-//! Where attempts are, as it rides along in a job's records.
+//! The zones and machine types of attempts, as stored in a job's records.
 
 use hookworks::sched::attempt_places::{AttemptPlace, AttemptPlaces};
 use hookworks::sched::job::Job;
@@ -13,7 +13,7 @@
     }
 }
 
-/// A job with live attempts, by way of its record.
+/// A job with active attempts, decoded from its record.
 fn job(parts: serde_json::Value) -> Job {
     let spec = serde_json::json!({
         "Id": "job-1", "Jobline": "w", "Crew": "red", "Shape": "batch", "Urgency": "normal",
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn places_come_back_with_their_attempts_and_only_with_these() {
+fn places_are_restored_only_for_the_attempts_they_describe() {
     let mut j = job(serde_json::json!({"a": [[0, 7, "n-1", 5], [3, 8, "n-2", 6]]}));
     assert!(
         j.active.values().all(|l| l.place.is_none()),
@@ -45,13 +45,13 @@
         .map(|l| l.place.clone().unwrap())
         .collect();
     assert_eq!(places, [place("a"), place("b")]);
-    // An earlier release wrote other attempts beside a field unknown to it:
-    // the zones would have been those of other machines.
+    // An earlier release rewrites the attempts and keeps the field, which it doesn't
+    // know: the places would be those of other machines.
     let mut stale = record.clone();
     stale["first"]["a"][1][2] = "n-3".into();
     let stale = Job::decode(&stale, Time(9_000_000), Wall(9_000)).unwrap();
     assert!(stale.active.values().all(|l| l.place.is_none()));
-    // They give way where a record is full.
+    // The places are left out where a record is full.
     assert!(AttemptPlaces::of(j.active.values(), 20).is_none());
     assert!(
         AttemptPlaces::of(j.active.values(), 200)
--- a/tests/rentals.rs
+++ b/tests/rentals.rs
@@ -1,5 +1,4 @@
-//! What is rented, under which name, and what becomes of machines that nobody
-//! expected.
+//! Rental requests and their names, and machines that were not expected.
 
 mod world;
 
@@ -12,8 +11,8 @@
 use world::desk::{Desk, report};
 use world::job;
 
-/// Machines asked for so far.
-fn hires(d: &Desk) -> Vec<Hire> {
+/// Rental requests made so far.
+fn rental_requests(d: &Desk) -> Vec<Hire> {
     let h = |f: &Effect| match f {
         Effect::Rent(h) => Some(h.clone()),
         _ => None,
@@ -22,27 +21,31 @@
 }
 
 #[test]
-fn request_names_are_never_used_twice_and_repeated_only_when_unclear() {
+fn request_names_are_unique_and_reused_only_for_retries() {
     let mut names = std::collections::BTreeSet::new();
     for epoch in [5, 6] {
         let mut d = Desk::new(epoch);
         d.submit(&job(1, 3));
         d.wait(1.0);
-        let first = hires(&d).remove(0);
+        let first = rental_requests(&d).remove(0);
         assert!(names.insert(first.name.clone()));
         d.event(Event::RentalResult(first.clone(), RentalResult::Unclear));
         d.wait(2.0);
-        assert_eq!(hires(&d).last(), Some(&first), "the same, again");
+        assert_eq!(
+            rental_requests(&d).last(),
+            Some(&first),
+            "the same request is retried"
+        );
         d.event(Event::RentalResult(first.clone(), RentalResult::NoCapacity));
         d.wait(1.0);
-        let next = hires(&d).pop().unwrap();
+        let next = rental_requests(&d).pop().unwrap();
         assert!(names.insert(next.name.clone()));
         assert_ne!((next.zone, next.spot), (first.zone, first.spot));
     }
 }
 
 #[test]
-fn a_machine_that_nobody_expected_is_used_or_given_back() {
+fn unexpected_machine_is_used_or_returned() {
     let mut d = Desk::new(5);
     d.beat(&report(7, 1, Token(0)));
     for seq in 2..45 {
@@ -52,14 +55,15 @@
     assert!(d.released().contains(&Host::from("n-000007")));
 }
 
-/// Up within a moment: its first report may also be a copy of an earlier term's.
+/// The machine boots at once: its first report may also be a copy from the time of an
+/// earlier leader.
 #[test]
-fn a_machine_that_reports_before_the_answer_to_its_rental_is_used_with_that_answer() {
+fn machine_that_reports_before_its_rental_is_answered_is_used_after_the_answer() {
     let mut d = Desk::new(5);
     d.lists = false;
     d.submit(&job(1, 1));
     d.wait(1.0);
-    let hire = hires(&d).remove(0);
+    let hire = rental_requests(&d).remove(0);
     d.beat(&Report {
         zone: hire.zone.clone(),
         spot: hire.spot,
@@ -71,9 +75,9 @@
     assert!(d.attempt("job-000001", 0).is_some());
 }
 
-/// What an earlier leader has just rented for a job is on no list yet.
+/// Machines that an earlier leader has just rented for a job are on no list yet.
 #[test]
-fn a_loaded_job_is_rented_for_once_lists_show_what_was_rented_before() {
+fn loaded_job_is_rented_for_once_lists_show_earlier_rentals() {
     let mut first = Desk::new(5);
     first.submit(&job(1, 3));
     first.wait(1.0);
@@ -81,20 +85,20 @@
     let loaded = Job::decode(&record, Time(first.now), Wall(1_000_000)).unwrap();
     let mut d = Desk::with(6, vec![loaded]);
     d.wait(5.5);
-    assert_eq!(hires(&d), []);
+    assert_eq!(rental_requests(&d), []);
     d.wait(1.0);
-    assert_eq!(hires(&d).len(), 1);
-    // One that came in this term is rented for at once.
+    assert_eq!(rental_requests(&d).len(), 1);
+    // A job submitted under this leader is rented for at once.
     let mut own = Desk::new(6);
     own.submit(&job(2, 3));
     own.wait(1.0);
-    assert_eq!(hires(&own).len(), 1);
+    assert_eq!(rental_requests(&own).len(), 1);
 }
 
-/// A new leader meets the whole fleet in the cloud's list before it has heard
-/// from it; one that never reports is given up all the same.
+/// A new leader finds the whole fleet in the cloud's list before any report arrives; a
+/// machine that never reports is still given up.
 #[test]
-fn a_machine_rented_long_ago_has_time_to_report_to_a_new_leader() {
+fn machine_rented_long_ago_has_time_to_report_to_a_new_leader() {
     let mut d = Desk::new(5);
     d.refuses = true;
     d.event(Event::Listed(vec![Listed {
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Where tasks go, what runs together, who makes room, and what is left alone.
+//! Placement, gangs, preemption, quotas, and submissions and settings that are refused.
 
 mod world;
 
@@ -25,7 +25,7 @@
     j.active.values().map(|l| l.host.clone()).collect()
 }
 
-/// Tells the scheduler that everything placed on the machine now runs there.
+/// Reports everything placed on the machine as running.
 fn all_run(d: &mut Desk, n: u32, seq: u64) {
     let mut r = report(n, seq, Token(0));
     for j in d.s.jobs.values() {
@@ -55,11 +55,11 @@
     let first = place(&mut d, 1, 100.0, 2.0);
     // Within δ of the first (50 s): joins it.
     assert_eq!(place(&mut d, 2, 120.0, 1.0), first);
-    // Far longer than what runs there: not a balanced join, nor a free one.
+    // Far longer than the tasks there: neither a balanced join nor a free one.
     let second = place(&mut d, 3, 2000.0, 3.0);
     assert_ne!(second, first);
-    // δ of a short task is 10 s: it fails on both, but joins the one that stays
-    // up anyway, by best fit the one that is left with less.
+    // δ of a short task is 10 s: it is balanced on neither, but joins a machine that
+    // stays up anyway; by best fit the one with less left.
     assert_eq!(place(&mut d, 4, 5.0, 1.0), first);
     // Balanced on the second machine only.
     assert_eq!(place(&mut d, 5, 1500.0, 1.0), second);
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn the_median_of_three_finished_tasks_replaces_the_estimate() {
+fn median_of_three_finished_tasks_replaces_the_estimate() {
     let mut d = Desk::new(1);
     let mut j = job(1, 4);
     j.estimate_s = 500.0;
     d.submit(&j);
     d.beat(&report(1, 1, Token(0)));
     all_run(&mut d, 1, 2);
-    let slot = |d: &Desk| {
+    let estimate_s = |d: &Desk| {
         let m = &d.s.machines[&host(1)];
         m.allocations.values().next().unwrap().estimate.as_secs()
     };
@@ -83,7 +83,7 @@
         .map(|t| d.attempt("job-000001", t).unwrap())
         .collect();
     for (seq, t) in (3..).zip(0..3) {
-        assert_eq!(slot(&d), 500.0);
+        assert_eq!(estimate_s(&d), 500.0);
         d.wait(10.0);
         let mut r = report(1, seq, Token(0));
         for k in 0..4u32 {
@@ -96,11 +96,11 @@
         }
         d.beat(&r);
     }
-    assert_eq!(slot(&d), 20.0);
+    assert_eq!(estimate_s(&d), 20.0);
 }
 
 #[test]
-fn a_team_stays_under_its_limit_counting_what_may_still_be_there() {
+fn team_limit_counts_attempts_that_may_still_run() {
     let mut d = Desk::new(1);
     d.refuses = true;
     for n in 1..=3 {
@@ -108,7 +108,7 @@
     }
     d.submit(&job(1, 10));
     assert_eq!(d.s.jobs[&JobId::from("job-000001")].active.len(), 6);
-    // Cancelled, told to stop, but not gone: the next job waits.
+    // Cancelled and told to stop, but not proven to have ended: the next job waits.
     for n in 1..=2 {
         all_run(&mut d, n, 2);
     }
@@ -129,20 +129,23 @@
 }
 
 #[test]
-fn a_gang_starts_whole_with_one_number_and_restarts_whole_with_another() {
+fn gang_starts_and_restarts_as_a_whole_under_one_attempt_number() {
     let mut d = Desk::new(1);
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
     d.submit(&gang(1, 6));
     let id = JobId::from("job-000001");
-    assert!(d.s.jobs[&id].active.is_empty(), "room for four of six only");
+    assert!(
+        d.s.jobs[&id].active.is_empty(),
+        "resources for four of six tasks only"
+    );
     d.beat(&report(2, 1, Token(0)));
     let numbers: BTreeSet<_> = d.s.jobs[&id].active.values().map(|l| l.attempt).collect();
     assert_eq!((d.s.jobs[&id].active.len(), numbers.len()), (6, 1));
     all_run(&mut d, 1, 2);
     all_run(&mut d, 2, 2);
-    // One fails: the others are told to stop, and none restarts before all
-    // are gone.
+    // One member fails: the others are told to stop, and none restarts before all have
+    // ended.
     let mut r = report(1, 3, Token(0));
     let mine: Vec<_> = d.s.jobs[&id]
         .active
@@ -174,7 +177,7 @@
 }
 
 #[test]
-fn a_waiting_gang_takes_a_replacement_with_its_number() {
+fn waiting_gang_replaces_a_member_under_its_attempt_number() {
     let mut d = Desk::new(1);
     d.beat(&report(1, 1, Token(0)));
     d.submit(&gang(1, 3));
@@ -189,9 +192,10 @@
     assert_eq!(d.attempt("job-000001", 0), Some(a));
 }
 
-/// A member that was replaced before any report said that its gang ran.
+/// Guards against a gang that mixes attempt numbers: a member is replaced before any
+/// report says that the gang runs, and then the gang falls apart.
 #[test]
-fn a_gang_that_fell_apart_begins_anew_under_another_number() {
+fn broken_gang_restarts_under_another_attempt_number() {
     let mut d = Desk::new(1);
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
@@ -212,14 +216,14 @@
     assert!(a.orders.iter().any(|o| matches!(o, Order::Run { .. })));
     d.beat(&seen(4, &[on(0), lost(1), lost(2)]));
     assert!(d.s.jobs[&id].active[&TaskIx(0)].stop.is_some());
-    assert_eq!(d.s.jobs[&id].active.len(), 1, "none joins it any more");
+    assert_eq!(d.s.jobs[&id].active.len(), 1, "no member joins it any more");
     d.beat(&report(1, 5, Token(0)));
     let again = d.attempt("job-000001", 0).unwrap();
     assert!(again != old && d.s.jobs[&id].active.len() == 3);
 }
 
 #[test]
-fn one_zone_and_scatter_count_what_may_still_be_there() {
+fn one_zone_and_scatter_count_attempts_that_may_still_run() {
     let mut d = Desk::new(1);
     d.beat(&report(1, 1, Token(0)));
     let mut near = job(1, 6);
@@ -241,7 +245,7 @@
 }
 
 #[test]
-fn urgent_work_stops_the_cheapest_low_work_and_nothing_of_its_own_rank() {
+fn urgent_job_preempts_the_cheapest_low_tasks_but_none_of_equal_priority() {
     let mut d = Desk::new(1);
     d.beat(&report(1, 1, Token(0)));
     let mut low = job(1, 4);
@@ -265,7 +269,7 @@
 }
 
 #[test]
-fn a_service_runs_until_cancelled_and_moves_before_its_machine_goes() {
+fn service_runs_until_cancelled_and_moves_before_its_machine_is_reclaimed() {
     let mut d = Desk::new(1);
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
@@ -290,7 +294,7 @@
 }
 
 #[test]
-fn a_job_of_100_000_tasks_is_taken_at_once_and_its_records_stay_small() {
+fn job_of_100_000_tasks_is_accepted_with_one_small_record() {
     let mut d = Desk::new(1);
     d.stores = false;
     let req = d.submit(&job(1, 100_000));
@@ -309,7 +313,7 @@
     }
     let j = &d.s.jobs[&JobId::from("job-000001")];
     assert_eq!(j.active.len(), 6, "as many as the team may run");
-    // Even a full record of the smallest kind of store fits.
+    // Even a full record fits into the smallest value limit of a store.
     let mut small = hookworks::sched::job::Job::new(
         job(2, 100),
         1,
@@ -328,7 +332,7 @@
 }
 
 #[test]
-fn records_come_back_as_they_were() {
+fn records_decode_to_what_was_encoded() {
     let mut j = hookworks::sched::job::Job::new(
         job(1, 300),
         3,
@@ -395,14 +399,14 @@
     let e = bad("<hookworks><headroom>-3</headroom></hookworks>");
     assert!(e.contains("t.xml") && e.contains("headroom"), "{e}");
     assert!(bad("<hookworks><headroom>x</headroom></hookworks>").contains("t.xml"));
-    // Limits that can't be served are refused at the start, by their name.
+    // Limits that can't be served are refused at start, by name.
     for (field, v) in [
         ("state/write_rps", 0.0),
         ("cloud/rps", 0.0),
         ("machine_limits/max_connections", 0.0),
         ("state/value_kb", 0.5),
-        // A lease of 20 s by the slowest clock, and a second: a cancelled task could
-        // outlive less.
+        // A lease of 20 s by the slowest clock, plus a second: with less, a cancelled
+        // task could still run after `cancel_s`.
         ("workers/cancel_s", 20.5),
         ("workers/cancel_s", 21.01),
     ] {
@@ -423,7 +427,7 @@
 }
 
 #[test]
-fn a_leader_that_dies_is_followed_and_all_work_ends() {
+fn all_jobs_finish_after_a_leader_failure() {
     let mut w = World::new(3, 3);
     w.run(2.0);
     for n in 0..4 {
@@ -443,7 +447,7 @@
 }
 
 #[test]
-fn a_released_event_of_nobody_changes_nothing() {
+fn unrequested_release_event_changes_nothing() {
     let mut d = Desk::new(1);
     d.beat(&report(1, 1, Token(0)));
     d.event(Event::Released(vec![host(1), host(9)], true));
@@ -451,9 +455,10 @@
 }
 
 #[test]
-fn work_that_is_served_earlier_is_not_stopped_for_later_work() {
-    // Low work within its team's guarantee was stopped for normal work beyond
-    // its own, took the room back and was stopped again, many times a second.
+fn job_served_earlier_is_not_preempted_for_a_later_one() {
+    // Guards against repeated preemption: low work within its team's guarantee is
+    // stopped for normal work beyond its own, takes the resources back and is stopped
+    // again, many times a second.
     let mut d = Desk::new(1);
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
--- a/tests/served.rs
+++ b/tests/served.rs
@@ -1,4 +1,4 @@
-//! No class and no team starves, whoever floods the fleet.
+//! Fair shares: no class and no team starves under a flood of other work.
 
 mod world;
 
@@ -8,8 +8,8 @@
 use hookworks::wire::user::{JobSpec, Kind, Priority};
 use world::{Ev, World, job};
 
-/// A fleet of four machines with room for sixteen tasks; ever more work comes for
-/// five minutes than it can do, and one job of another kind at the beginning.
+/// A fleet of four machines for sixteen tasks, more work than it can do for five
+/// minutes, and one job of another kind at the beginning.
 fn flood(floor: f64, other: &JobSpec, steady: impl Fn(&mut JobSpec)) -> World {
     let mut w = World::new(11, 3);
     (w.floor, w.capacity, w.wealth, w.run_s) = (floor, 1, 100.0, 10.0);
@@ -29,7 +29,7 @@
     w
 }
 
-/// How many of its tasks have been done.
+/// The number of finished tasks of the job.
 fn done(w: &World, id: &JobId) -> usize {
     w.done_tasks.iter().filter(|t| t.job == *id).count()
 }
@@ -44,28 +44,32 @@
     (j.class, j.priority, j.team) = ("quick".into(), Priority::High, "blue".into());
 }
 
-/// Work of low priority waited for as long as urgent work kept coming.
+/// Guards against starvation of low-priority work under a steady flood of urgent work.
 #[test]
-fn a_class_under_a_steady_flood_of_urgent_work_gets_its_part() {
+fn class_under_a_flood_of_urgent_work_gets_its_share() {
     let mut low = job(1, 6);
     low.priority = Priority::Low;
     let mut w = flood(0.0, &low, urgent);
     w.run(290.0);
-    assert_eq!(done(&w, &low.id), 0, "the flood leaves nothing by itself");
+    assert_eq!(
+        done(&w, &low.id),
+        0,
+        "the flood leaves nothing without a guaranteed minimum"
+    );
     assert_eq!(share_of(&w, "work"), 0.0);
 
     let mut w = flood(0.13, &low, urgent);
-    // It may wait for 120 s; then room is set aside for one task at a time, and
-    // is there as soon as any other ends.
+    // It may wait for 120 s; then capacity is reserved for one task at a time, which is
+    // free as soon as any other task ends.
     w.run(20.0 + 120.0 + 20.0);
     let begun = |w: &World| {
         let runs = w.workers.values().flat_map(|m| &m.runs);
         runs.filter(|(t, _)| t.job == low.id).count()
     };
-    assert!(begun(&w) >= 1, "nothing of it began when it was due");
+    assert!(begun(&w) >= 1, "none of its tasks started in time");
     w.run(130.0);
     assert!(done(&w, &low.id) >= 4, "{}", done(&w, &low.id));
-    // What was set aside was not taken away again, and is no more than its part.
+    // Reserved capacity was not taken away again, and stays within its share.
     let red = Team::from("red");
     let starts = begun(&w);
     assert!(starts <= 6, "started {starts} times");
@@ -74,10 +78,10 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A team fills the fleet with work of the same class and priority, which comes
-/// first as it is done sooner.
+/// Guards against starvation of a team beside one that fills the fleet with work of the
+/// same class and priority, which goes first as it finishes sooner.
 #[test]
-fn a_team_beside_one_that_fills_the_fleet_gets_its_part() {
+fn team_beside_one_that_fills_the_fleet_gets_its_share() {
     // Larger than its team's guarantee.
     let mut large = job(1, 500);
     (large.team, large.priority) = ("blue".into(), Priority::Low);
@@ -91,9 +95,9 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Urgent work keeps its aims while others are given their part.
+/// Urgent work still meets its objectives while other groups get their reserved share.
 #[test]
-fn the_floor_leaves_the_rest_to_urgent_work() {
+fn guaranteed_minimum_leaves_the_rest_to_urgent_work() {
     let mut low = job(1, 40);
     low.priority = Priority::Low;
     let urgent_done = |floor: f64| {
@@ -106,10 +110,11 @@
     assert!(with >= 0.85 * without, "{with} of {without}");
 }
 
-/// Jobs of thousands of tasks were overtaken for ever: what a job would fill of the
-/// fleet counts against it, and what is late for all its aims comes last.
+/// Guards against large jobs being overtaken indefinitely: the part of the fleet that a
+/// job would fill counts against it, and a job that is late for all its objectives goes
+/// last.
 #[test]
-fn the_largest_begin_within_four_minutes_whatever_comes() {
+fn largest_jobs_start_within_four_minutes_under_any_load() {
     let large = |n: u64| {
         let mut j = job(n, 60);
         (j.priority, j.team) = (Priority::Low, "red".into());
@@ -117,7 +122,8 @@
     };
     let mut gang = job(2, 4);
     (gang.kind, gang.one_zone, gang.team) = (Kind::Gang, true, "red".into());
-    // A steady flood; besides, a take-over each minute; a zone lost; five times as much.
+    // A steady flood alone; with a failover each minute; with a lost zone; with five
+    // times the load.
     for trouble in 0..4 {
         let takeovers = trouble == 1;
         let mut w = flood(0.0, &large(1), urgent);
@@ -151,14 +157,15 @@
         assert!(f["longest_s"].as_f64().unwrap() <= 240.0, "{f}");
         for id in ["job-000001", "job-000002"] {
             let id = JobId::from(id);
-            assert!(done(&w, &id) > 0, "{id} has not begun, trouble {trouble}");
+            assert!(done(&w, &id) > 0, "{id} has not started, trouble {trouble}");
         }
-        // The flood goes on: one in ten tasks, and not all of them at once.
+        // The flood continues: only one in ten tasks is boosted, and not all of them at
+        // once.
         assert!(done(&w, &"job-000001".into()) < 40);
         let urgent = w
             .done_tasks
             .iter()
             .filter(|t| t.job.as_str() > "job-000099");
-        assert!(urgent.count() > 200, "hardly anything urgent was done");
+        assert!(urgent.count() > 200, "too few urgent tasks were done");
     }
 }
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! Nothing waits for nothing: each rule that keeps room from a job has an end, so that
-//! no job is left waiting beside a machine with room for it.
+//! Bounds on waiting: each rule that keeps a job from free resources has a time limit,
+//! so that no job waits indefinitely beside a machine that could run it.
 
 mod world;
 
@@ -22,7 +22,7 @@
     JobId::from(format!("job-{n:06}").as_str())
 }
 
-/// Where the job's tasks are.
+/// The machines of the job's active tasks.
 fn hosts_of(d: &Desk, n: u64) -> Vec<Host> {
     let Some(j) = d.s.jobs.get(&id(n)) else {
         return vec![];
@@ -30,7 +30,7 @@
     j.active.values().map(|l| l.host.clone()).collect()
 }
 
-/// The report of a worker on which all that was placed there runs.
+/// The report of a worker on which everything placed there runs.
 fn running(d: &Desk, n: u32, seq: u64) -> Report {
     let mut r = report(n, seq, Token(0));
     for j in d.s.jobs.values() {
@@ -44,8 +44,9 @@
     r
 }
 
-/// These machines go on reporting; `seq`: what they have reported so far.
-fn go_on(d: &mut Desk, machines: u32, seconds: u32, seq: &mut u64) {
+/// Lets these machines report for a while; `seq`: the sequence number of their last
+/// report.
+fn report_for(d: &mut Desk, machines: u32, seconds: u32, seq: &mut u64) {
     for _ in 0..seconds / 3 {
         d.wait(3.0);
         *seq += 1;
@@ -56,7 +57,7 @@
     }
 }
 
-fn roomy(change: impl Fn(&mut Config)) -> Desk {
+fn desk_without_quotas(change: impl Fn(&mut Config)) -> Desk {
     let mut d = Desk::set_up(1, vec![], |cfg| {
         for t in &mut cfg.teams {
             (t.cpus, t.cpus_max, t.gpus_max) = (1e6, 1e6, 1e6);
@@ -73,27 +74,28 @@
     j
 }
 
-/// The cloud never answers a request for machines; on the only one there is runs a
-/// short task, beside which a long one is placed only if nothing can be rented.
+/// The cloud never answers a rental request. The only machine runs a short task, beside
+/// which a long one is placed only if nothing can be rented.
 #[test]
-fn rental_on_order_holds_up_a_job_for_seventy_seconds_at_most() {
-    let mut d = roomy(|_| {});
+fn pending_rental_delays_a_job_for_at_most_seventy_seconds() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
-    go_on(&mut d, 1, 6, &mut seq);
+    report_for(&mut d, 1, 6, &mut seq);
     d.submit(&with(2, 1, |j| j.estimate_s = 3000.0));
-    go_on(&mut d, 1, 66, &mut seq);
-    assert!(hosts_of(&d, 2).is_empty(), "it waits for what it can rent");
-    go_on(&mut d, 1, 12, &mut seq);
+    report_for(&mut d, 1, 66, &mut seq);
+    assert!(hosts_of(&d, 2).is_empty(), "it waits for the rental");
+    report_for(&mut d, 1, 12, &mut seq);
     assert!(d.fx.iter().any(|f| matches!(f, Effect::Rent(_))));
     assert_eq!(hosts_of(&d, 2), [host(1)]);
 }
 
-/// Fails on one of two machines; the other one has no room for it.
+/// The job fails on one of two machines, and the other one has no free resources for
+/// it.
 #[test]
 fn machine_that_failed_a_job_is_tried_again_when_no_other_has_room() {
-    let mut d = roomy(|_| {});
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
@@ -108,16 +110,17 @@
     r.tasks.push(ended("job-000001", 0, failed, Cause::Error));
     d.beat(&r);
     seq += 1;
-    go_on(&mut d, 2, 60, &mut seq);
+    report_for(&mut d, 2, 60, &mut seq);
     assert!(hosts_of(&d, 1).is_empty(), "it avoids the machine at first");
-    go_on(&mut d, 2, 18, &mut seq);
+    report_for(&mut d, 2, 18, &mut seq);
     assert_eq!(hosts_of(&d, 1), [host(1)]);
 }
 
-/// What runs on a faulty machine goes on, and its room is tried again.
+/// Tasks on a quarantined machine continue, and the machine is used again after a
+/// while.
 #[test]
-fn machine_put_aside_as_faulty_is_tried_again() {
-    let mut d = roomy(|_| {});
+fn quarantined_machine_is_used_again() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 2;
     d.beat(&report(1, 1, Token(0)));
     d.submit(&with(1, 1, |j| j.kind = Kind::Service));
@@ -131,13 +134,13 @@
     assert_eq!(r.tasks.len(), 3);
     d.beat(&r);
     assert!(d.s.machines[&host(1)].quarantined);
-    go_on(&mut d, 1, 54, &mut seq);
+    report_for(&mut d, 1, 54, &mut seq);
     assert!(d.s.machines[&host(1)].quarantined);
-    go_on(&mut d, 1, 12, &mut seq);
+    report_for(&mut d, 1, 12, &mut seq);
     assert!(!d.s.machines[&host(1)].quarantined);
-    go_on(&mut d, 1, 18, &mut seq);
+    report_for(&mut d, 1, 18, &mut seq);
     assert_eq!(hosts_of(&d, 2), [host(1)]);
-    // One more error puts it aside again.
+    // One more error quarantines it again.
     let mut r = running(&d, 1, seq + 1);
     for t in r.tasks.iter_mut().filter(|t| t.task.job == id(2)) {
         (t.state, t.cause) = (TaskState::Ended, Some(Cause::Error));
@@ -146,11 +149,11 @@
     assert!(d.s.machines[&host(1)].quarantined);
 }
 
-/// A job that failed everywhere is tried a task at a time; once one of them works, all
-/// of it goes on, although a service is never done.
+/// A job that failed everywhere is tried one task at a time. Once one task runs well,
+/// the whole job continues, although a service is never done.
 #[test]
-fn job_that_failed_everywhere_goes_on_as_a_whole_once_a_task_works() {
-    let mut d = roomy(|_| {});
+fn job_that_failed_everywhere_resumes_once_a_task_is_healthy() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     for n in 1..=3 {
         d.beat(&report(n, 1, Token(0)));
@@ -166,20 +169,20 @@
         d.beat(&r);
     }
     assert!(d.s.jobs[&id(1)].failed_on_many_machines());
-    go_on(&mut d, 3, 18, &mut seq);
+    report_for(&mut d, 3, 18, &mut seq);
     assert_eq!(hosts_of(&d, 1).len(), 1, "one task at a time");
-    go_on(&mut d, 3, 33, &mut seq);
+    report_for(&mut d, 3, 33, &mut seq);
     assert_eq!(hosts_of(&d, 1).len(), 3);
 }
 
-/// However often it has failed, its next try comes within forty seconds.
+/// However often the job has failed, its next attempt comes within forty seconds.
 #[test]
-fn pause_of_a_job_that_fails_everywhere_is_bounded() {
-    let mut d = roomy(|_| {});
+fn backoff_of_a_job_that_fails_everywhere_is_bounded() {
+    let mut d = desk_without_quotas(|_| {});
     for n in 1..=3 {
         d.beat(&report(n, 1, Token(0)));
     }
-    // Something else runs there, so that they stay.
+    // Another job keeps these machines in use, so that they are not returned.
     d.submit(&with(2, 3, |j| (j.kind, j.cpus) = (Kind::Service, 5.0)));
     d.submit(&job(1, 1));
     let mut longest: f64 = 0.0;
@@ -199,10 +202,10 @@
     assert!((30.0..=40.0).contains(&longest), "{longest}");
 }
 
-/// Quick classes have had arrivals, and all room that is free is kept for them.
+/// Quick classes had recent arrivals, so all free capacity is kept as their headroom.
 #[test]
-fn room_kept_for_quick_classes_holds_up_a_job_for_seventy_seconds_at_most() {
-    let mut d = roomy(|_| {});
+fn headroom_delays_a_job_for_at_most_seventy_seconds() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
     let quick = |n| with(n, 2, |j| j.class = "quick".into());
@@ -210,26 +213,29 @@
     for n in 2..=3 {
         d.submit(&quick(n));
         d.ask(Ask::Cancel(id(n).to_string()));
-        go_on(&mut d, 1, 6, &mut seq);
+        report_for(&mut d, 1, 6, &mut seq);
     }
     let m = &d.s.machines[&host(1)];
     assert_eq!(m.free().cpu, 6000, "only the service is there");
     d.submit(&job(4, 3));
-    // The quick keep coming.
+    // Jobs of the quick class keep arriving.
     for n in 5..=15 {
-        go_on(&mut d, 1, 6, &mut seq);
+        report_for(&mut d, 1, 6, &mut seq);
         d.submit(&quick(n));
         d.ask(Ask::Cancel(id(n).to_string()));
     }
-    assert!(hosts_of(&d, 4).is_empty(), "room is kept for the quick");
-    go_on(&mut d, 1, 12, &mut seq);
+    assert!(
+        hosts_of(&d, 4).is_empty(),
+        "capacity is kept for the quick class"
+    );
+    report_for(&mut d, 1, 12, &mut seq);
     assert_eq!(hosts_of(&d, 4), [host(1)], "one task of it, not all");
 }
 
-/// A gang that needs four whole machines, of which there are two and none to rent.
+/// A gang needs four whole machines; there are two, and none can be rented.
 #[test]
-fn machines_kept_for_a_gang_that_can_not_begin_are_used_after_a_while() {
-    let mut d = roomy(|_| {});
+fn machines_reserved_for_a_blocked_gang_are_used_after_a_while() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     for n in 1..=2 {
         d.beat(&report(n, 1, Token(0)));
@@ -239,19 +245,19 @@
         j.spot = false;
     };
     d.submit(&with(1, 4, gang));
-    go_on(&mut d, 2, 3, &mut seq);
+    report_for(&mut d, 2, 3, &mut seq);
     d.submit(&job(2, 1));
-    go_on(&mut d, 2, 72, &mut seq);
-    assert!(hosts_of(&d, 2).is_empty(), "both are kept for the gang");
-    go_on(&mut d, 2, 12, &mut seq);
+    report_for(&mut d, 2, 72, &mut seq);
+    assert!(hosts_of(&d, 2).is_empty(), "both are reserved for the gang");
+    report_for(&mut d, 2, 12, &mut seq);
     assert_eq!(hosts_of(&d, 2).len(), 1);
 }
 
-/// How long a machine is kept for a gang counts anew once it was not kept, so that
-/// jobs that are overdue leave the next gang its time.
+/// The reservation time of a machine starts anew once it was not reserved, so that jobs
+/// that waited too long leave the next gang its time.
 #[test]
-fn machine_is_kept_for_the_next_gang_for_as_long_again() {
-    let mut d = roomy(|_| {});
+fn reservation_time_starts_anew_for_the_next_gang() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     for n in 1..=2 {
         d.beat(&report(n, 1, Token(0)));
@@ -263,24 +269,25 @@
         j
     };
     d.submit(&gang(1));
-    go_on(&mut d, 2, 30, &mut seq);
+    report_for(&mut d, 2, 30, &mut seq);
     d.ask(Ask::Cancel(id(1).to_string()));
     d.submit(&with(2, 2, |j| (j.cpus, j.kind) = (8.0, Kind::Service)));
     assert_eq!(hosts_of(&d, 2).len(), 2);
     d.submit(&job(3, 1));
-    go_on(&mut d, 2, 90, &mut seq);
+    report_for(&mut d, 2, 90, &mut seq);
     d.submit(&gang(4));
     d.ask(Ask::Cancel(id(2).to_string()));
-    go_on(&mut d, 2, 72, &mut seq);
-    assert!(hosts_of(&d, 3).is_empty(), "both are kept for the gang");
-    go_on(&mut d, 2, 15, &mut seq);
+    report_for(&mut d, 2, 72, &mut seq);
+    assert!(hosts_of(&d, 3).is_empty(), "both are reserved for the gang");
+    report_for(&mut d, 2, 15, &mut seq);
     assert_eq!(hosts_of(&d, 3).len(), 1);
 }
 
-/// An urgent service needs more than the machine has beside what may be stopped there.
+/// An urgent job needs more than is free on the machine beside the tasks that may be
+/// stopped.
 #[test]
-fn no_task_is_stopped_where_that_makes_no_room() {
-    let mut d = roomy(|_| {});
+fn no_task_is_preempted_where_that_frees_too_little() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
     let service = |j: &mut JobSpec| (j.kind, j.cpus) = (Kind::Service, 5.0);
@@ -289,26 +296,27 @@
     d.submit(&with(2, 1, urgent));
     d.submit(&with(3, 2, |j| (j.cpus, j.estimate_s) = (1.0, 900.0)));
     for _ in 0..10 {
-        go_on(&mut d, 1, 3, &mut seq);
-        assert_eq!(hosts_of(&d, 3).len(), 2, "stopped for nothing");
+        report_for(&mut d, 1, 3, &mut seq);
+        assert_eq!(hosts_of(&d, 3).len(), 2, "preempted in vain");
     }
-    // Both of them make room for what needs three.
+    // Stopping both of them makes room for a task that needs three.
     let urgent = |j: &mut JobSpec| (j.cpus, j.priority) = (3.0, Priority::High);
     d.submit(&with(4, 1, urgent));
-    go_on(&mut d, 1, 9, &mut seq);
+    report_for(&mut d, 1, 9, &mut seq);
     assert_eq!(hosts_of(&d, 4), [host(1)]);
 }
 
-/// More urgent jobs without room than a pass may judge, and one behind them with room.
+/// More urgent jobs that can't be placed than a pass may score, and behind them a job
+/// that can be placed.
 #[test]
-fn urgent_jobs_without_room_do_not_use_up_every_pass() {
-    let mut d = roomy(|_| {});
+fn urgent_jobs_that_do_not_fit_do_not_use_up_every_pass() {
+    let mut d = desk_without_quotas(|_| {});
     for n in 1..=400 {
         let mut r = report(n, 1, Token(0));
         r.spot = true;
         d.beat(&r);
     }
-    // Only on machines that the cloud can't take back, of which there are none.
+    // They need machines that the cloud can't reclaim, of which there are none.
     for n in 1..=260 {
         let urgent = |j: &mut JobSpec| (j.spot, j.priority) = (false, Priority::High);
         d.submit(&with(n, 1, urgent));
@@ -318,46 +326,46 @@
     assert_eq!(hosts_of(&d, 500).len(), 1);
 }
 
-/// A task runs for far longer than its owner guessed: its room is not waited for.
+/// A task runs far longer than estimated: nothing waits for its resources.
 #[test]
 fn tasks_that_overrun_their_estimate_do_not_keep_machines_from_being_rented() {
-    let mut d = roomy(|_| {});
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
     let whole = |j: &mut JobSpec| (j.cpus, j.estimate_s) = (8.0, 20.0);
     d.submit(&with(1, 1, whole));
-    go_on(&mut d, 1, 60, &mut seq);
+    report_for(&mut d, 1, 60, &mut seq);
     d.submit(&with(2, 1, whole));
     let rents = |d: &Desk| d.fx.iter().any(|f| matches!(f, Effect::Rent(_)));
-    assert!(!rents(&d), "what ends soon is waited for");
-    go_on(&mut d, 1, 36, &mut seq);
+    assert!(!rents(&d), "tasks that end soon are waited for");
+    report_for(&mut d, 1, 36, &mut seq);
     assert!(rents(&d));
 }
 
-/// The same for a gang, which would wait for their machines.
+/// The same for a gang, which would wait for whole machines.
 #[test]
 fn gang_does_not_wait_for_machines_of_tasks_that_overrun() {
-    let mut d = roomy(|_| {});
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     for n in 1..=2 {
         d.beat(&report(n, 1, Token(0)));
     }
     let whole = |j: &mut JobSpec| (j.cpus, j.estimate_s) = (8.0, 20.0);
     d.submit(&with(1, 2, whole));
-    go_on(&mut d, 2, 15, &mut seq);
+    report_for(&mut d, 2, 15, &mut seq);
     d.submit(&with(2, 2, |j| (j.kind, j.cpus) = (Kind::Gang, 8.0)));
     let rents = |d: &Desk| d.fx.iter().any(|f| matches!(f, Effect::Rent(_)));
-    go_on(&mut d, 2, 60, &mut seq);
-    assert!(!rents(&d), "what ends soon is waited for");
-    go_on(&mut d, 2, 36, &mut seq);
+    report_for(&mut d, 2, 60, &mut seq);
+    assert!(!rents(&d), "tasks that end soon are waited for");
+    report_for(&mut d, 2, 36, &mut seq);
     assert!(rents(&d));
 }
 
-/// A gang waits for machines in zone b; work that may run on spot machines leaves plain
-/// ones to it, in other zones too, but not for ever.
+/// A gang waits for machines in zone b. Jobs that may use spot machines leave ordinary
+/// ones to it, in other zones too, but only for a while.
 #[test]
-fn plain_machines_left_to_a_gang_are_used_after_a_while() {
-    let mut d = roomy(|_| {});
+fn ordinary_machines_left_to_a_gang_are_used_after_a_while() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     d.beat(&report(1, 1, Token(0)));
     let gang = |j: &mut JobSpec| {
@@ -366,28 +374,29 @@
     };
     d.submit(&with(1, 4, gang));
     d.submit(&job(2, 1));
-    go_on(&mut d, 1, 66, &mut seq);
+    report_for(&mut d, 1, 66, &mut seq);
     assert!(
         hosts_of(&d, 2).is_empty(),
         "it leaves the machine to the gang"
     );
-    go_on(&mut d, 1, 12, &mut seq);
+    report_for(&mut d, 1, 12, &mut seq);
     assert_eq!(hosts_of(&d, 2), [host(1)]);
 }
 
-/// A job's wait ends with its last start: the next one is a wait of its own.
+/// The wait of a job ends when its last task starts; the next wait is counted
+/// separately.
 #[test]
-fn wait_is_counted_from_the_last_moment_at_which_nothing_waited() {
-    let mut d = roomy(|_| {});
+fn wait_is_counted_from_the_last_time_without_waiting_tasks() {
+    let mut d = desk_without_quotas(|_| {});
     let mut seq = 1;
     for n in 1..=2 {
         d.beat(&report(n, 1, Token(0)));
     }
     d.submit(&with(1, 1, |j| j.kind = Kind::Service));
     d.submit(&with(2, 1, |j| (j.kind, j.cpus) = (Kind::Service, 7.0)));
-    go_on(&mut d, 2, 120, &mut seq);
+    report_for(&mut d, 2, 120, &mut seq);
     assert_eq!((hosts_of(&d, 1).len(), hosts_of(&d, 2).len()), (1, 1));
-    // Now it fails, and does not go back to the same machine at once.
+    // The job fails, and does not return to the same machine at once.
     let at = hosts_of(&d, 1).remove(0);
     let n = if at == host(1) { 1 } else { 2 };
     seq += 1;
@@ -396,13 +405,14 @@
         (t.state, t.cause) = (TaskState::Ended, Some(Cause::Error));
     }
     d.beat(&r);
-    go_on(&mut d, 2, 30, &mut seq);
+    report_for(&mut d, 2, 30, &mut seq);
     assert!(!hosts_of(&d, 1).contains(&at));
 }
 
-/// More work than room, in a small world: jobs of all kinds and sizes, machines that
-/// fail what they start, a trouble or two, and then quiet for minutes.
-fn full_world(seed: u64) -> World {
+/// More work than capacity, in a small simulated deployment: jobs of all kinds and
+/// sizes, machines that fail what they start, some faults, and then minutes without
+/// any.
+fn overloaded_world(seed: u64) -> World {
     let mut w = World::new(seed, 3);
     w.capacity = w.rng.random_range(1..3);
     w.wealth = [1.0, 100.0][w.rng.random_range(0..2)];
@@ -453,15 +463,16 @@
     w
 }
 
-/// `WORLDS` asks for more of them, `WORLDS_FROM` for others. In five of the usual ones
-/// tasks were stopped again and again before they began, for what they made no room for.
+/// `WORLDS` sets the number of seeds and `WORLDS_FROM` the first one. Five of the
+/// default seeds guard against tasks that are preempted again and again without making
+/// enough room.
 #[test]
-fn no_job_is_left_waiting_in_worlds_with_more_work_than_room() {
+fn no_job_waits_indefinitely_in_overloaded_worlds() {
     let number = |name| std::env::var(name).ok().and_then(|n| n.parse().ok());
     let from: u64 = number("WORLDS_FROM").unwrap_or(1065);
     let mut faults = vec![];
     for seed in from..from + number("WORLDS").unwrap_or(40) {
-        let w = full_world(seed);
+        let w = overloaded_world(seed);
         if !w.broken.is_empty() {
             faults.push(format!("{seed}: {:?}", &w.broken[..w.broken.len().min(3)]));
         }
