--- a/crates/zones/tests/plans.rs
+++ b/crates/zones/tests/plans.rs
@@ -1,4 +1,4 @@
-//! What is worth moving out of a lost zone, and how much at a time.
+//! Release plans: which machines of a lost zone are released, and how many at a time.
 
 use hookworks_base::time::Span;
 use hookworks_zones::{
@@ -9,8 +9,8 @@
     Span::secs(seconds)
 }
 
-/// A task that has run for so long of a minute.
-fn stake(standing: AttemptKind, ran: f64) -> AttemptAtRisk {
+/// An attempt that has run for `ran` of 60 seconds.
+fn attempt(standing: AttemptKind, ran: f64) -> AttemptAtRisk {
     AttemptAtRisk {
         kind: standing,
         unsaved_work: s(ran),
@@ -21,7 +21,7 @@
     }
 }
 
-fn case(machine: u32, lease_left: f64, stakes: Vec<AttemptAtRisk>) -> LostMachine<u32> {
+fn lost_machine(machine: u32, lease_left: f64, stakes: Vec<AttemptAtRisk>) -> LostMachine<u32> {
     let (lease_left, boot) = (s(lease_left), s(30.0));
     LostMachine {
         machine,
@@ -37,36 +37,37 @@
 };
 
 #[test]
-fn what_ends_before_its_lease_is_left_alone() {
-    let nearly = case(1, 15.0, vec![stake(AttemptKind::Other, 50.0); 4]);
+fn attempts_that_complete_before_lease_expiry_are_left_alone() {
+    let nearly = lost_machine(1, 15.0, vec![attempt(AttemptKind::Other, 50.0); 4]);
     assert!(release_benefit(s(12.0), &nearly) < 0.0);
-    // And so is work that would have to begin again.
-    let half = case(1, 15.0, vec![stake(AttemptKind::Urgent, 30.0); 4]);
+    // So is work that would have to start again.
+    let half = lost_machine(1, 15.0, vec![attempt(AttemptKind::Urgent, 30.0); 4]);
     assert!(release_benefit(s(12.0), &half) < 0.0);
 }
 
 #[test]
-fn replicas_go_first_and_the_longer_the_wait_the_rather() {
-    let replicas = case(1, 20.0, vec![stake(AttemptKind::Replica, 0.0); 4]);
-    let urgent = case(2, 20.0, vec![stake(AttemptKind::Urgent, 2.0); 4]);
+fn replicas_come_first_and_longer_waits_raise_the_benefit() {
+    let replicas = lost_machine(1, 20.0, vec![attempt(AttemptKind::Replica, 0.0); 4]);
+    let urgent = lost_machine(2, 20.0, vec![attempt(AttemptKind::Urgent, 2.0); 4]);
     assert!(release_benefit(s(10.0), &replicas) > 0.0);
     assert!(release_benefit(s(10.0), &replicas) > release_benefit(s(10.0), &urgent));
-    let longer = case(1, 45.0, vec![stake(AttemptKind::Replica, 0.0); 4]);
+    let longer = lost_machine(1, 45.0, vec![attempt(AttemptKind::Replica, 0.0); 4]);
     assert!(release_benefit(s(10.0), &longer) > release_benefit(s(10.0), &replicas));
     let p = plan_releases(s(10.0), vec![urgent, replicas.clone()], PLENTY);
     assert_eq!(p.machines.first(), Some(&1));
 }
 
-/// With room for one, the one that gains most goes, in whatever order they come.
+/// With capacity for one machine, the one with the highest benefit is chosen, in
+/// whatever order they are given.
 #[test]
-fn the_room_there_is_goes_to_whom_it_serves_most() {
+fn a_limited_budget_goes_to_the_highest_benefit() {
     let all = [(1, 20.0), (2, 45.0), (3, 30.0)];
     let cases = |order: &[usize]| {
         let one = |i: &usize| {
-            case(
+            lost_machine(
                 all[*i].0,
                 all[*i].1,
-                vec![stake(AttemptKind::BrokenGang, 0.0); 4],
+                vec![attempt(AttemptKind::BrokenGang, 0.0); 4],
             )
         };
         order.iter().map(one).collect::<Vec<_>>()
@@ -84,31 +85,31 @@
     );
 }
 
-/// A result that is there but can't be seen: with a long wait ahead it is worth
-/// asking for elsewhere, with a short one it is not.
+/// A completed task whose result can't be seen: restarting it pays with a long wait
+/// ahead, and not with a short one.
 #[test]
-fn results_that_wait_to_be_seen_are_fetched_when_the_wait_is_long() {
-    let done = |lease| case(1, lease, vec![stake(AttemptKind::Other, 60.0); 4]);
+fn completed_tasks_are_restarted_only_when_the_wait_is_long() {
+    let done = |lease| lost_machine(1, lease, vec![attempt(AttemptKind::Other, 60.0); 4]);
     assert!(release_benefit(s(20.0), &done(50.0)) > 0.0);
     assert!(release_benefit(s(20.0), &done(4.0)) < 0.0);
 }
 
 #[test]
-fn an_aim_that_only_moving_meets_weighs_in() {
-    let mut pressed = stake(AttemptKind::Other, 0.0);
+fn a_deadline_met_only_by_restarting_raises_the_benefit() {
+    let mut pressed = attempt(AttemptKind::Other, 0.0);
     (pressed.rerun_time, pressed.remaining, pressed.due_in) = (s(10.0), s(40.0), Some(s(20.0)));
     let mut easy = pressed;
     easy.due_in = Some(s(300.0));
-    let at = |x| release_benefit(s(15.0), &case(1, 25.0, vec![x; 4]));
+    let at = |x| release_benefit(s(15.0), &lost_machine(1, 25.0, vec![x; 4]));
     assert!(at(pressed) > at(easy) + 20.0);
 }
 
-/// No more at a time than can start soon: neither others' room nor what is made
-/// for the urgent is taken twice.
+/// No more is released at a time than can start soon: neither free nor preemptible
+/// capacity is used twice.
 #[test]
-fn no_more_goes_than_can_start_elsewhere() {
+fn no_more_is_released_than_can_start_elsewhere() {
     let all: Vec<LostMachine<u32>> = (0..50)
-        .map(|n| case(n, 30.0, vec![stake(AttemptKind::BrokenGang, 0.0); 4]))
+        .map(|n| lost_machine(n, 30.0, vec![attempt(AttemptKind::BrokenGang, 0.0); 4]))
         .collect();
     let few = Budget {
         free: 3.2,
@@ -117,7 +118,7 @@
     let p = plan_releases(s(20.0), all, few);
     assert_eq!((p.machines.len(), p.worthwhile), (3, 50));
     let replicas: Vec<LostMachine<u32>> = (0..50)
-        .map(|n| case(n, 30.0, vec![stake(AttemptKind::Replica, 0.0); 4]))
+        .map(|n| lost_machine(n, 30.0, vec![attempt(AttemptKind::Replica, 0.0); 4]))
         .collect();
     let made = Budget {
         free: 2.0,
@@ -125,14 +126,13 @@
     };
     assert_eq!(plan_releases(s(20.0), replicas, made).machines.len(), 7);
     assert!(
-        plan_releases(s(20.0), vec![case(1, 30.0, vec![])], PLENTY)
+        plan_releases(s(20.0), vec![lost_machine(1, 30.0, vec![])], PLENTY)
             .machines
             .is_empty()
     );
 }
 
-/// Whatever the figures, a plan stays within its budget and never names a
-/// machine twice.
+/// For random inputs a plan stays within its budget and never names a machine twice.
 #[test]
 fn plans_stay_within_their_budgets() {
     arbtest::arbtest(|u| {
@@ -147,11 +147,15 @@
         for machine in 0..n {
             let mut stakes = vec![];
             for _ in 0..u.int_in_range(0..=4u32)? {
-                let mut x = stake(*u.choose(&standings)?, u.int_in_range(0..=59u32)? as f64);
+                let mut x = attempt(*u.choose(&standings)?, u.int_in_range(0..=59u32)? as f64);
                 x.machine_share = u.int_in_range(1..=25u32)? as f64 / 100.0;
                 stakes.push(x);
             }
-            cases.push(case(machine, u.int_in_range(0..=60u32)? as f64, stakes));
+            cases.push(lost_machine(
+                machine,
+                u.int_in_range(0..=60u32)? as f64,
+                stakes,
+            ));
         }
         let budget = Budget {
             free: u.int_in_range(0..=4u32)? as f64,
--- a/crates/zones/tests/verdicts.rs
+++ b/crates/zones/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts on zones, from evidence alone.
+//! Zone states derived from evidence.
 
 use hookworks_base::ids::Zone;
 use hookworks_base::time::{Span, Time};
@@ -7,14 +7,14 @@
 
 const REPORT: f64 = 5.0;
 
-/// A fleet whose machines report every five seconds, one after the other.
+/// A fleet whose machines report every five seconds, evenly spread.
 struct Fleet {
     zones: Zones,
     now: Time,
-    /// Machines of each zone, with when each was last heard.
+    /// For each machine of each zone when it was last heard.
     heard: BTreeMap<Zone, Vec<Time>>,
     silent: Vec<Zone>,
-    /// So many machines of zone `b` say nothing.
+    /// The number of silent machines in zone `b`.
     mute: usize,
     away: Vec<Zone>,
     changes: Vec<(f64, String, State)>,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_zone_goes_and_comes_back_in_order() {
+fn a_zone_passes_through_its_states_in_order() {
     let mut f = Fleet::new(&["a", "b", "c"], 40);
     f.run(30.0);
     assert!(f.changes.is_empty(), "{:?}", f.changes);
@@ -123,9 +123,9 @@
     );
 }
 
-/// With its own controllers out of reach a zone is doubted sooner.
+/// With its controllers unreachable, a zone is in doubt sooner.
 #[test]
-fn controllers_out_of_reach_make_it_sure_sooner() {
+fn unreachable_controllers_speed_up_detection() {
     let noticed = |away: bool| {
         let mut f = Fleet::new(&["a", "b", "c"], 40);
         f.run(20.0);
@@ -138,33 +138,33 @@
     assert!(told < not && not < 5.0, "{told} s, {not} s");
 }
 
-/// A leader that hears nobody has itself to blame.
+/// A leader that hears no zone at all is at fault itself.
 #[test]
-fn all_zones_at_once_are_none() {
+fn silence_of_all_zones_is_no_outage() {
     let mut f = Fleet::new(&["a", "b"], 40);
     f.run(20.0);
     f.silent = vec!["a".into(), "b".into()];
     f.away = f.silent.clone();
     f.run(60.0);
     assert!(f.changes.is_empty(), "{:?}", f.changes);
-    // One that is heard again tells that the other is not.
+    // Once one zone is heard again, the other counts as silent.
     f.silent = vec!["b".into()];
     f.run(12.0);
     assert_eq!((f.state("a"), f.state("b")), (State::Well, State::Lost));
 }
 
 #[test]
-fn a_controller_out_of_reach_is_no_zone() {
+fn an_unreachable_controller_alone_is_no_outage() {
     let mut f = Fleet::new(&["a", "b"], 40);
     f.away = vec!["b".into()];
     f.run(60.0);
     assert!(f.changes.is_empty(), "{:?}", f.changes);
 }
 
-/// Each trouble that is remembered makes the next return slower, up to a bound;
-/// what lies long back is forgotten.
+/// Each remembered outage makes the next return slower, up to a bound; old outages are
+/// forgotten.
 #[test]
-fn a_flapping_zone_comes_back_more_slowly_each_time() {
+fn a_flapping_zone_returns_more_slowly_each_time() {
     let mut f = Fleet::new(&["a", "b"], 40);
     f.run(20.0);
     let mut takes = vec![];
@@ -193,9 +193,10 @@
     assert_eq!(f.state("b"), State::Well, "{open}");
 }
 
-/// Most of a zone and at about the same time: a part of it is cut off.
+/// A zone is lost when most of it falls silent at about the same time, but not when a
+/// smaller part does.
 #[test]
-fn most_of_a_zone_counts_and_some_of_it_does_not() {
+fn silence_of_most_but_not_of_some_of_a_zone_is_an_outage() {
     for (cut, state) in [(36, State::Lost), (15, State::Well)] {
         let mut f = Fleet::new(&["a", "b"], 40);
         f.run(20.0);
@@ -205,8 +206,8 @@
     }
 }
 
-/// All machines of a lost zone were given back: only its controllers, or what
-/// is rented there to try, can tell that it is back.
+/// After all machines of a lost zone were released, only its controllers or a machine
+/// rented as a trial can show that it is back.
 #[test]
 fn an_empty_zone_is_tried_again() {
     let mut f = Fleet::new(&["a", "b"], 40);
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn the_work_of_a_look_grows_with_zones_and_not_with_machines() {
+fn the_cost_of_an_update_grows_with_zones_and_not_with_machines() {
     let steps = |each: usize| {
         let mut f = Fleet::new(&["a", "b", "c"], each);
         f.run(10.0);
--- a/tests/gap.rs
+++ b/tests/gap.rs
@@ -1,7 +1,8 @@
-//! The gap: the state service refuses the leader alone, another controller confirms
-//! cancellations, then the service is down for all, for longer than a cancellation
-//! may take, while workers go on reporting to the old leader. In most of these it is not
-//! told of the new one by anybody: what holds must hold by its own proofs.
+//! Outages of the state service around a change of leader: it refuses only the leader,
+//! another controller confirms cancellations, then it is down for all for longer than a
+//! cancellation may take, while workers go on reporting to the old leader. In most
+//! cases nobody tells the old leader of the new one, so the guarantees must follow from
+//! its own proofs.
 
 mod world;
 
@@ -12,7 +13,7 @@
 
 const JOB: &str = "job-000001";
 
-/// To whom the workers report through the gap.
+/// The controller to which the workers report during the outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum To {
     Old,
@@ -23,40 +24,42 @@
     Both,
 }
 
-/// What else happens.
+/// An additional fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Also {
     Nothing,
-    /// A machine hears nothing, from the refusal on.
+    /// A machine receives nothing, from the refusal on.
     Deaf,
-    /// A machine hangs from the confirmation on, and goes on within its lease.
+    /// A machine hangs from the confirmation on, and resumes within its lease.
     Hangs,
-    /// Direct orders and answers are held for seconds.
+    /// Direct calls and answers are delayed by seconds.
     Late,
-    /// No command reaches any worker but in an answer to its report.
+    /// Commands reach workers only in answers to heartbeats.
     NoCalls,
-    /// The refused leader hears of the new one, and passes reports on to it.
+    /// The refused leader learns of the new one and forwards heartbeats to it.
     Hears,
-    /// The new leader ends as the outage begins, and is back later.
+    /// The new leader ends as the outage begins, and restarts later.
     NewEnds,
-    /// The old leader stands still until the outage is well under way.
+    /// The old leader is suspended until well into the outage.
     OldFreezes,
 }
 
+/// One scenario.
 #[derive(Clone, Copy, Debug)]
 struct Gap {
     /// From the confirmation of the cancellation until the outage, in seconds.
     outage_after: f64,
     lasts: f64,
-    /// The refusal ends so long after the outage began; negative: before.
+    /// From the start of the outage until the refusal ends, in seconds; negative:
+    /// before.
     refusal_ends: f64,
     to: To,
     also: Also,
     twice: bool,
 }
 
-/// A fleet at work under one leader: some long arrays, a gang and a service.
-fn at_work(seed: u64, jobs: u64, change: impl Fn(&mut World)) -> World {
+/// A busy fleet under one leader: some long arrays, gangs and services.
+fn busy_fleet(seed: u64, jobs: u64, change: impl Fn(&mut World)) -> World {
     let mut w = World::new(seed, 3);
     change(&mut w);
     w.wealth = 4.0;
@@ -87,8 +90,9 @@
     }
 }
 
-/// One gap, from the refusal to well after its end; when the first user was told.
-fn gap(w: &mut World, g: Gap, ids: &[String]) -> Option<u64> {
+/// Runs one scenario, from the refusal to well after its end. Returns when the first
+/// cancellation was confirmed.
+fn run_scenario(w: &mut World, g: Gap, ids: &[String]) -> Option<u64> {
     let old = w.leader().expect("a leader");
     let told_before = w.answers.len();
     if matches!(g.to, To::Old | To::OldThenNew) {
@@ -106,7 +110,7 @@
         w.at(0.0, Ev::NoCalls(h, g.also == Also::NoCalls));
     }
     w.at(0.0, Ev::Refuse(old, true));
-    // Until another one leads.
+    // Wait until another controller leads.
     let mut waited = 0;
     while w.leader() == Some(old) && waited < 100 {
         w.run(0.1);
@@ -158,7 +162,7 @@
         To::NewThenOld => report_to(w, middle, Some(old)),
         _ => {}
     }
-    // Users go on asking and cancelling, by way of both.
+    // Users go on polling and cancelling through both controllers.
     for k in 0..20 {
         for id in ids {
             w.at(2.0 * k as f64, Ev::UserVia(old, Ask::Poll(id.clone())));
@@ -176,15 +180,15 @@
     at
 }
 
-/// Plays one gap; what was broken.
-fn play(seed: u64, g: Gap, change: impl Fn(&mut World)) -> World {
-    let mut w = at_work(seed, 8, change);
+/// Runs one scenario and returns the world for checks.
+fn run_on_busy_fleet(seed: u64, g: Gap, change: impl Fn(&mut World)) -> World {
+    let mut w = busy_fleet(seed, 8, change);
     let ids: Vec<String> = (1..=4).map(|n| format!("job-{n:06}")).collect();
-    let first = gap(&mut w, g, &ids);
+    let first = run_scenario(&mut w, g, &ids);
     assert!(first.is_some(), "nobody was told: {g:?}");
     if g.twice {
         let ids: Vec<String> = (5..=8).map(|n| format!("job-{n:06}")).collect();
-        gap(&mut w, g, &ids);
+        run_scenario(&mut w, g, &ids);
     }
     w
 }
@@ -201,16 +205,16 @@
 ];
 const TO: [To; 5] = [To::Old, To::New, To::OldThenNew, To::NewThenOld, To::Both];
 
-/// Every order of what happens, from fractions of a second apart to longer than a
+/// All combinations of events, from fractions of a second apart to longer than a
 /// cancellation may take: 42 s here, with a lease of 20 s.
-fn all_gaps() -> Vec<Gap> {
+fn all_scenarios() -> Vec<Gap> {
     let mut all = vec![];
     for outage_after in [0.0, 0.3, 1.5, 19.0] {
         for lasts in [0.4, 21.0, 43.0, 64.0] {
             for refusal_ends in [-0.2, 0.2, 12.0, lasts + 1.0] {
                 for to in TO {
                     for also in ALSO {
-                        // Each once, and every third of them twice in a row.
+                        // Each once, and every third one twice in a row.
                         let twice = all.len() % 3 == 0;
                         all.push(Gap {
                             outage_after,
@@ -228,13 +232,13 @@
     all
 }
 
-/// Of the 2,560 gaps every thirteenth; `GAPS=all` asks for each of them.
+/// Runs every thirteenth of the 2,560 scenarios; `GAPS=all` runs all of them.
 #[test]
-fn cancelled_tasks_are_gone_in_time_through_every_gap() {
+fn cancelled_tasks_are_gone_in_time_in_every_scenario() {
     let every = if std::env::var("GAPS").is_ok() { 1 } else { 13 };
-    let gaps: Vec<Gap> = all_gaps();
+    let gaps: Vec<Gap> = all_scenarios();
     for (n, g) in gaps.into_iter().enumerate().step_by(every) {
-        let w = play(n as u64, g, |_| {});
+        let w = run_on_busy_fleet(n as u64, g, |_| {});
         assert!(
             w.broken.is_empty(),
             "{n} {g:?}: {:#?}\n{:#?}",
@@ -244,21 +248,21 @@
     }
 }
 
-/// With the shortest time that settings may give a cancellation the grace is as
-/// long as the lease of the leader's key, and no longer.
+/// With the shortest cancellation time that the settings allow, the grace period is
+/// exactly as long as the leader lease.
 #[test]
-fn the_least_time_that_is_served_is_enough() {
+fn the_shortest_allowed_cancellation_time_is_sufficient() {
     let lease = settings("x").platform.params.workers.lease_bound();
-    for (n, g) in all_gaps().into_iter().enumerate().step_by(97) {
-        let w = play(n as u64, g, |w| w.cancel_s = lease.as_secs());
+    for (n, g) in all_scenarios().into_iter().enumerate().step_by(97) {
+        let w = run_on_busy_fleet(n as u64, g, |w| w.cancel_s = lease.as_secs());
         assert!(w.broken.is_empty(), "{n} {g:?}: {:?}", w.broken.first());
     }
 }
 
-/// What shows that these stories can fail: an old leader that answers for 12 s longer
-/// than the arithmetic allows. Its workers keep cancelled tasks for too long.
+/// Shows that these checks can fail: an old leader that answers for 12 s longer than
+/// allowed lets its workers keep cancelled tasks for too long.
 #[test]
-fn a_leader_that_answers_for_too_long_is_noticed() {
+fn a_leader_that_answers_for_too_long_is_detected() {
     let g = Gap {
         outage_after: 0.3,
         lasts: 64.0,
@@ -268,21 +272,21 @@
         twice: false,
     };
     let late = |w: &World| w.broken.iter().any(|b| b.starts_with("ran_cancelled"));
-    assert!(late(&play_with_grace(0, g, 54.0)));
-    assert!(!late(&play_with_grace(0, g, 42.0)));
+    assert!(late(&run_with_grace(0, g, 54.0)));
+    assert!(!late(&run_with_grace(0, g, 42.0)));
 }
 
-fn play_with_grace(seed: u64, g: Gap, believed_s: f64) -> World {
+fn run_with_grace(seed: u64, g: Gap, believed_s: f64) -> World {
     let change = |w: &mut World| w.believed_s = Some(believed_s);
-    let mut w = at_work(seed, 4, change);
+    let mut w = busy_fleet(seed, 4, change);
     let ids: Vec<String> = (1..=4).map(|n| format!("job-{n:06}")).collect();
-    gap(&mut w, g, &ids);
+    run_scenario(&mut w, g, &ids);
     w
 }
 
-/// Once all is over, what was cancelled is cancelled and the rest runs.
+/// After the outage, cancelled jobs are cancelled and the others run.
 #[test]
-fn after_the_gap_everything_is_as_it_was_told() {
+fn after_the_outage_all_jobs_are_as_reported_to_users() {
     let g = Gap {
         outage_after: 0.5,
         lasts: 64.0,
@@ -291,7 +295,7 @@
         also: Also::Nothing,
         twice: false,
     };
-    let mut w = play(7, g, |_| {});
+    let mut w = run_on_busy_fleet(7, g, |_| {});
     w.run(60.0);
     assert_eq!(w.state_of(JOB), Some(JobState::Cancelled));
     assert_eq!(w.state_of("job-000005"), Some(JobState::Running));
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -1,4 +1,4 @@
-//! What is carried out or answered late, after something newer.
+//! Commands, writes and answers that take effect late, after newer ones.
 
 mod world;
 
@@ -20,8 +20,8 @@
 const JOB: &str = "job-000001";
 const PART: &str = "hookworks/part/job-000001/000001";
 
-/// A store with a leader, and the stamp of its key.
-fn led(s: &Handle) -> Stamp {
+/// Elects a leader in the store and returns the revision of its key.
+fn elect_leader(s: &Handle) -> Stamp {
     let me = Candidate {
         label: "a".into(),
         instance: Instance(1),
@@ -35,7 +35,7 @@
     }
 }
 
-/// Sends what waits to be written, and reads back what conflicts.
+/// Sends pending writes and reads back records in conflict.
 fn write_all(s: &Handle, c: &mut Committer, d: &mut Desk) {
     for _ in 0..20 {
         d.now += 300_000;
@@ -57,14 +57,14 @@
     }
 }
 
-/// A leader ended between the first records of a large submission, and the next
-/// one swept what was left of it. That deletion got no answer and was carried out
-/// after the user had sent the job again: a record with live tasks was gone, and the
-/// leader after that would have started them elsewhere.
+/// A leader ended between the first records of a large submission, and the next one
+/// deleted the leftovers. That deletion got no answer and was applied after the user
+/// had submitted the job again: a record with active tasks was lost, and a later leader
+/// would have started them elsewhere.
 #[test]
-fn sweeping_carried_out_late_deletes_nothing_newer() {
+fn a_late_garbage_collection_deletes_nothing_newer() {
     let s = Handle::default();
-    let leader = led(&s);
+    let leader = elect_leader(&s);
     s.put(PART, serde_json::json!({"left": "by an earlier leader"}));
     let l = load_state(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
@@ -88,11 +88,11 @@
     assert!(s.get(PART).unwrap().is_some());
 }
 
-/// What nobody has touched since is swept, late or not.
+/// Leftover records unchanged since they were loaded are deleted.
 #[test]
-fn what_is_as_it_was_found_is_swept() {
+fn unchanged_garbage_is_collected() {
     let s = Handle::default();
-    let leader = led(&s);
+    let leader = elect_leader(&s);
     s.put(PART, serde_json::json!({}));
     let l = load_state(&s, Epoch(5), leader, Time(1), Wall(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
@@ -103,10 +103,10 @@
     assert!(s.get(PART).unwrap().is_none());
 }
 
-/// A read of the final state was sent before the job was known and came back after
-/// it had been accepted, cancelled and stored: its user was told 404.
+/// A read of the final state was sent before the job was known and returned after it
+/// had been accepted, cancelled and stored: the user got a 404.
 #[test]
-fn a_slow_read_says_nothing_of_what_came_to_its_end_meanwhile() {
+fn a_slow_read_does_not_hide_a_job_finished_meanwhile() {
     let mut d = Desk::new(5);
     let poll = d.ask(Ask::Poll(JOB.into()));
     assert_eq!(d.status(poll), None, "it is looked up");
@@ -120,11 +120,11 @@
     assert!(a.status == 200 && a.body.contains("\"cancelled\""), "{a:?}");
 }
 
-/// A command to run was held on its way when the job was cancelled. The answer to
-/// the next report renewed the lease without a word of it, and the task that had begun
-/// in between was free until the report after that.
+/// A command to run was delayed in flight when the job was cancelled. The answer to the
+/// next heartbeat renewed the lease without a stop, so a task started in between ran on
+/// until the heartbeat after that.
 #[test]
-fn every_answer_that_renews_a_lease_tells_what_is_to_end_there() {
+fn every_answer_that_renews_a_lease_carries_all_stops() {
     let mut d = Desk::new(5);
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
@@ -134,7 +134,7 @@
     d.event(Event::Direct(call, host, DirectResult::Unclear));
     let cancel = d.ask(Ask::Cancel(JOB.into()));
     assert_eq!(d.status(cancel), Some(200));
-    // The worker had not got it when it sent this.
+    // The worker had not received the command when it sent this heartbeat.
     let a = d
         .beat(&report(1, 2, Token(0)))
         .expect("its lease is renewed");
@@ -148,15 +148,15 @@
     assert!(a.orders.iter().any(kills), "{:?}", a.orders);
 }
 
-/// A call renews nothing, so none is made for that alone: its answer shows no more than
-/// the one before, and one call would lead to the next.
+/// A direct call renews no lease, so none is made for such a stop alone: its answer
+/// would show nothing new, and each call would lead to another.
 #[test]
-fn a_call_is_not_made_to_end_what_no_report_has_shown() {
+fn no_direct_call_is_made_to_stop_an_attempt_not_yet_reported() {
     let mut d = Desk::new(5);
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
     let (call, host, orders) = d.direct().remove(0);
-    // Cancelled meanwhile; the answer does not show the task yet.
+    // The job is cancelled meanwhile; the answer does not show the task yet.
     d.ask(Ask::Cancel(JOB.into()));
     let r = report(1, 2, orders.token);
     d.event(Event::Direct(call, host, DirectResult::Done(Box::new(r))));
@@ -166,10 +166,10 @@
     assert!(!any, "{calls:?}");
 }
 
-/// The answer to a call passed a report on its way. That report was answered, which
-/// renewed the lease, without a word of what had been cancelled.
+/// The answer to a direct call overtook a heartbeat. The answer to that heartbeat
+/// renewed the lease without stopping cancelled attempts.
 #[test]
-fn the_answer_to_a_report_that_was_passed_tells_what_is_to_end_too() {
+fn the_answer_to_an_overtaken_heartbeat_carries_all_stops() {
     let mut d = Desk::new(5);
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
@@ -189,15 +189,17 @@
         .expect("its lease is renewed");
     let kill = |o: &Order| matches!(o, Order::Kill { attempt, .. } if *attempt == a);
     assert!(told.orders.iter().any(kill), "{:?}", told.orders);
-    // But it says nothing of what is there by now: nothing starts on its word.
+    // An overtaken heartbeat does not show the current state, so its answer starts
+    // nothing.
     let others = told.orders.iter().filter(|o| !kill(o)).count();
     assert_eq!(others, 0, "{:?}", told.orders);
 }
 
-/// A job's record could not be read for a while, and what its tasks had come to was
-/// dropped from their machines: after a release that reads it they would run again.
+/// A job's record could not be read for a while, and the results of its tasks were
+/// cleared from their machines: with a later release that can read the record they
+/// would run again.
 #[test]
-fn what_a_job_with_an_unreadable_record_has_done_stays_where_it_is() {
+fn results_of_a_job_with_an_unreadable_record_are_not_cleared() {
     let mut d = Desk::new(5);
     let unreadable = [(JobId::from(JOB), JobState::Queued)];
     d.s.load(Time(d.now), vec![], unreadable.into_iter().collect());
@@ -215,13 +217,17 @@
             a.orders.iter().filter(of).count()
         };
         assert_eq!(cleared(JOB), 0, "report {seq}");
-        assert_eq!(cleared("job-000009"), 1, "nobody knows that job");
+        assert_eq!(
+            cleared("job-000009"),
+            1,
+            "results of an unknown job are cleared"
+        );
     }
 }
 
-/// A small fleet through all kinds of writes: submissions, first starts, progress,
-/// ends, a hold and its release, a cancellation, fences of a zone; under one leader, or
-/// with another one from the middle on.
+/// Takes a small fleet through all kinds of writes: submissions, first starts,
+/// progress, ends, a hold and its release, a cancellation, zone fences; under one
+/// leader, or with a change of leader.
 fn all_kinds_of_writes(late_one: Option<(u64, f64)>, another: bool) -> World {
     let mut w = World::wide(5, &["a", "b", "c"], 8);
     w.late_one = late_one;
@@ -257,7 +263,7 @@
     w.at(30.0, Ev::CutZone("b".into(), true));
     w.at(60.0, Ev::CutZone("b".into(), false));
     if another {
-        // It leads no more when some of what it has sent is carried out.
+        // It no longer leads when some of its writes are applied.
         w.at(17.0, Ev::Kill(0));
         w.at(17.5, Ev::Restart(0));
         w.at(18.0, Ev::LateElection(1, 2.5));
@@ -267,10 +273,10 @@
     w
 }
 
-/// Each write in turn gets no answer and is carried out after newer ones of the same
+/// Each write in turn gets no answer and is applied after newer ones of the same
 /// controller, or after another one leads.
 #[test]
-fn any_write_may_be_carried_out_late() {
+fn any_write_may_be_applied_late() {
     for another in [false, true] {
         let well = all_kinds_of_writes(None, another);
         let all = well.transactions;
@@ -300,8 +306,8 @@
     }
 }
 
-/// Whoever asks again while the cancellation is on its way to the record waits for that
-/// like the first: a leader that ended then had told what nobody knew after it.
+/// A repeated cancellation waits until it is stored, like the first: otherwise a leader
+/// could confirm it and end, and the next one would not know of it.
 #[test]
 fn a_second_cancellation_waits_for_the_record_as_the_first_does() {
     let mut d = Desk::new(5);
@@ -325,11 +331,11 @@
     }
 }
 
-/// What was placed while the leadership was proven and stored after that is not told to
-/// start in the answers that go on through the grace: another leader may have been told
-/// of a cancellation meanwhile.
+/// Attempts placed while the leadership was proven but stored afterwards are not
+/// started by answers during the grace period: another leader may have confirmed a
+/// cancellation meanwhile.
 #[test]
-fn what_is_stored_after_the_proof_has_run_out_is_not_told_to_start() {
+fn attempts_stored_after_the_leadership_proof_expired_are_not_started() {
     let mut d = Desk::new(5);
     d.refuses = true;
     d.beat(&report(1, 1, Token(0)));
--- a/tests/zone_histories.rs
+++ b/tests/zone_histories.rs
@@ -1,5 +1,5 @@
-//! Many random histories of zones that are lost and come back, in any way, one
-//! after another and together with other troubles; the rules hold in all.
+//! Random histories of zone outages of all kinds, combined with other faults; the
+//! invariants hold in all of them.
 
 mod world;
 
@@ -9,8 +9,8 @@
 use world::links::Link;
 use world::{Chaos, Ev, World, job};
 
-/// One history: a fleet in two or three zones that are lost in any way, while
-/// controllers end, users cancel and hold, and the store is down now and then.
+/// One history: a fleet in two or three zones with random outages, while controllers
+/// end, users cancel jobs, and the state service is down at times.
 fn history(seed: u64) -> World {
     let three = !seed.is_multiple_of(3);
     let zones: &[&str] = if three { &["a", "b", "c"] } else { &["a", "b"] };
@@ -69,7 +69,7 @@
         w.at(at, Ev::StoreDown(true));
         w.at(at + long, Ev::StoreDown(false));
     }
-    // Zones go and come, one way or both, for as long as they like.
+    // Zones are cut off in one or both directions for random times.
     let mut left = 190.0;
     while left > 5.0 {
         let pause = w.rng.random_range(2.0..25.0f64).min(left);
@@ -84,7 +84,7 @@
         } else {
             w.set_zone(zone, link);
         }
-        // The leader may be there, and the next one may end soon after.
+        // The leader may be in that zone, and the next one may end soon after.
         if w.rng.random_bool(0.5) {
             for _ in 0..w.rng.random_range(1..3) {
                 let (at, i) = (w.rng.random_range(0.0..20.0), w.rng.random_range(0..3));
@@ -117,9 +117,9 @@
     w
 }
 
-/// `HISTORIES` asks for more than the usual number of them.
+/// The environment variable `HISTORIES` sets the number of histories.
 #[test]
-fn rules_hold_in_many_histories_of_zones() {
+fn invariants_hold_in_random_zone_histories() {
     let more = std::env::var("HISTORIES").ok().and_then(|n| n.parse().ok());
     for seed in 0..more.unwrap_or(20) {
         let w = history(seed);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,5 +1,5 @@
-//! A zone that is lost and comes back, in a fleet of a hundred machines in two
-//! and three zones with a controller in each.
+//! Zone outages in a fleet of about a hundred machines in two or three zones with a
+//! controller in each.
 
 mod world;
 
@@ -16,33 +16,33 @@
 
 const S: u64 = 1_000_000;
 
-/// Machines up in all zones, with tasks that have just begun to run.
-fn at_work(zones: &[&str], each: usize, run_s: f64) -> World {
+/// A fleet with machines up in all zones and tasks that have just started.
+fn busy_fleet(zones: &[&str], each: usize, run_s: f64) -> World {
     let mut w = World::wide(7, zones, each);
     w.run_s = 30.0;
     w.run(2.0);
     let jobs = zones.len() as u64 * 2;
     for n in 0..jobs {
-        w.submit(work(n, each as u32 * 2 - 4, 30.0));
+        w.submit(array_job(n, each as u32 * 2 - 4, 30.0));
     }
     w.run(48.0);
     assert!(w.done_tasks.len() > 100, "{}", w.done_tasks.len());
     w.run_s = run_s;
     for n in jobs..2 * jobs {
-        w.submit(work(n, each as u32 * 2 - 4, run_s));
+        w.submit(array_job(n, each as u32 * 2 - 4, run_s));
     }
     w.run(5.0);
     w
 }
 
-/// An array that may run anywhere: a task takes a quarter of a machine.
-fn work(n: u64, tasks: u32, run_s: f64) -> JobSpec {
+/// An array job that may run anywhere; a task takes a quarter of a machine.
+fn array_job(n: u64, tasks: u32, run_s: f64) -> JobSpec {
     let mut j = job(n, tasks);
     j.estimate_s = run_s;
     j
 }
 
-/// What operators see of a zone.
+/// The operators' overview of a zone.
 fn overview(w: &World, zone: &str) -> serde_json::Value {
     let i = w.leader().expect("a leader");
     let o = w.sched(i).overview(hookworks::time::Time(w.now));
@@ -65,7 +65,7 @@
     there.flat_map(|m| m.allocations.keys().cloned()).collect()
 }
 
-/// Machines there that have tasks.
+/// Machines in the zone that have tasks.
 fn busy_in(w: &World, zone: &str) -> BTreeSet<Host> {
     let s = w.sched(w.leader().unwrap());
     let there = s.machines.values().filter(|m| m.zone.as_str() == zone);
@@ -73,8 +73,8 @@
     busy.map(|m| m.host.clone()).collect()
 }
 
-/// How many runs were begun, for each task that was begun at all.
-fn runs(w: &World) -> usize {
+/// The number of attempts started so far.
+fn runs_started(w: &World) -> usize {
     w.started as usize
 }
 
@@ -91,8 +91,8 @@
     w.releases_of.iter().filter(mine).count()
 }
 
-/// Everything that was accepted comes to its end, services but for their users.
-fn all_end(w: &mut World, seconds: f64) {
+/// Runs on and checks that every accepted job finishes.
+fn assert_all_jobs_finish(w: &mut World, seconds: f64) {
     w.run(seconds);
     w.assert_rules();
     let i = w.leader().expect("a leader in the end");
@@ -100,16 +100,16 @@
     assert!(left.is_empty(), "never finished: {left:?}");
 }
 
-/// 610 machines were once given back, and as many rented in the zone that was
-/// gone, for a cut that most of their work would have outlived.
+/// 610 machines were once released, and as many rented in the lost zone, for an outage
+/// that most of their tasks would have survived.
 #[test]
-fn a_cut_shorter_than_the_lease_costs_no_running_task() {
+fn an_outage_shorter_than_the_lease_costs_no_running_task() {
     for (seconds, mode) in [(6.0, Link::Held), (10.0, Link::Cut), (17.0, Link::Held)] {
-        let mut w = at_work(&["a", "b", "c"], 40, 60.0);
-        // Those that idle may go back as ever.
+        let mut w = busy_fleet(&["a", "b", "c"], 40, 60.0);
+        // Idle machines may be released as usual.
         let (t, hosts, there) = (w.now, busy_in(&w, "b"), tasks_in(&w, "b"));
         assert!(there.len() > 60, "{}", there.len());
-        let before = runs(&w);
+        let before = runs_started(&w);
         w.set_zone("b", mode);
         w.run(seconds);
         if seconds > 9.0 {
@@ -118,54 +118,50 @@
         w.set_zone("b", Link::Open);
         w.run(8.0);
         assert_eq!(verdict(&w, "b"), "well");
-        // They were still there, and nothing of them was begun again.
+        // The machines were kept, and none of their tasks was restarted.
         assert_eq!(released_in(&w, &hosts, t), 0, "{seconds} s");
-        assert_eq!(runs(&w), before, "{seconds} s: begun again");
+        assert_eq!(runs_started(&w), before, "{seconds} s: restarted");
         assert_eq!(tasks_in(&w, "b"), there, "{seconds} s");
-        all_end(&mut w, 120.0);
+        assert_all_jobs_finish(&mut w, 120.0);
     }
 }
 
 #[test]
-fn what_a_lease_has_ended_starts_elsewhere_and_the_machines_wait_for_their_zone() {
-    let mut w = at_work(&["a", "b", "c"], 40, 60.0);
+fn tasks_ended_by_lease_expiry_restart_elsewhere_and_machines_are_kept() {
+    let mut w = busy_fleet(&["a", "b", "c"], 40, 60.0);
     let (t, hosts, there) = (w.now, w.machines_in("b"), tasks_in(&w, "b"));
     w.set_zone("b", Link::Held);
     w.run(4.0);
     let (noticed, calls) = (w.now, w.calls_to("b"));
     assert_ne!(verdict(&w, "b"), "well", "not noticed within 4 s");
-    w.submit(work(90, 60, w.run_s));
+    w.submit(array_job(90, 60, w.run_s));
     w.run(14.0);
-    // Until their leases are over, the leader counts on them to be running.
+    // Until their leases expire, the leader assumes that they are running.
     assert_eq!(tasks_in(&w, "b"), there);
     w.run(12.0);
-    // They have started elsewhere, as far as there was room.
+    // They have restarted elsewhere, as far as resources allowed.
     assert!(tasks_in(&w, "b").is_empty());
-    assert_eq!(
-        rented_in(&w, "b", noticed),
-        0,
-        "rented where nothing is heard"
-    );
-    assert_eq!(w.calls_to("b"), calls, "called where nobody can answer");
+    assert_eq!(rented_in(&w, "b", noticed), 0, "rented in the silent zone");
+    assert_eq!(w.calls_to("b"), calls, "direct calls into the silent zone");
     assert_eq!(released_in(&w, &hosts, t), 0);
     w.set_zone("b", Link::Open);
     w.run(8.0);
     assert_eq!(verdict(&w, "b"), "well");
-    w.submit(work(92, 200, 20.0));
+    w.submit(array_job(92, 200, 20.0));
     w.run(3.0);
     assert!(!tasks_in(&w, "b").is_empty(), "its machines serve again");
     assert_eq!(w.machines_in("b"), hosts);
-    all_end(&mut w, 250.0);
+    assert_all_jobs_finish(&mut w, 250.0);
 }
 
-/// The leader that knew how long the zone had been gone ends: its successor
-/// counted every lease there from its own election.
+/// After a failover during a zone outage the new leader counted every lease there from
+/// its own election.
 #[test]
-fn a_take_over_in_any_phase_neither_forgets_nor_believes() {
-    // Seconds into the cut at which the leader ends: before anyone noticed, in
-    // doubt, lost, after the leases, and as the zone comes back.
+fn a_failover_in_any_phase_of_an_outage_counts_leases_from_the_last_answer() {
+    // Seconds into the outage at which the leader ends: before detection, in doubt,
+    // lost, after lease expiry, and as the zone returns.
     for at in [1.0, 4.0, 12.0, 26.0, 40.5] {
-        let mut w = at_work(&["a", "b", "c"], 30, 60.0);
+        let mut w = busy_fleet(&["a", "b", "c"], 30, 60.0);
         let leader = w.leader().unwrap();
         let zone = ["a", "b", "c"][(leader + 1) % 3];
         let (t, there) = (w.now, tasks_in(&w, zone));
@@ -175,7 +171,7 @@
         w.run(32.0);
         let gone = tasks_in(&w, zone).intersection(&there).count();
         if (4.0..30.0).contains(&at) {
-            // 20 s of lease from the last answer, not from the election.
+            // The lease of 20 s counts from the last answer, not from the election.
             assert_eq!(
                 gone,
                 0,
@@ -187,16 +183,16 @@
         w.set_zone(zone, Link::Open);
         w.run(12.0);
         assert_eq!(verdict(&w, zone), "well", "{at}");
-        all_end(&mut w, 300.0);
+        assert_all_jobs_finish(&mut w, 300.0);
     }
 }
 
-/// In the zone that is cut off the old leader goes on answering for a while:
-/// what it keeps alive must not begin anywhere else.
+/// In the partitioned zone the old leader goes on answering for a while: attempts whose
+/// leases it renews must not start elsewhere.
 #[test]
-fn the_leaders_own_zone_is_lost() {
+fn the_zone_of_the_leader_is_lost() {
     for (seconds, mode) in [(12.0, Link::Held), (45.0, Link::Held), (70.0, Link::Cut)] {
-        let mut w = at_work(&["a", "b", "c"], 30, 50.0);
+        let mut w = busy_fleet(&["a", "b", "c"], 30, 50.0);
         let old = w.leader().unwrap();
         let zone = w.zone_of(old);
         let others: Vec<_> = ["a", "b", "c"]
@@ -208,21 +204,21 @@
         let new = w.leader().unwrap();
         assert_ne!(new, old, "another leads");
         for z in &others {
-            assert_eq!(verdict(&w, z), "well", "the others are not condemned");
+            assert_eq!(verdict(&w, z), "well", "healthy zones count as lost");
         }
         w.run(seconds - 6.0);
         w.set_zone(zone.as_str(), Link::Open);
         w.run(10.0);
-        all_end(&mut w, 300.0);
+        assert_all_jobs_finish(&mut w, 300.0);
     }
 }
 
-/// Three leaders within half a minute: the first goes on in the lost zone, the
-/// second ends while it may still do so, the third must know of both.
+/// Three leaders within half a minute: the first goes on answering in the lost zone,
+/// the second ends while the first may still do so, and the third must allow for both.
 #[test]
-fn the_leaders_own_zone_is_lost_and_the_next_leader_with_it() {
+fn the_zone_of_the_leader_is_lost_and_then_the_next_leader() {
     for at in [4.0, 7.0, 11.0, 15.0, 19.0, 23.0] {
-        let mut w = at_work(&["a", "b", "c"], 20, 120.0);
+        let mut w = busy_fleet(&["a", "b", "c"], 20, 120.0);
         let old = w.leader().unwrap();
         let zone = w.zone_of(old);
         w.set_zone(zone.as_str(), Link::Held);
@@ -235,13 +231,13 @@
         w.assert_rules();
         w.set_zone(zone.as_str(), Link::Open);
         w.run(10.0);
-        all_end(&mut w, 400.0);
+        assert_all_jobs_finish(&mut w, 400.0);
     }
 }
 
 #[test]
 fn the_state_service_is_back_before_the_zone() {
-    let mut w = at_work(&["a", "b"], 30, 30.0);
+    let mut w = busy_fleet(&["a", "b"], 30, 30.0);
     let old = w.leader().unwrap();
     let zone = w.zone_of(old);
     w.set_zone(zone.as_str(), Link::Held);
@@ -250,13 +246,13 @@
     w.run(50.0);
     w.set_zone(zone.as_str(), Link::Open);
     w.run(10.0);
-    all_end(&mut w, 300.0);
+    assert_all_jobs_finish(&mut w, 300.0);
 }
 
 #[test]
 fn a_second_zone_is_lost_while_the_first_returns() {
     for zones in [vec!["a", "b", "c"], vec!["a", "b"]] {
-        let mut w = at_work(&zones, 30, 40.0);
+        let mut w = busy_fleet(&zones, 30, 40.0);
         let leader = w.leader().unwrap();
         let at = zones
             .iter()
@@ -274,14 +270,14 @@
         w.set_zone(second, Link::Open);
         w.run(40.0);
         assert_eq!(verdict(&w, first), "well");
-        all_end(&mut w, 300.0);
+        assert_all_jobs_finish(&mut w, 300.0);
     }
 }
 
 #[test]
 fn a_flapping_zone_does_not_move_the_fleet() {
-    let mut w = at_work(&["a", "b", "c"], 30, 120.0);
-    let (t, hosts, before) = (w.now, busy_in(&w, "b"), runs(&w));
+    let mut w = busy_fleet(&["a", "b", "c"], 30, 120.0);
+    let (t, hosts, before) = (w.now, busy_in(&w, "b"), runs_started(&w));
     for _ in 0..6 {
         w.set_zone("b", Link::Held);
         w.run(8.0);
@@ -290,40 +286,44 @@
     }
     assert_eq!(released_in(&w, &hosts, t), 0);
     assert_eq!(rented_in(&w, "b", t + 3 * S), 0);
-    assert_eq!(runs(&w), before, "begun again");
-    // What was remembered is forgotten in the end.
+    assert_eq!(runs_started(&w), before, "restarted");
+    // Remembered outages are forgotten in the end.
     w.run(160.0);
     assert_eq!(verdict(&w, "b"), "well");
-    all_end(&mut w, 300.0);
+    assert_all_jobs_finish(&mut w, 300.0);
 }
 
-/// The others must not be taken for lost, nor what comes back be waited for.
+/// Machines of a zone that never returns are kept for a while and then released.
 #[test]
-fn a_zone_whose_machines_really_died_is_given_up_in_the_end() {
-    let mut w = at_work(&["a", "b", "c"], 30, 40.0);
+fn a_zone_whose_machines_died_is_released_in_the_end() {
+    let mut w = busy_fleet(&["a", "b", "c"], 30, 40.0);
     let (t, hosts) = (w.now, w.machines_in("b"));
     for h in &hosts {
         w.workers.remove(h);
     }
     w.run(40.0);
-    assert_eq!(released_in(&w, &hosts, t), 0, "kept while it may come back");
+    assert_eq!(
+        released_in(&w, &hosts, t),
+        0,
+        "released while the zone may return"
+    );
     w.run(100.0);
-    assert_eq!(released_in(&w, &hosts, t), hosts.len(), "not kept for ever");
+    assert_eq!(released_in(&w, &hosts, t), hosts.len(), "kept forever");
     let given_back = &overview(&w, "b")["since_trouble"]["machines_given_back"];
     assert!(given_back.as_u64() > Some(10), "{given_back}");
-    all_end(&mut w, 300.0);
-    // It is tried again, and used once something there reports.
-    w.submit(work(91, 300, w.run_s));
+    assert_all_jobs_finish(&mut w, 300.0);
+    // The zone is tried again, and used once a machine there reports.
+    w.submit(array_job(91, 300, w.run_s));
     w.run(60.0);
     assert!(!w.machines_in("b").is_empty(), "never used again");
-    all_end(&mut w, 250.0);
+    assert_all_jobs_finish(&mut w, 250.0);
 }
 
-/// A few that hang here and there are no zone, and neither is a controller that
-/// is lost with the machines that reported to it.
+/// Single hanging machines are no zone outage, and neither is the loss of a controller
+/// together with the machines that reported to it.
 #[test]
-fn one_controller_or_some_machines_are_not_a_zone() {
-    let mut w = at_work(&["a", "b", "c"], 30, 60.0);
+fn failures_of_one_controller_or_some_machines_are_no_zone_outage() {
+    let mut w = busy_fleet(&["a", "b", "c"], 30, 60.0);
     let some: Vec<Host> = w.workers.keys().step_by(4).cloned().collect();
     for h in some {
         w.at(0.0, Ev::Hang(h.clone(), true));
@@ -338,14 +338,14 @@
             assert_eq!(verdict(&w, z), "well");
         }
     }
-    all_end(&mut w, 200.0);
+    assert_all_jobs_finish(&mut w, 200.0);
 }
 
-/// Two zones that can't reach each other, with a controller in a third between:
-/// reports come by way of that.
+/// Two zones can't reach each other; heartbeats are forwarded by a controller in a
+/// third zone.
 #[test]
-fn two_zones_apart_are_both_well() {
-    let mut w = at_work(&["a", "b", "c"], 30, 60.0);
+fn two_zones_that_cannot_reach_each_other_are_both_well() {
+    let mut w = busy_fleet(&["a", "b", "c"], 30, 60.0);
     w.set_link("a", "b", Link::Held);
     w.set_link("b", "a", Link::Held);
     for _ in 0..30 {
@@ -356,12 +356,12 @@
     }
     w.set_link("a", "b", Link::Open);
     w.set_link("b", "a", Link::Open);
-    all_end(&mut w, 200.0);
+    assert_all_jobs_finish(&mut w, 200.0);
 }
 
 #[test]
-fn cancelled_and_held_during_the_cut() {
-    let mut w = at_work(&["a", "b", "c"], 30, 90.0);
+fn jobs_are_cancelled_and_held_during_an_outage() {
+    let mut w = busy_fleet(&["a", "b", "c"], 30, 90.0);
     let ids: Vec<JobId> = w.specs.keys().rev().cloned().collect();
     w.set_zone("b", Link::Held);
     w.run(5.0);
@@ -369,22 +369,23 @@
     let hold = serde_json::json!({"By": "a", "Kind": "user", "Why": "b", "Stop": false});
     w.user(Ask::Hold(ids[1].to_string(), hold.to_string().into()));
     w.run(50.0);
-    // Told as cancelled, its tasks there must be gone by now by themselves.
+    // The user was told that the job is cancelled, so its tasks there must have ended
+    // by themselves by now.
     w.assert_rules();
     assert_eq!(w.state_of(ids[0].as_str()), Some(JobState::Cancelled));
     w.set_zone("b", Link::Open);
     w.run(10.0);
     let release = serde_json::json!({"By": "a", "Kind": "user"});
     w.user(Ask::Release(ids[1].to_string(), release.to_string().into()));
-    all_end(&mut w, 400.0);
+    assert_all_jobs_finish(&mut w, 400.0);
 }
 
 #[test]
-fn a_gang_on_both_sides_and_a_service_that_must_not_be_elsewhere() {
-    let mut w = at_work(&["a", "b"], 20, 30.0);
-    let mut gang = work(80, 24, w.run_s);
+fn a_gang_across_zones_and_a_spread_service_survive_an_outage() {
+    let mut w = busy_fleet(&["a", "b"], 20, 30.0);
+    let mut gang = array_job(80, 24, w.run_s);
     (gang.kind, gang.priority) = (Kind::Gang, Priority::High);
-    let mut service = work(81, 6, w.run_s);
+    let mut service = array_job(81, 6, w.run_s);
     (service.kind, service.priority, service.spread) = (Kind::Service, Priority::Production, true);
     w.submit(service.clone());
     w.submit(gang);
@@ -400,7 +401,7 @@
     assert_eq!(of_service(&w, lost), 3);
     w.set_zone(lost, Link::Held);
     w.run(45.0);
-    // Its scatter forbids the other half: it waits, and stops nobody.
+    // The spread rule forbids placing the other half: it waits and preempts nothing.
     let s = w.sched(w.leader().unwrap());
     assert_eq!(s.jobs[&service.id].live.len(), 3);
     w.assert_rules();
@@ -408,45 +409,48 @@
     w.run(30.0);
     assert_eq!(w.sched(w.leader().unwrap()).jobs[&service.id].live.len(), 6);
     w.user(Ask::Cancel(service.id.to_string()));
-    all_end(&mut w, 300.0);
+    assert_all_jobs_finish(&mut w, 300.0);
 }
 
-/// Work that may run only in the lost zone waits, and asks for nothing.
+/// Jobs that may run only in the lost zone wait, and nothing is rented for them.
 #[test]
-fn work_of_the_lost_zone_alone_waits_for_it() {
-    let mut w = at_work(&["a", "b", "c"], 20, 30.0);
+fn jobs_bound_to_the_lost_zone_wait_for_it() {
+    let mut w = busy_fleet(&["a", "b", "c"], 20, 30.0);
     let leader = w.zone_of(w.leader().unwrap());
     let lost = if leader.as_str() == "b" { "c" } else { "b" };
     w.set_zone(lost, Link::Held);
     w.run(6.0);
-    let (t, mut only) = (w.now, work(70, 30, w.run_s));
+    let (t, mut only) = (w.now, array_job(70, 30, w.run_s));
     only.zone = Some(lost.into());
     w.submit(only);
     w.run(30.0);
     assert_eq!(rented_in(&w, lost, t), 0);
     assert_eq!(w.state_of("job-000070"), Some(JobState::Queued));
     w.set_zone(lost, Link::Open);
-    all_end(&mut w, 250.0);
+    assert_all_jobs_finish(&mut w, 250.0);
 }
 
-/// Long arrays of the lost zone must not fill the others ahead of what is
-/// urgent there, nor the urgent starve the rest.
+/// Long arrays from the lost zone must not fill the other zones ahead of urgent jobs,
+/// nor may urgent jobs starve the rest.
 #[test]
-fn a_loss_under_a_burst_leaves_the_urgent_its_starts_and_everyone_a_share() {
-    let mut w = at_work(&["a", "b", "c"], 20, 40.0);
-    let jobs: Vec<JobSpec> = (60..64).map(|n| work(n, 150, 40.0)).collect();
+fn an_outage_during_a_burst_starves_neither_urgent_nor_other_jobs() {
+    let mut w = busy_fleet(&["a", "b", "c"], 20, 40.0);
+    let jobs: Vec<JobSpec> = (60..64).map(|n| array_job(n, 150, 40.0)).collect();
     for j in &jobs {
         w.submit(j.clone());
     }
     w.run(5.0);
     w.set_zone("b", Link::Held);
     w.run(25.0);
-    let mut urgent = work(65, 20, 10.0);
+    let mut urgent = array_job(65, 20, 10.0);
     urgent.priority = Priority::High;
     w.submit(urgent.clone());
     w.run(6.0);
     let started = w.sched(w.leader().unwrap()).jobs[&urgent.id].live.len();
-    assert_eq!(started, 20, "urgent work waits behind what was lost");
+    assert_eq!(
+        started, 20,
+        "urgent job waits behind tasks of the lost zone"
+    );
     w.run(15.0);
     w.set_zone("b", Link::Open);
     w.run(60.0);
@@ -454,24 +458,25 @@
         let done = w.done_tasks.iter().filter(|t| t.job == j.id).count();
         assert!(done > 0, "{} got nothing", j.id);
     }
-    all_end(&mut w, 300.0);
+    assert_all_jobs_finish(&mut w, 300.0);
 }
 
-/// Results that came about during the cut are kept, also those of attempts
-/// whose place was given away.
+/// Results completed during an outage are kept, also those of attempts already presumed
+/// lost.
 #[test]
-fn what_was_done_during_the_cut_is_not_run_again() {
-    let mut w = at_work(&["a", "b", "c"], 30, 15.0);
+fn tasks_completed_during_an_outage_are_not_run_again() {
+    let mut w = busy_fleet(&["a", "b", "c"], 30, 15.0);
     let there = tasks_in(&w, "b");
     w.set_zone("b", Link::Held);
-    // Whatever is free elsewhere is taken, so that what is given up has to wait.
+    // All free resources elsewhere are taken, so that tasks of the lost zone have to
+    // wait.
     w.run_s = 100.0;
-    let mut filler = work(93, 700, 100.0);
+    let mut filler = array_job(93, 700, 100.0);
     filler.priority = Priority::High;
     w.submit(filler);
     w.run(30.0);
     let given_up = tasks_in(&w, "b").is_empty();
-    assert!(given_up, "their leases were over");
+    assert!(given_up, "leases have not expired");
     let s = w.sched(w.leader().unwrap());
     let open = |t: &&TaskId| {
         s.jobs
@@ -485,14 +490,17 @@
     w.run(3.0);
     let s = w.sched(w.leader().unwrap());
     let known = |t: &TaskId| s.jobs.get(&t.job).is_none_or(|j| j.is_done(t.ix));
-    assert!(waiting.iter().all(known), "they wait to be run once more");
-    all_end(&mut w, 400.0);
+    assert!(
+        waiting.iter().all(known),
+        "completed tasks wait to run again"
+    );
+    assert_all_jobs_finish(&mut w, 400.0);
 }
 
-/// Calls that were held up in the cut are answered before any report comes: the zone is
-/// there, though its machines take nothing until they report.
+/// Direct calls delayed by the outage are answered before any heartbeat arrives: the
+/// zone has returned, though its machines get no tasks until they report.
 #[test]
-fn answers_to_calls_show_that_a_zone_is_back() {
+fn answers_to_direct_calls_end_a_zone_outage() {
     let mut d = Desk::new(5);
     let from = |zone: &str, n: u32, seq: u64, token: Token| Report {
         zone: zone.into(),
