--- a/src/sched/consistency.rs
+++ b/src/sched/consistency.rs
@@ -1,18 +1,16 @@
-//! Consistency check: compares incrementally maintained totals with totals computed
-//! from scratch.
-
-use super::{Resources, Sched};
+use super::Resources;
+use super::Scheduler;
 use crate::ids::Team;
 use std::collections::BTreeMap;
 
-impl Sched {
+impl Scheduler {
     /// Describes every inconsistency found; empty unless the scheduler has a bug.
     pub fn check_totals(&self) -> Vec<String> {
         let mut inconsistencies = vec![];
         let mut by_team: BTreeMap<&Team, Resources> = BTreeMap::new();
         let mut active_attempts = 0;
         for job in self.jobs.values() {
-            for (ix, live) in &job.live {
+            for (ix, live) in &job.active {
                 *by_team.entry(&job.spec.team).or_default() += job.need;
                 active_attempts += 1;
                 let task = crate::ids::TaskId {
@@ -24,7 +22,7 @@
                     inconsistencies.push(format!("{task} has no allocation on {}", live.host));
                 }
             }
-            let listed = job.live.len() as u32 + job.done_count;
+            let listed = job.active.len() as u32 + job.done_count;
             if listed > job.spec.tasks {
                 inconsistencies.push(format!(
                     "{}: {listed} tasks active or done, of {}",
--- a/src/sched/direct_calls.rs
+++ b/src/sched/direct_calls.rs
@@ -1,10 +1,10 @@
 //! Direct calls: commands sent to a worker without waiting for its next heartbeat, and
 //! the handling of their results.
 
-use super::job::{Live, Phase};
+use super::job::{ActiveAttempt, Phase};
 use super::machine::{Machine, MachineState};
 use super::report_reconciliation::{Delivery, ReportSource};
-use super::{DirectResult, Effect, Sched};
+use super::{DirectResult, Effect, Scheduler};
 use crate::ids::{CallId, Host, JobId, Token};
 use crate::time::{Span, Time};
 use crate::wire::worker::{Order, Orders};
@@ -16,15 +16,15 @@
 const MAX_INTERVALS_SINCE_HEARD: f64 = 1.5;
 
 /// Whether the attempt is placed and its start has not been sent yet.
-fn awaits_command(live: &Live) -> bool {
-    live.phase == Phase::Placed && !live.sent
+fn awaits_command(live: &ActiveAttempt) -> bool {
+    live.phase == Phase::Placed && !live.run_sent
 }
 
-impl Sched {
+impl Scheduler {
     /// Sends pending commands to this worker, with its held heartbeat answer or by a
     /// direct call.
     pub(super) fn send_commands(&mut self, now: Time, host: &Host) {
-        if let Some(beat) = self.held.remove(host) {
+        if let Some(beat) = self.held_heartbeats.remove(host) {
             return self.answer_heartbeat(now, host, beat);
         }
         let Some(addr) = self.callable_address(now, host) else {
@@ -48,7 +48,7 @@
             session: machine.session,
             orders,
         };
-        self.out.push(Effect::Orders {
+        self.effects.push(Effect::Orders {
             call,
             host: host.clone(),
             addr,
@@ -59,13 +59,13 @@
     /// The worker's address, if a direct call to it may be made now.
     fn callable_address(&self, now: Time, host: &Host) -> Option<String> {
         let machine = self.machines.get(host)?;
-        let fresh = Span::secs(self.cfg.workers.report_s * MAX_INTERVALS_SINCE_HEARD);
+        let fresh = Span::secs(self.config.workers.report_s * MAX_INTERVALS_SINCE_HEARD);
         let callable = machine.has_reported
             && machine.state == MachineState::Up
             && machine.direct_call.is_none()
             && machine.unconfirmed_token.is_none()
             // Calls to an unreachable zone would delay calls to other zones.
-            && !self.watch.is_silent(&machine.zone)
+            && !self.zone_monitor.is_silent(&machine.zone)
             && now >= machine.no_direct_call_until
             && now - machine.last_contact < fresh;
         machine.addr.clone().filter(|_| callable)
@@ -96,24 +96,24 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        for live in job.live.values().filter(|live| awaits_command(live)) {
-            self.ready.insert(live.host.clone());
+        for live in job.active.values().filter(|live| awaits_command(live)) {
+            self.machines_to_push.insert(live.host.clone());
         }
     }
 
     /// Sends commands that became ready during this event.
     pub(super) fn send_ready_commands(&mut self, now: Time) {
-        for host in std::mem::take(&mut self.ready) {
+        for host in std::mem::take(&mut self.machines_to_push) {
             self.send_commands(now, &host);
         }
     }
 
     /// Retries all machines with unsent commands.
     pub(super) fn retry_unsent_commands(&mut self, now: Time) {
-        for host in std::mem::take(&mut self.unsent) {
+        for host in std::mem::take(&mut self.machines_with_unsent_runs) {
             if self.any_awaits_command(&host) {
                 self.send_commands(now, &host);
-                self.unsent.insert(host);
+                self.machines_with_unsent_runs.insert(host);
             }
         }
     }
@@ -124,7 +124,7 @@
         };
         machine.allocations.keys().any(|task| {
             let job = self.jobs.get(&task.job);
-            let live = job.and_then(|job| job.live.get(&task.ix));
+            let live = job.and_then(|job| job.active.get(&task.ix));
             live.is_some_and(awaits_command)
         })
     }
@@ -170,7 +170,7 @@
             DirectResult::Refused => {
                 machine.no_direct_call_until = now + FAILED_CALL_BACKOFF;
                 let zone = machine.zone.clone();
-                self.watch.note_failed_call(&zone);
+                self.zone_monitor.note_failed_call(&zone);
             }
             DirectResult::Unclear => {
                 // The call may be executed minutes from now, unless the worker receives
@@ -178,7 +178,7 @@
                 machine.no_direct_call_until = now + FAILED_CALL_BACKOFF;
                 machine.await_confirmation(token);
                 let zone = machine.zone.clone();
-                self.watch.note_failed_call(&zone);
+                self.zone_monitor.note_failed_call(&zone);
             }
         }
     }
--- a/src/sched/fences.rs
+++ b/src/sched/fences.rs
@@ -8,7 +8,7 @@
 //! leader relies only on the record of the epoch immediately before its own: a leader
 //! in between may have answered workers without knowing of the record.
 
-use super::Sched;
+use super::Scheduler;
 use super::machine::Machine;
 use crate::ids::{Epoch, Zone};
 use crate::time::{Span, Time, Wall};
@@ -138,7 +138,7 @@
     Time(now.0.saturating_sub(ago.0))
 }
 
-impl Sched {
+impl Scheduler {
     /// The record of fenced zones and its version, if it must be written.
     pub fn fences_to_write(&mut self) -> Option<(FenceRecord, u64)> {
         self.fences.next_write(self.epoch)
@@ -157,7 +157,7 @@
             return;
         }
         for (zone, since) in record.since {
-            let at = to_local_time(now, wall, Wall(since), self.cfg.clock_error);
+            let at = to_local_time(now, wall, Wall(since), self.config.clock_error);
             let ago_s = now.0 as f64 / 1e6 - at.0 as f64 / 1e6;
             tracing::info!(%zone, ago_s, "zone was fenced by the previous leader");
             self.fences.inherited.insert(zone.clone(), at);
@@ -171,10 +171,10 @@
     pub(super) fn raise_fence(&mut self, now: Time, zone: &Zone) {
         let inherited = self.fences.inherited_since(zone);
         let answered = self.fences.last_answered.get(zone).copied();
-        let at = answered.or(inherited).unwrap_or(self.began);
+        let at = answered.or(inherited).unwrap_or(self.leading_since);
         // Without an inherited fence, earlier leaders may have answered for the grace
         // period after our election.
-        let earlier = inherited.unwrap_or(self.began + self.cfg.report_grace());
+        let earlier = inherited.unwrap_or(self.leading_since + self.config.report_grace());
         let at = at.max(earlier);
         // The wall clock was read at this time or later, so the recorded time is never
         // too early.
--- a/src/sched/heartbeats.rs
+++ b/src/sched/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Answers to workers' heartbeats: which are answered, and when. An answer renews the
 //! worker's lease.
 
-use super::Sched;
+use super::Scheduler;
 use super::machine::{Machine, MachineState, SentAnswer};
 use super::report_reconciliation::{Delivery, ReportSource};
 use crate::ids::{Host, Label, ReqId, Seq, Session};
@@ -28,7 +28,7 @@
     newest: bool,
 }
 
-impl Sched {
+impl Scheduler {
     /// Handles a heartbeat, forwarded by the controller `via` unless it came directly,
     /// and answers it now or later.
     pub(super) fn handle_heartbeat(
@@ -74,7 +74,7 @@
         }
         if newest && self.should_hold_answer(now, &host, freed) {
             self.reports_held += 1;
-            self.held.insert(host, heartbeat);
+            self.held_heartbeats.insert(host, heartbeat);
         } else {
             self.answer_heartbeat(now, &host, heartbeat);
         }
@@ -89,12 +89,15 @@
     /// waiting for its answer. Returns false if a newer one is waiting: then this one
     /// is a duplicate.
     fn supersedes_waiting(&mut self, host: &Host, heartbeat: &PendingHeartbeat) -> bool {
-        let waiting = self.held.get(host).or(self.at_fence.get(host));
+        let waiting = self
+            .held_heartbeats
+            .get(host)
+            .or(self.fenced_heartbeats.get(host));
         if waiting.is_some_and(|waiting| waiting.position >= heartbeat.position) {
             return false;
         }
-        let earlier = self.held.remove(host);
-        if let Some(earlier) = earlier.or_else(|| self.at_fence.remove(host)) {
+        let earlier = self.held_heartbeats.remove(host);
+        if let Some(earlier) = earlier.or_else(|| self.fenced_heartbeats.remove(host)) {
             self.answer(
                 earlier.req,
                 Answer::later("superseded by a newer report", 1),
@@ -154,13 +157,13 @@
                 Answer::later("zone fence is still being removed", 1),
             );
         }
-        self.at_fence.insert(host.clone(), heartbeat);
+        self.fenced_heartbeats.insert(host.clone(), heartbeat);
     }
 
     /// Answers heartbeats that waited for a fence and whose zone is no longer fenced;
     /// refuses those that have waited for too long.
     pub(super) fn answer_fenced_heartbeats(&mut self, now: Time) {
-        for (host, heartbeat) in std::mem::take(&mut self.at_fence) {
+        for (host, heartbeat) in std::mem::take(&mut self.fenced_heartbeats) {
             self.answer_heartbeat(now, &host, heartbeat);
         }
     }
@@ -168,27 +171,28 @@
     /// Whether commands for this worker are expected soon: holding the answer for them
     /// saves a direct call and further heartbeats.
     fn should_hold_answer(&self, now: Time, host: &Host, freed: bool) -> bool {
-        if self.cfg.hold == Span::ZERO || !self.may_start(now) {
+        if self.config.heartbeat_hold == Span::ZERO || !self.may_start(now) {
             return false;
         }
         let able =
             |machine: &Machine| machine.state == MachineState::Up && machine.direct_call.is_none();
-        let waits = self.unsent.contains(host) || freed && !self.fleet.shortages.is_empty();
+        let waits = self.machines_with_unsent_runs.contains(host)
+            || freed && !self.fleet.shortages.is_empty();
         waits && self.machines.get(host).is_some_and(able)
     }
 
     /// Answers held heartbeats that need not or may not wait any longer; `passed`: a
     /// placement pass has just ended.
     pub(super) fn answer_held_heartbeats(&mut self, now: Time, passed: bool) {
-        let hold = self.cfg.hold;
-        let unsent = &self.unsent;
+        let hold = self.config.heartbeat_hold;
+        let unsent = &self.machines_with_unsent_runs;
         let due = |(host, heartbeat): (&Host, &PendingHeartbeat)| {
             let idle = passed && !unsent.contains(host);
             (idle || now - heartbeat.received_at >= hold).then(|| host.clone())
         };
-        let hosts: Vec<Host> = self.held.iter().filter_map(due).collect();
+        let hosts: Vec<Host> = self.held_heartbeats.iter().filter_map(due).collect();
         for host in hosts {
-            if let Some(heartbeat) = self.held.remove(&host) {
+            if let Some(heartbeat) = self.held_heartbeats.remove(&host) {
                 self.answer_heartbeat(now, &host, heartbeat);
             }
         }
@@ -197,11 +201,11 @@
     /// When the next held heartbeat must be answered.
     pub(super) fn next_held_deadline(&self) -> Option<Time> {
         let first = self
-            .held
+            .held_heartbeats
             .values()
             .map(|heartbeat| heartbeat.received_at)
             .min();
-        first.map(|since| since + self.cfg.hold)
+        first.map(|since| since + self.config.heartbeat_hold)
     }
 }
 
--- a/src/sched/reachability.rs
+++ b/src/sched/reachability.rs
@@ -13,8 +13,8 @@
 //! proven gone as usual: by a later session, by the release of the machine, or by a
 //! lease that expired since the last 200.
 
-use super::Sched;
-use super::job::{Live, Phase};
+use super::Scheduler;
+use super::job::{ActiveAttempt, Phase};
 use super::machine::{Machine, SentAnswer};
 use crate::ids::{Host, TaskId, Token};
 use crate::time::{Span, Time};
@@ -76,7 +76,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Checks whether a heartbeat shows the effect of the previous answer; `shown`: our
     /// active attempts in the heartbeat.
     pub(super) fn check_answer_effect(
@@ -123,7 +123,7 @@
     /// Whether the last answer was sent early enough to keep the worker's lease from
     /// expiring.
     fn answered_in_time(&self, now: Time, host: &Host) -> bool {
-        let lease = Span::secs(self.cfg.workers.lease_s).shrunk() - MAX_ANSWER_DELAY;
+        let lease = Span::secs(self.config.workers.lease_s).shrunk() - MAX_ANSWER_DELAY;
         let machine = self.machines.get(host);
         machine.is_some_and(|machine| now < machine.last_renewal + lease)
     }
@@ -135,12 +135,14 @@
         answer: SentAnswer,
         shown: &BTreeSet<TaskId>,
     ) -> bool {
-        let waits = |live: &Live| live.phase == Phase::Placed && live.told == Some(answer.seq);
+        let waits = |live: &ActiveAttempt| {
+            live.phase == Phase::Placed && live.run_sent_in == Some(answer.seq)
+        };
         let begun = |task: &TaskId| {
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.live.get(&task.ix));
+                .and_then(|job| job.active.get(&task.ix));
             !live.is_some_and(waits) || shown.contains(task)
         };
         let machine = self.machines.get(host);
@@ -162,7 +164,7 @@
         for task in tasks {
             if self
                 .active_attempt_mut(&task)
-                .is_some_and(|live| !live.sent)
+                .is_some_and(|live| !live.run_sent)
             {
                 self.attempt_gone(now, &task);
             }
@@ -173,7 +175,7 @@
     /// prove nothing about reachability: a flood of jobs must not make most of the
     /// fleet count as unreachable.
     pub(super) fn answers_are_timely(&self, now: Time) -> bool {
-        now - self.behind > RECOVERY_AFTER_OVERLOAD
+        now - self.overloaded_at > RECOVERY_AFTER_OVERLOAD
     }
 
     /// Whether something on the machine must end: attempts stopped or no longer ours,
@@ -187,7 +189,7 @@
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.live.get(&task.ix));
+                .and_then(|job| job.active.get(&task.ix));
             live.is_some_and(|live| live.stop.is_some() || live.phase == Phase::Placed)
         };
         let running_unknown = machine.unknown_attempts.values().any(|ended| !ended);
--- a/src/sched/recovery.rs
+++ b/src/sched/recovery.rs
@@ -15,7 +15,7 @@
 use super::job::Phase;
 use super::machine::MachineState;
 use super::place::may_run_on;
-use super::{Effect, Sched};
+use super::{Effect, Scheduler};
 use crate::ids::{CallId, Host, Session, TaskId, Token};
 use crate::time::{Span, Time};
 use crate::wire::user::Kind;
@@ -53,7 +53,7 @@
     complete: bool,
 }
 
-impl Sched {
+impl Scheduler {
     /// Probes machines that are listed as running and have not reported yet.
     pub(super) fn request_reports(&mut self, now: Time, hosts: Vec<Host>) {
         let least_room_first = |host: &Host| {
@@ -108,7 +108,7 @@
         };
         self.probes.in_flight.insert(call, now);
         self.probes.sent_count += 1;
-        self.out.push(Effect::Orders {
+        self.effects.push(Effect::Orders {
             call,
             host,
             addr,
@@ -121,7 +121,8 @@
         let machine = self.machines.get(host)?;
         // Calls to an unreachable zone would delay all others.
         let zone = &machine.zone;
-        let silent = self.watch.is_silent(zone) || self.fences.inherited_since(zone).is_some();
+        let silent =
+            self.zone_monitor.is_silent(zone) || self.fences.inherited_since(zone).is_some();
         let busy = machine.direct_call.is_some() || now < machine.no_direct_call_until;
         let known = machine.has_reported && machine.unconfirmed_token.is_none();
         machine.addr.clone().filter(|_| !silent && !busy && !known)
@@ -151,12 +152,12 @@
         };
         // The worker rejects commands of earlier leaders from now on.
         live.inherited = false;
-        live.sent = false;
-        live.told = None;
+        live.run_sent = false;
+        live.run_sent_in = None;
         live.placed = now;
         self.probes.resumed += 1;
-        self.unsent.insert(host.clone());
-        self.ready.insert(host.clone());
+        self.machines_with_unsent_runs.insert(host.clone());
+        self.machines_to_push.insert(host.clone());
         true
     }
 
@@ -170,7 +171,7 @@
             return false;
         };
         let spec = &job.spec;
-        let stopped = job.cancelled || job.closing.is_some() || job.held() || job.blocked();
+        let stopped = job.cancelled || job.closing_state.is_some() || job.held() || job.blocked();
         let anywhere = spec.kind == Kind::Array && !spec.one_zone && !spec.spread;
         let left = self.teams.remaining(&spec.team);
         let fits = machine.capacity.covers(&machine.used) && left.at_least_zero() == left;
@@ -179,7 +180,7 @@
 
     /// Logs the progress once a second until recovery is complete.
     pub(super) fn log_recovery_progress(&mut self, now: Time) {
-        let finished = self.probes.complete || now - self.began > MAX_PROGRESS_LOG_TIME;
+        let finished = self.probes.complete || now - self.leading_since > MAX_PROGRESS_LOG_TIME;
         if finished || now < self.probes.next_progress_log {
             return;
         }
@@ -188,7 +189,7 @@
         let attempts = self.attempt_progress();
         self.probes.complete = machines.heard == machines.up && attempts.unproven == 0;
         tracing::info!(
-            after_s = (now - self.began).as_secs(),
+            after_s = (now - self.leading_since).as_secs(),
             machines = machines.up,
             heard = machines.heard,
             unconfirmed = machines.unconfirmed,
@@ -198,7 +199,7 @@
             unproven = attempts.unproven,
             not_begun = attempts.not_begun,
             resumed = self.probes.resumed,
-            writes = ?self.dirty.lengths(),
+            writes = ?self.write_queue.lengths(),
             done = self.probes.complete,
             "recovering state after failover"
         );
@@ -221,7 +222,7 @@
 
     fn attempt_progress(&self) -> AttemptProgress {
         let mut progress = AttemptProgress::default();
-        for live in self.jobs.values().flat_map(|job| job.live.values()) {
+        for live in self.jobs.values().flat_map(|job| job.active.values()) {
             match live.phase {
                 Phase::Placed if live.inherited => progress.unproven += 1,
                 Phase::Placed => progress.not_begun += 1,
--- a/src/sched/report_reconciliation.rs
+++ b/src/sched/report_reconciliation.rs
@@ -3,10 +3,10 @@
 //! Whether and when a report is answered is decided in `heartbeats`.
 
 use super::dependencies::ParentOutcome;
-use super::job::{Live, Phase, Stop};
+use super::job::{ActiveAttempt, Phase, Stop};
 use super::machine::{Machine, MachineState};
 use super::reachability::SessionChange;
-use super::{Sched, estimate};
+use super::{Scheduler, estimate};
 use crate::ids::{Attempt, Host, JobId, Seq, Session, TaskId, TaskIx};
 use crate::time::{Span, Time};
 use crate::wire::user::Kind;
@@ -100,7 +100,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Applies a report. Returns false if a newer one has been applied already.
     pub(super) fn apply_report(
         &mut self,
@@ -150,7 +150,7 @@
         machine.session_confirmed |= sent_under_this_leader;
         machine.existence_confirmed |= sent_under_this_leader;
         machine.update_from_report(now, report, source);
-        if let Some(flavor) = self.flavors.get(&machine.build) {
+        if let Some(flavor) = self.machine_types.get(&machine.build) {
             machine.set_machine_type(flavor);
         }
         if !machine.has_reported || session != SessionChange::Same {
@@ -202,9 +202,9 @@
         if proven {
             machine.unconfirmed_token = None;
         }
-        let ended = |live: &&mut Live| {
+        let ended = |live: &&mut ActiveAttempt| {
             let seen = !live.inherited || live.phase != Phase::Placed;
-            live.sent && (proven || seen)
+            live.run_sent && (proven || seen)
         };
         let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         for task in tasks {
@@ -216,8 +216,8 @@
     }
 
     /// The active attempt of a task, if any.
-    pub(super) fn active_attempt_mut(&mut self, task: &TaskId) -> Option<&mut Live> {
-        self.jobs.get_mut(&task.job)?.live.get_mut(&task.ix)
+    pub(super) fn active_attempt_mut(&mut self, task: &TaskId) -> Option<&mut ActiveAttempt> {
+        self.jobs.get_mut(&task.job)?.active.get_mut(&task.ix)
     }
 
     /// Applies the report of one task. Returns true if it is an active attempt of ours
@@ -246,7 +246,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get_mut(&task.ix) else {
+        let Some(live) = job.active.get_mut(&task.ix) else {
             return;
         };
         let changed = live.phase != phase;
@@ -257,7 +257,7 @@
         if !changed {
             return;
         }
-        self.dirty.changed.insert(task.job.clone());
+        self.write_queue.changed.insert(task.job.clone());
         let fetched = matches!(phase, Phase::Waiting | Phase::Running);
         if fetched && let Some(machine) = self.machines.get_mut(host) {
             machine.note_image_use(&job.spec.image, job.spec.image_gb);
@@ -269,7 +269,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get_mut(&task.ix) else {
+        let Some(live) = job.active.get_mut(&task.ix) else {
             return;
         };
         // An attempt of an earlier leader may have been running for long: the recorded
@@ -277,7 +277,7 @@
         let since = if live.inherited { live.placed } else { now };
         live.running_since = Some(since);
         let after_s = (now - live.placed).as_secs();
-        let waited_s = (now - job.ready).as_secs();
+        let waited_s = (now - job.ready_since).as_secs();
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         tracing::debug!(%task, class = %job.spec.class, %host, after_s, waited_s, %image, gb, "running");
         let first_of_job = job.history.first_start().is_none();
@@ -289,7 +289,7 @@
         {
             allocation.start = since;
         }
-        self.note_limit(task, since);
+        self.track_time_limit(task, since);
         if first_of_job {
             self.record_job_event(now, &task.job, Started);
             self.announce(&task.job, ParentOutcome::Started);
@@ -357,23 +357,23 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let live = job.live.remove(&task.ix);
+        let live = job.active.remove(&task.ix);
         let inherited = live.as_ref().is_some_and(|live| live.inherited);
         if let Some(live) = &live {
-            job.account(now, live, true, false);
+            job.record_usage(now, live, true, false);
             job.history.note(JobEvent::Done, self.wall.into());
         }
-        job.attempts.done(task.ix.0);
+        job.failure_counts.done(task.ix.0);
         job.set_done(task.ix);
         job.errors = 0;
         if let Some(since) = running_since.filter(|_| !inherited) {
-            job.learn_runtime((now - since).as_secs());
+            job.record_runtime((now - since).as_secs());
             if job.runtimes.len() == estimate::MIN_FINISHED_TASKS {
                 self.refresh_estimates(&task.job);
             }
         }
         self.note_progress(&task.job, task.ix);
-        self.finish_if_over(&task.job);
+        self.finish_if_complete(&task.job);
     }
 
     /// An attempt that was presumed lost had in fact completed: its task need not run
@@ -383,23 +383,23 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let waits = job.closing.is_none() && !job.cancelled && job.awaits_start(task.ix);
+        let waits = job.closing_state.is_none() && !job.cancelled && job.is_startable(task.ix);
         if job.spec.kind != Kind::Array || !waits {
             return;
         }
         tracing::debug!(%task, attempt = %report.attempt, "task completed by an attempt presumed lost");
         job.history.note(JobEvent::Done, self.wall.into());
-        job.attempts.done(task.ix.0);
+        job.failure_counts.done(task.ix.0);
         job.set_done(task.ix);
         self.note_progress(&task.job, task.ix);
-        self.finish_if_over(&task.job);
+        self.finish_if_complete(&task.job);
     }
 
     /// Updates the runtime estimate of the job's running tasks.
     fn refresh_estimates(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let estimate = estimate::of(job);
-        for (ix, live) in &job.live {
+        for (ix, live) in &job.active {
             let task = TaskId {
                 job: id.clone(),
                 ix: *ix,
@@ -414,11 +414,11 @@
 
     /// Releases the attempt's resources on the machine and its share of the team quota.
     fn release_allocation(&mut self, now: Time, task: &TaskId) {
-        self.books.task_ended(task);
+        self.service_shares.task_ended(task);
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.live.get(&task.ix) else {
+        let Some(live) = job.active.get(&task.ix) else {
             return;
         };
         self.teams.subtract(&job.spec.team, &job.need);
@@ -451,10 +451,10 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.live.remove(&task.ix) else {
+        let Some(live) = job.active.remove(&task.ix) else {
             return;
         };
-        job.account(now, &live, false, kept);
+        job.record_usage(now, &live, false, kept);
         if let Some(failure) = failure {
             self.note_failure(now, task, &live, failure);
         }
@@ -466,10 +466,10 @@
             // reported.
             job.set_done(task.ix);
         }
-        job.put_back(task.ix);
+        job.requeue(task.ix);
         self.gang_member_lost(now, &task.job);
         self.note_progress(&task.job, task.ix);
-        self.finish_if_over(&task.job);
+        self.finish_if_complete(&task.job);
     }
 
     /// Handles attempts that are missing from a newer report.
@@ -506,8 +506,8 @@
                 // Stopped before it was seen: gone once no command that may still be
                 // executed could start it.
                 (Phase::Placed, Some(_)) => {
-                    let answered = live.told.is_none_or(|told| told < seq);
-                    !live.sent
+                    let answered = live.run_sent_in.is_none_or(|told| told < seq);
+                    !live.run_sent
                         || (no_command_pending && source == ReportSource::Heartbeat && answered)
                 }
                 _ => no_command_pending,
@@ -579,24 +579,24 @@
     ) -> Option<Order> {
         let answers = delivery != Delivery::DirectCall;
         let job = self.jobs.get(&task.job)?;
-        let stored = job.parts[job.part_of(task.ix)].stored;
+        let stored = job.parts[job.part_of(task.ix)].stored_version;
         let live = self.active_attempt_mut(&task)?;
         let attempt = live.attempt;
         match (live.phase, live.stop) {
             (Phase::Placed, None) => {
-                if live.inherited || !may_run || stored < live.ver {
+                if live.inherited || !may_run || stored < live.required_version {
                     return None;
                 }
-                live.sent = true;
+                live.run_sent = true;
                 if answers {
-                    live.told = Some(seq);
+                    live.run_sent_in = Some(seq);
                 }
                 Some(Order::Run { task, attempt })
             }
             // The attempt may start between this report and the answer, so an answer
             // that renews the lease must repeat every stop. A direct call renews no
             // lease.
-            (Phase::Placed, Some(_)) if !(answers && live.sent) => None,
+            (Phase::Placed, Some(_)) if !(answers && live.run_sent) => None,
             (_, Some(stop)) => Some(Order::Kill {
                 task,
                 attempt,
@@ -612,7 +612,7 @@
             // The record of its outcome can't be read.
             None if self.unreadable.contains_key(&task.job) => false,
             Some(job) if task.ix.0 < job.spec.tasks => {
-                job.closing.is_none() && job.part_stored(task.ix)
+                job.closing_state.is_none() && job.part_stored(task.ix)
             }
             _ => true,
         }
@@ -629,7 +629,7 @@
         let Some(live) = self.active_attempt_mut(&task) else {
             return;
         };
-        if !live.sent {
+        if !live.run_sent {
             return self.attempt_gone(now, &task);
         }
         live.stop = Some(Stop { leeway_s });
@@ -637,6 +637,6 @@
         if not_seen {
             self.invalidate_call(&host);
         }
-        self.ready.insert(host);
+        self.machines_to_push.insert(host);
     }
 }
--- /dev/null
+++ b/src/sched/requests.rs
@@ -0,0 +1,375 @@
+//! Requests of users: submissions, polls and cancellations.
+
+use super::Scheduler;
+use super::admission::too_many_dependencies;
+use super::dependencies::ParentOutcome;
+use super::job::{Final, Job, ReplyKind};
+use super::records::Purpose;
+use crate::ids::{JobId, ReqId};
+use crate::time::{Span, Time};
+use crate::wire::peer::{Answer, Ask};
+use crate::wire::user::{JobSpec, JobState, JobView};
+use hookworks_fairness::JobEvent;
+
+/// Reads of final states on behalf of requests, since the leadership began.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
+pub struct LookUpCounts {
+    /// Reads that were sent.
+    pub sent: u64,
+    /// Reads that got no response from the state service.
+    pub failed: u64,
+    /// Requests rejected because too many reads were in flight.
+    pub too_many: u64,
+    /// Polls rejected because their share of the state service's request quota was used up.
+    pub over_budget: u64,
+}
+
+/// Maximum delay of the next placement pass after a submission.
+const MAX_SUBMISSION_DELAY: Span = Span(10_000);
+/// Maximum reads of old final states in flight.
+const MAX_FINAL_READS: usize = 64;
+
+pub(super) fn job_view_json(id: &JobId, state: JobState, done: u32, running: u32) -> String {
+    let v = JobView {
+        id: id.clone(),
+        state,
+        done,
+        running,
+    };
+    serde_json::to_string(&v).unwrap_or_default()
+}
+
+fn final_response(id: &JobId, f: Final) -> Answer {
+    Answer::new(200, job_view_json(id, f.state, f.done, 0))
+}
+
+/// The response for a final state that was read from the store.
+pub fn answer_final(id: &JobId, f: Final) -> Answer {
+    final_response(id, f)
+}
+
+impl Scheduler {
+    pub(super) fn handle_request(&mut self, now: Time, req: ReqId, ask: Ask) {
+        match ask {
+            Ask::Report(body) => self.handle_heartbeat(now, req, &body, None),
+            Ask::Submit(body) => match JobSpec::parse(&body) {
+                Ok(spec) => self.submit(now, req, spec, body),
+                Err(e) => self.answer(req, Answer::error(400, &e)),
+            },
+            Ask::Poll(id) => self.poll(now, req, id.as_str().into()),
+            Ask::Cancel(id) => self.cancel(now, req, id.as_str().into()),
+            Ask::Hold(id, body) => self.hold(now, req, id.as_str().into(), body),
+            Ask::Release(id, body) => self.release(now, req, id.as_str().into(), body),
+            // Lists are served elsewhere, from the published lines.
+            Ask::List(_) | Ask::Events(_) => self.answer(req, Answer::error(404, "no such path")),
+            Ask::Show(id) => self.show_job(now, req, id.as_str().into()),
+        }
+    }
+
+    pub(super) fn answer_unconfirmed(&mut self, req: ReqId) {
+        let text = "leadership is not proven at the moment";
+        self.answer(req, Answer::later(text, 1));
+    }
+
+    fn submit(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
+        let id = spec.id.clone();
+        if let Some(f) = self.finals.get(&id) {
+            let f = *f;
+            return self.answer(req, final_response(&id, f));
+        }
+        if let Some(a) = self.cancelled_for_ever(&id) {
+            return self.answer(req, a);
+        }
+        if let Some(state) = self.unreadable.get(&id).filter(|_| self.may_start(now)) {
+            // It was certainly accepted once.
+            let a = Answer::new(200, job_view_json(&id, *state, 0, 0));
+            return self.answer(req, a);
+        }
+        if let Some(j) = self.jobs.get_mut(&id) {
+            if j.parts[0].stored_version == 0 && j.parts[0].version > 0 {
+                let ver = j.parts[0].version;
+                j.waiters.push((ver, req, ReplyKind::Known));
+                return;
+            }
+            if !self.may_start(now) {
+                return self.answer_unconfirmed(req);
+            }
+            return self.answer_active(req, &id);
+        }
+        if !self.may_start(now) {
+            return self.answer_unconfirmed(req);
+        }
+        if self.look_up_referenced(now, req, &spec, &body) {
+            return;
+        }
+        self.submit_resolved(now, req, spec, body);
+    }
+
+    /// Continues a submission once the jobs that it names are known.
+    pub(super) fn submit_resolved(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
+        let id = spec.id.clone();
+        // A repeated submission must never get 400 or 422, so a submission that would be
+        // rejected is rejected only after reading whether the job has already finished.
+        match self.unsatisfiable(&spec) {
+            Err(e) => {
+                self.service_shares
+                    .record(now, &spec.class, &spec.team, JobEvent::Refused);
+                return self.answer(req, Answer::later(&e, 1));
+            }
+            Ok(Some(_)) => return self.look_up_final(now, req, id, Ask::Submit(body)),
+            Ok(None) => {}
+        }
+        if self.jobs.len() >= self.config.max_jobs {
+            self.service_shares
+                .record(now, &spec.class, &spec.team, JobEvent::Refused);
+            return self.answer(req, Answer::later("too many unfinished jobs", 10));
+        }
+        let mut job = self.new_job(now, spec);
+        if self.has_too_many_dependencies(&job) {
+            return self.answer(req, too_many_dependencies());
+        }
+        if self.too_large(&job) {
+            return self.look_up_final(now, req, id, Ask::Submit(body));
+        }
+        self.next_seq += 1;
+        // Written after the next pass, so that one write holds the job and its first starts.
+        job.parts[0].version = 1;
+        job.waiters.push((1, req, ReplyKind::Accept));
+        self.newly_accepted.push(id.clone());
+        // Its user waits, so the next pass comes soon.
+        self.next_pass_at = self.next_pass_at.min(now + MAX_SUBMISSION_DELAY);
+        let needs_none = job.needs.is_empty();
+        self.jobs.insert(id.clone(), job);
+        if needs_none {
+            self.note_ready_to_run(now, &id);
+        }
+        self.register_dependencies(now, &id);
+        self.replan = true;
+    }
+
+    fn answer_active(&mut self, req: ReqId, id: &JobId) {
+        if !self.ancestors_known(id) {
+            return self.answer(
+                req,
+                Answer::later("the job's dependencies are being looked up", 1),
+            );
+        }
+        if let Some(j) = self.jobs.get_mut(id) {
+            // Readers of the state service may already have returned the final state, so any
+            // other response could be older. The outcome is known shortly.
+            if j.unresolved_final_writes > 0 {
+                return j.waiters.push((u64::MAX, req, ReplyKind::Known));
+            }
+            // Only stored state is returned: any other could be lost.
+            if j.cancelled && j.parts[0].stored_version < j.cancel_version {
+                return self.answer(req, Answer::later("the job is being cancelled", 1));
+            }
+            // `done` is returned only once it is stored as the final state.
+            let a = Answer::new(200, job_view_json(id, j.state(), j.done_count, j.running()));
+            self.answer(req, a);
+        }
+    }
+
+    /// Answers requests for final states, which needs no valid lease, and rejects others
+    /// while the lease is not confirmed.
+    fn answer_final_or_unconfirmed(&mut self, now: Time, req: ReqId, id: &JobId) -> bool {
+        if let Some(f) = self.finals.get(id) {
+            let f = *f;
+            self.answer(req, final_response(id, f));
+        } else if let Some(a) = self.cancelled_for_ever(id) {
+            self.answer(req, a);
+        } else if !self.may_start(now) {
+            self.answer_unconfirmed(req);
+        } else {
+            return false;
+        }
+        true
+    }
+
+    fn poll(&mut self, now: Time, req: ReqId, id: JobId) {
+        if self.answer_final_or_unconfirmed(now, req, &id) {
+            return;
+        }
+        if let Some(state) = self.unreadable.get(&id) {
+            // Any other response would let users conclude that the job was lost.
+            let a = Answer::new(200, job_view_json(&id, *state, 0, 0));
+            return self.answer(req, a);
+        }
+        match self.jobs.get(&id) {
+            Some(j) if j.parts[0].stored_version == 0 && j.parts[0].version > 0 => {
+                self.answer(req, Answer::later("the job is being stored", 1));
+            }
+            Some(_) => self.answer_active(req, &id),
+            None => self.look_up_final(now, req, id.clone(), Ask::Poll(id.to_string())),
+        }
+    }
+
+    fn cancel(&mut self, now: Time, req: ReqId, id: JobId) {
+        if self.answer_final_or_unconfirmed(now, req, &id) {
+            return;
+        }
+        if let Some(state) = self.unreadable.get(&id) {
+            let a = match state {
+                JobState::Cancelled => Answer::new(200, job_view_json(&id, *state, 0, 0)),
+                _ => Answer::later("the job's record can't be read", 30),
+            };
+            return self.answer(req, a);
+        }
+        let Some(j) = self.jobs.get_mut(&id) else {
+            return self.look_up_final(now, req, id.clone(), Ask::Cancel(id.to_string()));
+        };
+        if j.closing_state.is_some() {
+            j.waiters.push((u64::MAX, req, ReplyKind::Cancel));
+            return;
+        }
+        if !j.cancelled {
+            j.cancelled = true;
+            let ver = j.mark_changed(0, &mut self.write_queue, Purpose::Now);
+            j.cancel_version = ver;
+            j.waiters.push((ver, req, ReplyKind::Cancel));
+            self.stop_all(now, &id);
+            self.finish_if_complete(&id);
+            self.withdraw_from_parents(&id);
+            self.replan = true;
+        } else if j.parts[0].stored_version >= j.cancel_version {
+            let a = Answer::new(
+                200,
+                job_view_json(&id, JobState::Cancelled, j.done_count, 0),
+            );
+            self.answer(req, a);
+        } else {
+            let ver = j.cancel_version;
+            j.waiters.push((ver, req, ReplyKind::Cancel));
+        }
+    }
+
+    /// Stops all attempts of the job; those whose `run` was never sent end at once.
+    pub(super) fn stop_all(&mut self, now: Time, id: &JobId) {
+        let tasks: Vec<_> = match self.jobs.get(id) {
+            Some(j) => j.active.keys().copied().collect(),
+            None => return,
+        };
+        for t in tasks {
+            self.stop_attempt(now, id, t, 0.0);
+        }
+    }
+
+    pub(super) fn look_up_final(&mut self, now: Time, req: ReqId, id: JobId, ask: Ask) {
+        // No job with a malformed id can ever have been accepted.
+        if !JobId::well_formed(id.as_str()) {
+            return self.answer(req, Answer::error(404, "no such job"));
+        }
+        if self.pending_final_reads.len() >= MAX_FINAL_READS {
+            self.lookup_counts.too_many += 1;
+            return self.answer(req, Answer::later("too many look-ups at a time", 1));
+        }
+        let first = !self.pending_final_reads.contains_key(&id);
+        // Polls get a bounded share of the state service's request quota. Otherwise they
+        // could use up all of it, and every request would be refused for a while, lease
+        // renewals among them.
+        if first && matches!(ask, Ask::Poll(_)) {
+            if !self.poll_budget.has(now, 1.0) {
+                self.lookup_counts.over_budget += 1;
+                return self.answer(req, Answer::later("too many look-ups at a time", 1));
+            }
+            self.poll_budget.take(now, 1.0);
+        }
+        self.pending_final_reads
+            .entry(id.clone())
+            .or_default()
+            .push((req, ask));
+        if first {
+            self.lookup_counts.sent += 1;
+            self.read_final(&id);
+        }
+    }
+
+    pub(super) fn final_read(&mut self, now: Time, id: JobId, r: Result<Option<Final>, ()>) {
+        let asked = self.pending_final_reads.remove(&id).unwrap_or_default();
+        self.lookup_counts.failed += r.is_err() as u64;
+        // A slow read says nothing about jobs that have finished since it was sent.
+        let r = match self.finals.get(&id) {
+            Some(f) => Ok(Some(*f)),
+            None => r,
+        };
+        match r {
+            Ok(Some(f)) => {
+                self.cache_final(&id, f);
+                self.announce(&id, ParentOutcome::Over(f.state));
+            }
+            Ok(None) => self.parent_is_absent(&id),
+            Err(()) => {}
+        }
+        for (req, ask) in asked {
+            let a = match (&r, &ask) {
+                (Err(()), _) => Answer::later("the state service does not answer", 1),
+                (Ok(Some(f)), Ask::Hold(..) | Ask::Release(..)) => {
+                    Answer::new(409, job_view_json(&id, f.state, f.done, 0))
+                }
+                (Ok(Some(f)), _) => final_response(&id, *f),
+                (Ok(None), _) if !self.may_start(now) => {
+                    self.answer_unconfirmed(req);
+                    continue;
+                }
+                (Ok(None), _) if self.jobs.contains_key(&id) => {
+                    Answer::later("the job is being stored", 1)
+                }
+                (Ok(None), Ask::Submit(body)) => self.refusal_answer(now, body),
+                (Ok(None), _) => Answer::error(404, "no such job"),
+            };
+            self.answer(req, a);
+        }
+    }
+
+    pub(super) fn answer_waiters(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        ready: Vec<(u64, ReqId, ReplyKind)>,
+    ) {
+        for (_, req, what) in ready {
+            // A cancellation is final. Any other stored state may be out of date: a leader
+            // that had been paused once answered `queued` for a job that was done by then.
+            if what != ReplyKind::Cancel && !self.may_start(now) {
+                self.answer_unconfirmed(req);
+                continue;
+            }
+            let (status, state) = match what {
+                ReplyKind::Accept => (201, JobState::Queued),
+                ReplyKind::Known => (200, JobState::Queued),
+                ReplyKind::Cancel => (200, JobState::Cancelled),
+                ReplyKind::Hold(held) => {
+                    let a = self.hold_answer(id, held);
+                    self.answer(req, a);
+                    continue;
+                }
+            };
+            let cancelled = self.jobs.get(id).is_some_and(Job::cancellation_stored);
+            let state = if cancelled {
+                JobState::Cancelled
+            } else {
+                state
+            };
+            self.answer(req, Answer::new(status, job_view_json(id, state, 0, 0)));
+        }
+    }
+
+    /// `new`: nobody knew the job before this write.
+    pub(super) fn answer_waiters_final(
+        &mut self,
+        id: &JobId,
+        waiters: Vec<(u64, ReqId, ReplyKind)>,
+        f: Final,
+        new: bool,
+    ) {
+        for (_, req, what) in waiters {
+            let mut a = final_response(id, f);
+            match what {
+                ReplyKind::Hold(_) => a.status = 409,
+                ReplyKind::Accept if new => a.status = 201,
+                _ => {}
+            }
+            self.answer(req, a);
+        }
+    }
+}
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -4,9 +4,9 @@
 //! usual.
 
 use super::fleet::boot_timeout;
-use super::job::{Job, Live, Phase};
+use super::job::{ActiveAttempt, Job, Phase};
 use super::machine::{Machine, MachineState};
-use super::{Config, Resources, Sched, estimate};
+use super::{Config, Resources, Scheduler, estimate};
 use crate::ids::{Host, Label, TaskId, Zone};
 use crate::time::{Span, Time};
 use crate::wire::user::{Kind, Priority};
@@ -94,7 +94,7 @@
     }
 }
 
-impl Sched {
+impl Scheduler {
     /// Collects new evidence for all zones and acts on it.
     pub(super) fn update_zones(&mut self, now: Time) {
         // A leader that can't prove its leadership may be partitioned itself.
@@ -102,17 +102,17 @@
             return;
         }
         let evidence = self.collect_evidence(now);
-        for change in self.watch.zones.update(now, evidence) {
+        for change in self.zone_monitor.zones.update(now, evidence) {
             self.zone_changed(now, &change);
         }
-        if !self.watch.act_on_verdicts {
+        if !self.zone_monitor.act_on_verdicts {
             return;
         }
-        if self.watch.zones.any_unhealthy() || self.machines.values().any(|m| m.closed) {
+        if self.zone_monitor.zones.any_unhealthy() || self.machines.values().any(|m| m.closed) {
             self.close_and_reopen_machines(now);
         }
-        if now >= self.watch.next_plan_at {
-            self.watch.next_plan_at = now + PLAN_INTERVAL;
+        if now >= self.zone_monitor.next_plan_at {
+            self.zone_monitor.next_plan_at = now + PLAN_INTERVAL;
             self.release_from_lost_zones(now);
         }
     }
@@ -122,36 +122,36 @@
         tracing::info!(zone = %change.zone, from = change.from.as_str(), to = change.to.as_str(),
             lasted_s = change.previous_duration.as_secs(), machines = evidence.machines, overdue = evidence.overdue,
             controllers = evidence.controllers, away = evidence.unreachable_controllers, unanswered = evidence.failed_calls,
-            late_boots = evidence.overdue_boots, tally = ?self.watch.tally.get(&change.zone), "zone state changed");
+            late_boots = evidence.overdue_boots, tally = ?self.zone_monitor.tally.get(&change.zone), "zone state changed");
         if change.to == State::Doubt && change.from == State::Well {
-            self.watch
+            self.zone_monitor
                 .tally
                 .insert(change.zone.clone(), Tally::default());
         }
-        let quiet = self.watch.zones.limits().quiet_after;
+        let quiet = self.zone_monitor.zones.limits().quiet_after;
         let heard = evidence.last_heard.is_some_and(|at| now - at < quiet);
-        if self.watch.act_on_verdicts && change.to.silent() && !heard {
+        if self.zone_monitor.act_on_verdicts && change.to.silent() && !heard {
             self.raise_fence(now, &change.zone);
         }
         self.replan = true;
     }
 
     fn collect_evidence(&mut self, now: Time) -> BTreeMap<Zone, Evidence> {
-        let overdue_after = self.watch.zones.limits().overdue_after();
+        let overdue_after = self.zone_monitor.zones.limits().overdue_after();
         let mut all: BTreeMap<Zone, Evidence> = BTreeMap::new();
-        for machine_type in self.flavors.values() {
+        for machine_type in self.machine_types.values() {
             for zone in &machine_type.zones {
                 all.entry(zone.clone()).or_default();
             }
         }
-        for (label, zone) in &self.watch.controllers {
+        for (label, zone) in &self.zone_monitor.controllers {
             let evidence = all.entry(zone.clone()).or_default();
             evidence.controllers += 1;
             let since = self.fleet.unreachable_controllers.get(label);
             evidence.unreachable_controllers +=
                 since.is_some_and(|t| now - *t < Span::secs(1.0)) as u32;
         }
-        for (zone, failed) in std::mem::take(&mut self.watch.failed_calls) {
+        for (zone, failed) in std::mem::take(&mut self.zone_monitor.failed_calls) {
             all.entry(zone).or_default().failed_calls += failed;
         }
         for machine in self.machines.values() {
@@ -171,10 +171,13 @@
                 MachineState::Up => {
                     evidence.machines += 1;
                     evidence.reported += machine.last_report.is_some() as u32;
-                    let outage = self.watch.zones.last_heard_before_outage(&machine.zone);
+                    let outage = self
+                        .zone_monitor
+                        .zones
+                        .last_heard_before_outage(&machine.zone);
                     evidence.returned += outage.is_some_and(|t| machine.last_contact > t) as u32;
                     evidence.last_heard = evidence.last_heard.max(machine.last_report);
-                    if now - machine.last_contact.max(self.awake) > overdue_after {
+                    if now - machine.last_contact.max(self.resumed_at) > overdue_after {
                         evidence.overdue += 1;
                         evidence.overdue_last_heard = Some(match evidence.overdue_last_heard {
                             None => (machine.last_contact, machine.last_contact),
@@ -193,14 +196,17 @@
 
     /// Whether the machine has exceeded its boot timeout.
     fn is_boot_overdue(&self, now: Time, machine: &Machine) -> bool {
-        let boot = self.flavors.get(&machine.build).map_or(60.0, |f| f.boot_s);
+        let boot = self
+            .machine_types
+            .get(&machine.build)
+            .map_or(60.0, |f| f.boot_s);
         now - machine.rented_at > boot_timeout(boot)
     }
 
     /// Closes machines of zones in an outage for new tasks, and gradually reopens those
     /// of a returning zone as they are heard.
     fn close_and_reopen_machines(&mut self, now: Time) {
-        let zones = &self.watch.zones;
+        let zones = &self.zone_monitor.zones;
         // The most machines that may be open in each returning zone.
         let mut max_open: BTreeMap<&Zone, usize> = BTreeMap::new();
         for machine in self
@@ -253,7 +259,7 @@
             // It could not take tasks while it was closed, so its idle time starts now.
             machine.idle_since = now;
             let (zone, count) = (machine.zone.clone(), machine.allocations.len() as u64);
-            self.watch.tally.entry(zone).or_default().returned += count;
+            self.zone_monitor.tally.entry(zone).or_default().returned += count;
             self.replan = true;
         }
         for host in closed {
@@ -272,7 +278,7 @@
         for task in tasks {
             if self
                 .active_attempt_mut(&task)
-                .is_some_and(|live| !live.sent)
+                .is_some_and(|live| !live.run_sent)
             {
                 self.attempt_gone(now, &task);
             }
@@ -282,7 +288,7 @@
     /// Releases machines of lost zones whose tasks are better restarted elsewhere,
     /// within the free capacity there.
     fn release_from_lost_zones(&mut self, now: Time) {
-        let zones = &self.watch.zones;
+        let zones = &self.zone_monitor.zones;
         let lost: Vec<(Zone, Span)> = zones
             .views(now)
             .into_iter()
@@ -324,7 +330,7 @@
                 machine.state = MachineState::Leaving { next: now };
                 tracing::info!(%host, %zone, tasks = machine.allocations.len(), "releasing machine of a lost zone to restart its tasks elsewhere");
             }
-            let tally = self.watch.tally.entry(zone).or_default();
+            let tally = self.zone_monitor.tally.entry(zone).or_default();
             tally.moved += moved;
         }
     }
@@ -333,7 +339,7 @@
         let lease = self.lease_bound();
         let at_risk = |task: &TaskId| {
             let job = self.jobs.get(&task.job)?;
-            let live = job.live.get(&task.ix)?;
+            let live = job.active.get(&task.ix)?;
             Some(self.attempt_at_risk(now, machine, job, live))
         };
         LostMachine {
@@ -349,7 +355,7 @@
         now: Time,
         machine: &Machine,
         job: &Job,
-        live: &Live,
+        live: &ActiveAttempt,
     ) -> AttemptAtRisk {
         let machine_share = job.need.dominant_share_of(&machine.capacity);
         let estimate_total = estimate::of(job);
@@ -368,8 +374,8 @@
         let gang = job.spec.kind == Kind::Gang;
         // A gang runs only as a whole: one that has lost a member or is being stopped
         // only waits for proof that the other members have ended.
-        let complete = job.live.len() as u32 == job.spec.tasks
-            && job.live.values().all(|live| live.stop.is_none());
+        let complete = job.active.len() as u32 == job.spec.tasks
+            && job.active.values().all(|live| live.stop.is_none());
         let kind = match job.spec.kind {
             Kind::Service => AttemptKind::Replica,
             Kind::Gang if !complete || live.stop.is_some() => AttemptKind::BrokenGang,
@@ -411,7 +417,7 @@
             free += machine.free().at_least_zero();
             total += machine.capacity;
             open_machines += 1;
-            let soon = Span::secs(self.boot_s(&machine.build) * self.cfg.tuning.wait_share);
+            let soon = Span::secs(self.boot_s(&machine.build) * self.config.tuning.wait_share);
             horizon = horizon.max(soon);
             for (task, allocation) in &machine.allocations {
                 if allocation.remaining(now) < soon {
@@ -440,20 +446,21 @@
     /// The longest time from an answer to a heartbeat until the worker's lease has
     /// expired.
     pub(super) fn lease_bound(&self) -> Span {
-        self.cfg.workers.lease_bound()
+        self.config.workers.lease_bound()
     }
 
     /// Whether silent machines of this zone are kept: during an outage, for as long as
     /// renting replacements would cost more.
     pub(super) fn retains_zone(&self, now: Time, zone: &Zone) -> bool {
-        let retain_for = self.watch.zones.limits().retain_for;
-        self.watch.is_silent(zone) && self.watch.zones.silent_for(now, zone) < retain_for
+        let retain_for = self.zone_monitor.zones.limits().retain_for;
+        self.zone_monitor.is_silent(zone)
+            && self.zone_monitor.zones.silent_for(now, zone) < retain_for
     }
 
     /// The zones whose silent machines are kept.
     pub(super) fn retained_zones(&self, now: Time) -> HashSet<Zone> {
         let all = self
-            .watch
+            .zone_monitor
             .zones
             .views(now)
             .into_iter()
@@ -483,7 +490,7 @@
             }
             counted.shut += machine.closed as u32;
             counted.tasks += machine.allocations.len();
-            if self.watch.is_silent(&machine.zone) {
+            if self.zone_monitor.is_silent(&machine.zone) {
                 counted.tasks_out_of_reach += machine.allocations.len();
             }
         }
@@ -495,10 +502,10 @@
         let entry_of = |view: hookworks_zones::View| {
             let mut entry = serde_json::json!(view);
             entry["work"] = serde_json::json!(counts.get(&view.zone));
-            entry["since_trouble"] = serde_json::json!(self.watch.tally.get(&view.zone));
+            entry["since_trouble"] = serde_json::json!(self.zone_monitor.tally.get(&view.zone));
             entry
         };
-        self.watch
+        self.zone_monitor
             .zones
             .views(now)
             .into_iter()
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -31,14 +31,14 @@
     d.submit(&job(1, 1));
     let v = d.s.jobs[&JobId::from(JOB)].encode(0);
     let j = Job::decode(&v, Time(d.now), Wall(DAY)).unwrap();
-    assert_eq!(j.live.len(), 1);
+    assert_eq!(j.active.len(), 1);
     j
 }
 
 /// How long a new leader waits until the task is proven gone, in seconds.
 fn seconds_until_gone(mut d: Desk) -> f64 {
     let from = d.now;
-    while !d.s.jobs[&JobId::from(JOB)].live.is_empty() {
+    while !d.s.jobs[&JobId::from(JOB)].active.is_empty() {
         d.wait(0.5);
         assert!(d.now - from < 90_000_000, "never proven gone");
     }
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -68,10 +68,10 @@
     // lease has expired or a later session is reported.
     d.beat(&report(2, 1, Token(0)));
     assert_eq!(
-        d.s.jobs[&"job-000003".into()].live[&TaskIx(0)].host,
+        d.s.jobs[&"job-000003".into()].active[&TaskIx(0)].host,
         host(2)
     );
-    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].live[&TaskIx(0)].host == host(1);
+    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].active[&TaskIx(0)].host == host(1);
     assert!(there(&d));
     let mut r = report_with_running_task(seq, a);
     r.session = Session(2);
@@ -126,7 +126,7 @@
     d.hear = false;
     d.submit(&job(2, 1));
     for seq in 4..9 {
-        d.event(Event::Behind);
+        d.event(Event::Overloaded);
         d.wait(3.0);
         assert!(d.beat(&report_with_running_task(seq, a)).is_some());
     }
@@ -135,7 +135,7 @@
     let (mut d, a) = with_running_task();
     let seq = become_unreachable(&mut d, a);
     assert!(d.beat(&report_with_running_task(seq, a)).is_none());
-    d.event(Event::Behind);
+    d.event(Event::Overloaded);
     assert!(d.beat(&report_with_running_task(seq + 1, a)).is_some());
 }
 
@@ -204,7 +204,7 @@
     let a = d.attempt(JOB, 0).unwrap();
     let j = &d.s.jobs[&JOB.into()];
     let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
-    (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+    (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
     let mut d = Desk::with(6, vec![j]);
     d.refuses = true;
     (d, a)
@@ -298,9 +298,9 @@
         for n in 2..20 {
             let away = if alone { vec!["b", "c"] } else { vec!["b"] };
             let away = away.into_iter().map(Label::from).collect();
-            d.event(Event::OutOfReach(away));
+            d.event(Event::Unreachable(away));
             if busy {
-                d.event(Event::Behind);
+                d.event(Event::Overloaded);
             }
             d.wait(0.5);
             let proven = d.s.may_start(Time(d.now));
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -403,11 +403,14 @@
     w.run(45.0);
     // The spread rule forbids placing the other half: it waits and preempts nothing.
     let s = w.sched(w.leader().unwrap());
-    assert_eq!(s.jobs[&service.id].live.len(), 3);
+    assert_eq!(s.jobs[&service.id].active.len(), 3);
     w.assert_rules();
     w.set_zone(lost, Link::Open);
     w.run(30.0);
-    assert_eq!(w.sched(w.leader().unwrap()).jobs[&service.id].live.len(), 6);
+    assert_eq!(
+        w.sched(w.leader().unwrap()).jobs[&service.id].active.len(),
+        6
+    );
     w.user(Ask::Cancel(service.id.to_string()));
     assert_all_jobs_finish(&mut w, 300.0);
 }
@@ -446,7 +449,7 @@
     urgent.priority = Priority::High;
     w.submit(urgent.clone());
     w.run(6.0);
-    let started = w.sched(w.leader().unwrap()).jobs[&urgent.id].live.len();
+    let started = w.sched(w.leader().unwrap()).jobs[&urgent.id].active.len();
     assert_eq!(
         started, 20,
         "urgent job waits behind tasks of the lost zone"
@@ -481,7 +484,7 @@
     let open = |t: &&TaskId| {
         s.jobs
             .get(&t.job)
-            .is_some_and(|j| !j.live.contains_key(&t.ix))
+            .is_some_and(|j| !j.active.contains_key(&t.ix))
     };
     let waiting: Vec<TaskId> = there.iter().filter(open).cloned().collect();
     assert!(waiting.len() > 10, "{}", waiting.len());
