--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -4,14 +4,17 @@
 mod admission;
 mod allowed_zones;
 pub mod attempt_places;
+mod consistency;
 mod dependencies;
 pub mod dependency_ids;
+mod direct_calls;
 mod estimate;
 mod fair_share;
 mod fences;
 mod fleet;
 mod gang;
 mod headroom;
+mod heartbeats;
 mod inheritance;
 pub mod job;
 mod lifecycle;
@@ -20,8 +23,11 @@
 mod overview;
 mod place;
 mod preempt;
+mod reachability;
 mod records;
+mod recovery;
 mod referenced_jobs;
+mod report_reconciliation;
 mod requests;
 mod resources;
 mod team;
@@ -47,14 +53,8 @@
 use crate::wire::worker::{Orders, Report};
 use hookworks_job_lifecycle::RetryPolicy;
 use job::{Final, Job};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-mod consistency;
-mod direct_calls;
-mod heartbeats;
-mod reachability;
-mod recovery;
-mod report_reconciliation;
 use machine::{Allocation, Machine, MachineState};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// An input of the scheduler.
 #[derive(Debug)]
