--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -44,7 +44,7 @@
     /// The jobs that lack resources, and for how many tasks.
     shortages: Vec<Shortage>,
     /// The number of turns that were served.
-    served: usize
+    served: usize,
 }
 
 /// A machine with free resources, as it will be once the planned tasks have started.
@@ -54,7 +54,7 @@
     /// The smallest and the largest remaining runtime of its tasks.
     pub remaining: Option<(Span, Span)>,
     /// The machine is reserved for a gang.
-    pub reserved: bool
+    pub reserved: bool,
 }
 
 impl Scheduler {
@@ -82,7 +82,7 @@
                 &remaining_turns[..batch],
                 &reserved,
                 &job_order,
-                score_limit
+                score_limit,
             );
             for (id, host) in plan.starts {
                 self.start(now, &id, &host, None);
@@ -109,7 +109,7 @@
             self.fleet
                 .shortages
                 .drain(..)
-                .filter(|s| unreached.contains(&s.job))
+                .filter(|s| unreached.contains(&s.job)),
         );
         self.fleet.shortages = shortages;
         // If the jobs ahead take the whole pass, the next pass skips them.
@@ -121,7 +121,8 @@
         }
         for machine in self.machines.values_mut() {
             let is_reserved = reserved.contains(&machine.host);
-            machine.reserved_for_gangs_since = is_reserved.then(|| machine.reserved_for_gangs_since.unwrap_or(now));
+            machine.reserved_for_gangs_since =
+                is_reserved.then(|| machine.reserved_for_gangs_since.unwrap_or(now));
         }
         if now >= self.next_preemption_at {
             self.next_preemption_at = now + PREEMPTION_INTERVAL;
@@ -137,7 +138,7 @@
         id: &JobId,
         reserved: &mut BTreeSet<Host>,
         order: &Order,
-        score_limit: u64
+        score_limit: u64,
     ) -> (Option<Shortage>, bool) {
         let is_gang = |job: &Job| job.spec.kind == Kind::Gang;
         if self.jobs.get(id).is_some_and(is_gang) {
@@ -147,7 +148,7 @@
             let wanted = (job.pending() as i64).min(
                 self.teams
                     .remaining(&job.spec.team)
-                    .tasks_that_fit(&job.need)
+                    .tasks_that_fit(&job.need),
             );
             if wanted == 0 {
                 break;
@@ -175,12 +176,12 @@
         id: &JobId,
         reserved: &BTreeSet<Host>,
         order: &Order,
-        score_limit: u64
+        score_limit: u64,
     ) -> (Option<Shortage>, bool) {
         let turn = Turn {
             job: id.clone(),
             max_tasks: None,
-            boosted: false
+            boosted: false,
         };
         let mut plan = self.plan(now, &[turn], reserved, order, score_limit);
         for (id, host) in plan.starts {
@@ -197,7 +198,7 @@
         turns: &[Turn],
         reserved: &BTreeSet<Host>,
         order: &Order,
-        score_limit: u64
+        score_limit: u64,
     ) -> Plan {
         if turns.is_empty() {
             return Plan::default();
@@ -220,7 +221,7 @@
         id: &JobId,
         reserved: &BTreeSet<Host>,
         order: &Order,
-        machine: &Machine
+        machine: &Machine,
     ) -> bool {
         let scored = self.machines_evaluated.get();
         let chosen = self.choose(now, id, reserved, order);
@@ -234,7 +235,7 @@
         now: Time,
         id: &JobId,
         reserved: &BTreeSet<Host>,
-        order: &Order
+        order: &Order,
     ) -> Option<Host> {
         let job = self.jobs.get(id)?;
         let max_age = self.max_heartbeat_age();
@@ -258,7 +259,7 @@
                 machine,
                 free,
                 remaining: span,
-                reserved: is_reserved
+                reserved: is_reserved,
             };
             let Some(score) = view.score(&candidate) else {
                 continue;
@@ -276,7 +277,7 @@
     /// A machine whose last heartbeat is older takes no new tasks.
     pub(super) fn max_heartbeat_age(&self) -> Span {
         Span::secs(
-            self.config.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_S
+            self.config.workers.report_s * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_S,
         )
     }
 
@@ -302,7 +303,7 @@
         let place = machine.map(|m| AttemptPlace {
             zone: m.zone.clone(),
             build: m.build.clone(),
-            spot: m.spot
+            spot: m.spot,
         });
         let version = job.mark_changed(record_part, &mut self.write_queue, purpose);
         job.active.insert(
@@ -311,7 +312,7 @@
                 attempt,
                 host: host.clone(),
                 place,
-                ver: version: ver,
+                required_version: version,
                 phase: Phase::Placed,
                 placed: now,
                 placed_wall: wall,
@@ -320,8 +321,8 @@
                 run_sent_in: None,
                 run_sent: false,
                 stop: None,
-                timed_out: false
-            }
+                timed_out: false,
+            },
         );
         self.teams.add(&job.spec.team, &job.need);
         let mut holds_image = false;
@@ -333,7 +334,7 @@
                 start: now,
                 estimate: expected,
                 endless: expected == ENDLESS,
-                image: job.spec.image.clone()
+                image: job.spec.image.clone(),
             };
             m.allocations.insert(task_id(id, task), allocation);
         }
@@ -358,7 +359,7 @@
     quota: BTreeMap<&'a Team, Resources>,
     /// The number of tasks of each job that were placed in earlier turns.
     placed: BTreeMap<&'a JobId, i64>,
-    plan: Plan
+    plan: Plan,
 }
 
 impl<'a> Planner<'a> {
@@ -367,7 +368,7 @@
         now: Time,
         turns: &'a [Turn],
         reserved: &'a BTreeSet<Host>,
-        order: &'a Order
+        order: &'a Order,
     ) -> Planner<'a> {
         let candidates = candidates(sched, now, reserved);
         let mut open_capacity = Resources::default();
@@ -391,7 +392,7 @@
             free_above_headroom: sched.free_above_headroom(now),
             quota: BTreeMap::new(),
             placed: BTreeMap::new(),
-            plan: Plan::default()
+            plan: Plan::default(),
         }
     }
 
@@ -439,7 +440,7 @@
             if !may_use(
                 &self.free_above_headroom,
                 self.candidates[i].machine.spot,
-                placed
+                placed,
             ) {
                 continue;
             }
@@ -474,7 +475,7 @@
         candidate.free -= job.need;
         candidate.remaining = Some(match candidate.remaining {
             None => (estimate, estimate),
-            Some((low, high)) => (low.min(estimate), high.max(estimate))
+            Some((low, high)) => (low.min(estimate), high.max(estimate)),
         });
         self.free_above_headroom
             .take(&job.need, candidate.machine.spot);
@@ -495,7 +496,11 @@
 }
 
 /// The machines with free CPUs, except those reserved for a gang.
-fn candidates<'a>(sched: &'a Scheduler, now: Time, reserved: &BTreeSet<Host>) -> Vec<Candidate<'a>> {
+fn candidates<'a>(
+    sched: &'a Scheduler,
+    now: Time,
+    reserved: &BTreeSet<Host>,
+) -> Vec<Candidate<'a>> {
     let max_age = sched.max_heartbeat_age();
     let mut candidates = vec![];
     for machine in sched
@@ -511,7 +516,7 @@
             machine,
             free,
             remaining: machine.remaining_range(now),
-            reserved: is_reserved
+            reserved: is_reserved,
         });
     }
     candidates
@@ -520,7 +525,7 @@
 pub(super) fn task_id(id: &JobId, ix: TaskIx) -> TaskId {
     TaskId {
         job: id.clone(),
-        ix
+        ix,
     }
 }
 
@@ -548,7 +553,7 @@
     /// A gang waits for whole ordinary machines, and may get them soon.
     gang_is_waiting: bool,
     /// Spot machines for the job can be rented.
-    can_rent_spot: bool
+    can_rent_spot: bool,
 }
 
 impl<'a> JobView<'a> {
@@ -557,7 +562,7 @@
         now: Time,
         job: &'a Job,
         order: &Order,
-        can_rent: bool
+        can_rent: bool,
     ) -> JobView<'a> {
         let tuning = &sched.config.tuning;
         let estimate = estimate::of(job);
@@ -570,7 +575,7 @@
             max_spread: estimate::max_runtime_spread(
                 estimate,
                 tuning.delta_factor,
-                tuning.delta_floor_s
+                tuning.delta_floor_s,
             ),
             is_quick,
             waited_too_long: job.waited_too_long(now),
@@ -583,7 +588,7 @@
             start_by: sched.start_by(now, job, order.is_within_guarantee(job.id())),
             avoids_ordinary,
             gang_is_waiting: avoids_ordinary && order.gang_is_waiting,
-            can_rent_spot: avoids_ordinary && sched.spot_rentable(now, job)
+            can_rent_spot: avoids_ordinary && sched.spot_rentable(now, job),
         }
     }
 
@@ -654,7 +659,7 @@
                 .free
                 .minus(&job.need)
                 .largest_free_share(&candidate.machine.capacity, &job.need),
-            image_missing
+            image_missing,
         })
     }
 }
@@ -671,7 +676,7 @@
         // Rented already and ready: costs as much as renting, but starts sooner.
         None => 2,
         // Only if nothing else has free resources.
-        Some(_) => LAST_RESORT
+        Some(_) => LAST_RESORT,
     }
 }
 
@@ -689,7 +694,7 @@
     /// spread check, one that stays in use long enough anyway costs nothing more.
     extends_machine_use: bool,
     leftover_share: f64,
-    image_missing: bool
+    image_missing: bool,
 }
 
 impl Ord for Score {
@@ -701,7 +706,7 @@
                 score.image_missing_first,
                 score.ordinary_avoided,
                 score.strands_accelerators,
-                score.extends_machine_use
+                score.extends_machine_use,
             )
         };
         let rank = rank(self).cmp(&rank(other));
