--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,6 +1,6 @@
-//! No controller ever answers something older than any user was told before the
-//! question was sent: users ask at all controllers while final states are written,
-//! answers get lost, followers are cut off and leaders change.
+//! No controller ever returns a state older than one that any user got before the request
+//! was sent. Users ask all controllers while final states are written, responses get lost,
+//! followers are partitioned and leaders change.
 
 mod world;
 
@@ -22,7 +22,7 @@
 const JOB: &str = "job-000001";
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A controller in each zone, and users that look closely.
+/// A controller in each zone, and users that check every response.
 fn fleet(seed: u64, cancels: f64) -> World {
     let mut w = World::wide(seed, &ZONES, 2);
     w.run_s = 4.0;
@@ -45,7 +45,7 @@
     Ask::Submit(serde_json::to_vec(j).unwrap())
 }
 
-/// Users repeat this at every controller, and ask, for so many seconds.
+/// Users poll the job at every controller in turn for `for_s` seconds.
 fn ask_everywhere(w: &mut World, id: &str, from_s: f64, for_s: f64) {
     let n = (for_s / 0.06) as usize;
     for k in 0..n {
@@ -54,30 +54,30 @@
     }
 }
 
-/// What becomes of a write that gets no answer.
+/// What happens to a write whose response is lost.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum LostWrite {
     CarriedOut,
-    /// After all that is written in its place, so it fails.
+    /// Arrives after its replacement was written, so it fails.
     Late,
 }
 
-/// Two jobs run and end, two are cancelled; the leader may end after a while.
-/// Write `n` gets no answer, while a follower that is cut off from the others reads
-/// what was written.
-fn one_write_without_answer(n: u64, fate: Fate, leader_ends_s: Option<f64>) -> World {
+/// Two jobs run to the end and two are cancelled; the leader may crash after a while. The
+/// response to write `n` is lost while a follower that is partitioned from the others reads
+/// the written state.
+fn run_with_one_lost_write(n: u64, lost_write: LostWrite, leader_ends_s: Option<f64>) -> World {
     let mut w = fleet(n, 0.0);
     let leader = w.leader().expect("a leader");
     cut_from_peers(&mut w, (leader + 1) % 3, Link::Cut);
     let write = w.transactions + n;
-    match fate {
-        Fate::CarriedOut => w.lost_answers.one = Some(write),
-        Fate::Late => w.late_one = Some((write, 30.0)),
+    match lost_write {
+        LostWrite::CarriedOut => w.lost_answers.one = Some(write),
+        LostWrite::Late => w.late_one = Some((write, 30.0)),
     }
     // One after the other, so that each has writes of its own.
     for number in 1..=4 {
         let mut j = job(number, 2);
-        // Where its machines reach the leader, and the next one.
+        // In the zone whose machines reach the leader and the next one.
         let third = (leader + 2) % 3;
         j.zone = Some(w.zone_of(third));
         let (ask, at) = (submits(&mut w, &j), 1.1 * (number - 1) as f64);
@@ -99,7 +99,7 @@
         w.at(s + 9.0, Ev::Restart(leader));
     }
     w.run(50.0);
-    // Whoever leads now may have had no way to any machine.
+    // The current leader may have had no path to any machine.
     cut_from_peers(&mut w, (leader + 1) % 3, Link::Open);
     w.run(60.0);
     w
@@ -107,22 +107,26 @@
 
 /// Each write in turn, with and without a change of leader soon after it.
 #[test]
-fn no_answer_is_older_while_a_write_has_no_answer() {
+fn no_stale_response_while_a_write_outcome_is_unknown() {
     let (mut read, mut lost, mut cancelled) = (0, 0, 0);
-    let fates = [Fate::CarriedOut, Fate::Late];
+    let lost_writes = [LostWrite::CarriedOut, LostWrite::Late];
     let ends = [None, Some(0.3), Some(1.2)];
     for n in 1..=12 {
-        for (fate, ends) in fates.iter().flat_map(|f| ends.map(|e| (*f, e))) {
-            let mut w = one_write_without_answer(n, fate, ends);
+        for (lost_write, ends) in lost_writes.iter().flat_map(|f| ends.map(|e| (*f, e))) {
+            let mut w = run_with_one_lost_write(n, lost_write, ends);
             let b = w.broken.first();
             assert!(
                 b.is_none(),
-                "write {n}, {fate:?}, leader ends {ends:?}: {b:?}"
+                "write {n}, {lost_write:?}, leader ends {ends:?}: {b:?}"
             );
             for number in 1..=4 {
                 match w.state_of(&format!("job-{number:06}")) {
                     Some(JobState::Cancelled) if number % 2 == 0 => cancelled += 1,
-                    end => assert_eq!(end, Some(JobState::Done), "{n} {fate:?} {ends:?} {number}"),
+                    end => assert_eq!(
+                        end,
+                        Some(JobState::Done),
+                        "{n} {lost_write:?} {ends:?} {number}"
+                    ),
                 }
             }
             read += w.questions.read_by_followers;
@@ -134,7 +138,7 @@
     assert!(cancelled > 20, "hardly any job was cancelled: {cancelled}");
 }
 
-/// A store with a leader, and what writes there for it.
+/// The committer of an elected leader.
 fn committer(s: &Handle) -> Committer {
     let me = Candidate {
         label: "a".into(),
@@ -149,8 +153,8 @@
     }
 }
 
-/// The next transaction gets this outcome if one is given, and what the store says
-/// otherwise; it is carried out unless it is refused.
+/// Writes the next transaction. It gets the given outcome, or else the store's; it is
+/// carried out unless the outcome is `NotDone`.
 fn write(s: &Handle, c: &mut Committer, d: &mut Desk, outcome: Option<Outcome>) -> bool {
     d.now += 300_000;
     let Some((id, txn)) = c.next(Time(d.now), &mut d.s) else {
@@ -178,8 +182,8 @@
     true
 }
 
-/// A job whose only task is done, with nothing of that stored.
-fn about_to_be_done(s: &Handle, c: &mut Committer) -> Desk {
+/// A job whose only task is done, which is not stored yet.
+fn desk_with_unstored_end(s: &Handle, c: &mut Committer) -> Desk {
     let mut d = Desk::new(5);
     d.stores = false;
     d.refuses = true;
@@ -197,13 +201,13 @@
     d
 }
 
-/// A final state was sent and carried out, and the answer was lost. Whoever read the
-/// state service told `done`; the leader still told `running`.
+/// A final state was written and the response was lost. Readers of the state service
+/// returned `done` while the leader still returned `running`.
 #[test]
-fn leader_tells_nothing_older_while_its_final_write_is_unclear() {
+fn leader_returns_no_stale_state_while_its_final_write_is_unclear() {
     let s = Handle::default();
     let mut c = committer(&s);
-    let mut d = about_to_be_done(&s, &mut c);
+    let mut d = desk_with_unstored_end(&s, &mut c);
     let before = d.ask(Ask::Poll(JOB.into()));
     assert_eq!(d.status(before), Some(200), "nothing of it was sent yet");
     assert!(write(&s, &mut c, &mut d, Some(Outcome::Unclear)));
@@ -222,19 +226,19 @@
     }
 }
 
-/// While the state service refuses changes, polls are answered all the same: what was
-/// refused is stored nowhere. So they are before the write leaves.
+/// While the state service refuses writes, polls are answered from memory: a refused write
+/// is stored nowhere. The same holds before the write is sent.
 #[test]
 fn polls_are_answered_from_memory_while_final_writes_are_refused() {
     let s = Handle::default();
     let mut c = committer(&s);
-    let mut d = about_to_be_done(&s, &mut c);
+    let mut d = desk_with_unstored_end(&s, &mut c);
     for _ in 0..5 {
         assert!(write(&s, &mut c, &mut d, Some(Outcome::NotDone)));
         let poll = d.ask(Ask::Poll(JOB.into()));
         assert_eq!(d.status(poll), Some(200));
     }
-    // One without an answer among them may yet be carried out.
+    // A write without a response may still be carried out.
     assert!(write(&s, &mut c, &mut d, Some(Outcome::Unclear)));
     assert!(write(&s, &mut c, &mut d, Some(Outcome::NotDone)));
     let poll = d.ask(Ask::Poll(JOB.into()));
@@ -243,7 +247,7 @@
     assert_eq!(d.status(poll), Some(200));
 }
 
-/// Who asks while the final state is on its way waits for milliseconds, no more.
+/// Polls wait only milliseconds while the final state is being written.
 #[test]
 fn polls_at_the_end_of_a_job_wait_no_longer_than_a_write_takes() {
     let mut w = fleet(5, 0.0);
@@ -258,7 +262,7 @@
     assert_eq!(w.state_of(JOB), Some(JobState::Done));
 }
 
-/// One job, and questions about it all along.
+/// One job that is polled all the time.
 fn one_job(seed: u64) -> World {
     let mut w = fleet(seed, 0.0);
     w.submit(job(1, 2));
@@ -266,7 +270,7 @@
     w
 }
 
-/// When the leader hears that the last task is done.
+/// The time at which the leader learns that the last task is done.
 fn end_of_last_task(seed: u64) -> u64 {
     let mut w = one_job(seed);
     w.run(5.0);
@@ -280,10 +284,10 @@
     w.now
 }
 
-/// A cancellation, questions and repeated submissions by way of all controllers, in
-/// the moments around the end of the last task, with no other trouble.
+/// A cancellation, polls and repeated submissions at all controllers around the end of the
+/// last task, without other faults.
 #[test]
-fn answers_agree_on_what_comes_first_at_the_end_of_the_last_task() {
+fn responses_agree_when_cancellation_races_with_the_last_task() {
     let (mut done, mut cancelled) = (0, 0);
     for seed in 0..3 {
         let end = end_of_last_task(seed);
@@ -311,8 +315,8 @@
     );
 }
 
-/// What may happen to controllers while users look closely.
-fn trouble(w: &mut World, at: f64) {
+/// Injects a random fault at a controller or the state service.
+fn inject_fault(w: &mut World, at: f64) {
     let i = w.leader().unwrap_or(0);
     let other = (i + w.rng.random_range(1..3)) % 3;
     let long = w.rng.random_range(0.2..4.0);
@@ -329,9 +333,9 @@
     w.at(at + long, end);
 }
 
-/// Jobs that are accepted, end and are cancelled all along, while answers of the state
-/// service are lost, writes are late, legs are held, and leaders change.
-fn history(seed: u64) -> World {
+/// Jobs are accepted, end and are cancelled all the time while responses of the state
+/// service are lost, writes are late, messages are delayed and leaders change.
+fn random_run(seed: u64) -> World {
     let mut w = fleet(seed, 0.25);
     w.questions.held = [0.0, 0.02, 0.2][w.rng.random_range(0..3)];
     w.chaos.lost_answer = [0.0, 0.1, 0.3][w.rng.random_range(0..3)];
@@ -354,7 +358,7 @@
     }
     for _ in 0..4 {
         let at = w.rng.random_range(0.0..35.0);
-        trouble(&mut w, at);
+        inject_fault(&mut w, at);
     }
     w.run(42.0);
     w.chaos = Chaos::default();
@@ -365,12 +369,12 @@
 }
 
 #[test]
-fn no_controller_answers_older_than_any_user_was_told() {
+fn no_controller_returns_a_stale_state() {
     let more = std::env::var("ANSWERS").ok().and_then(|n| n.parse().ok());
     let (mut read, mut passed, mut lost, mut cancelled) = (0, 0, 0, 0);
     let mut faults = vec![];
     for seed in 0..more.unwrap_or(40) {
-        let w = history(seed);
+        let w = random_run(seed);
         if let Some(b) = w.broken.first() {
             faults.push(format!("seed {seed}: {b}"));
         }
@@ -387,10 +391,10 @@
     );
 }
 
-/// A follower without a leader in reach says nothing of a job that is live, and one
-/// whose leader has ended passes questions on to nobody in vain for long.
+/// A follower that can't reach the leader returns no state of an unfinished job. One whose
+/// leader has stopped doesn't forward polls to it for long.
 #[test]
-fn follower_without_a_leader_tells_final_states_only() {
+fn follower_without_a_leader_returns_final_states_only() {
     let mut w = fleet(3, 0.0);
     w.close_looks = None;
     w.submit(job(1, 1));
--- a/tests/broken.rs
+++ b/tests/broken.rs
@@ -20,7 +20,7 @@
     j.active.values().map(|l| l.host.clone()).collect()
 }
 
-/// Reports errors for whatever was placed on the machine; answers how many.
+/// Reports errors for all attempts on the machine; returns their number.
 fn all_fail(d: &mut Desk, n: u32, seq: u64) -> usize {
     let mut r = report(n, seq, Token(0));
     for j in d.s.jobs.values() {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_machine_that_fails_what_others_do_is_put_aside() {
+fn machine_that_fails_several_jobs_is_quarantined() {
     let mut d = Desk::new(1);
     d.beat(&report(1, 1, Token(0)));
     for n in 1..=2 {
@@ -42,7 +42,7 @@
     }
     assert_eq!(all_fail(&mut d, 1, 2), 4);
     assert!(d.s.machines[&host(1)].quarantined);
-    // Its tasks go elsewhere, and it goes back.
+    // Its tasks move to another machine, and it is released.
     d.beat(&report(2, 1, Token(0)));
     assert!(hosts_of(&d, "job-000001").iter().all(|h| *h == host(2)));
     d.wait(1.0);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_backs_off_and_its_machines_are_forgiven() {
+fn job_that_fails_everywhere_backs_off_and_quarantines_no_machine() {
     let mut d = Desk::new(1);
     for n in 1..=4 {
         d.beat(&report(n, 1, Token(0)));
@@ -67,9 +67,9 @@
     assert!(d.s.machines.values().all(|m| !m.quarantined));
 }
 
-/// A job submitted with a mistake took a dozen machines from others at each try.
+/// Guards against a broken job that took a dozen machines from other jobs at each retry.
 #[test]
-fn what_fails_everywhere_is_tried_a_task_at_a_time_and_rents_nothing() {
+fn job_that_fails_everywhere_retries_one_task_at_a_time() {
     let mut d = Desk::new(1);
     d.refuses = true;
     for n in 1..=3 {
@@ -89,12 +89,12 @@
     assert!((8..20).contains(&tries), "{tries} tries in three minutes");
     assert!(d.s.machines.values().all(|m| !m.quarantined));
     assert_eq!(d.s.jobs[&id].state(), JobState::Queued);
-    // The next leader knows it from the record.
+    // The next leader learns it from the record.
     let j = &d.s.jobs[&id];
     let again = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
     assert!(again.failed_on_many_machines());
-    // Another job is none the worse, and a success is the end of all doubt. The
-    // machines of before were given back.
+    // Other jobs are not affected, and one success clears the suspicion. The previous
+    // machines were released.
     d.beat(&report(4, 1, Token(0)));
     d.submit(&job(2, 3));
     assert_eq!(hosts_of(&d, "job-000002").len(), 3);
@@ -109,10 +109,10 @@
     assert!(!d.s.jobs[&id].failed_on_many_machines());
 }
 
-/// Many broken jobs at once put no healthy machine aside for good, and a machine
-/// that fails everything is told from them by what else works there.
+/// Many broken jobs at once quarantine no healthy machine for good. A machine that fails
+/// everything is told apart from them by what else succeeds there.
 #[test]
-fn many_broken_jobs_are_told_from_a_sick_machine() {
+fn many_broken_jobs_quarantine_no_machine() {
     let mut d = Desk::new(1);
     d.refuses = true;
     for n in 1..=4 {
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -1,5 +1,5 @@
-//! Holds, limits of retries and histories: stored first, and intact after a
-//! take-over.
+//! Holds, retry limits and histories: stored before they are shown, and preserved across
+//! failover.
 
 mod world;
 
@@ -10,7 +10,7 @@
 use hookworks::wire::peer::Ask;
 use hookworks::wire::user::{JobDetail, JobState, Kind};
 use hookworks::wire::worker::*;
-use hookworks_job_lifecycle::{Hold, HoldKind, JobEvent as What};
+use hookworks_job_lifecycle::{Hold, HoldKind, JobEvent};
 use serde_json::{Value, json};
 use world::desk::{Desk, ended, report, task};
 use world::job;
@@ -34,7 +34,7 @@
     d.s.jobs[&JobId::from(JOB)].held()
 }
 
-/// The job as a new leader would find it.
+/// The job as a new leader would load it.
 fn stored(d: &Desk) -> Job {
     let v = d.s.jobs[&JobId::from(JOB)].encode(0);
     let mut j = Job::decode(&v, Time(d.now), Wall(d.now / 1000)).unwrap();
@@ -44,23 +44,23 @@
     j
 }
 
-/// Where a task of the job is.
+/// The machine of a task of the job.
 fn placed_on(d: &Desk, ix: u32) -> Host {
     d.s.jobs[&JobId::from(JOB)].active[&TaskIx(ix)].host.clone()
 }
 
-/// One of the two machines, as reports count them.
+/// The number of one of the two machines.
 fn number(host: &Host) -> u32 {
     if host.as_str().ends_with('1') { 1 } else { 2 }
 }
 
-/// Whether anything of the job is told to run.
+/// Whether the orders start a task.
 fn runs(orders: &[Order]) -> bool {
     orders.iter().any(|o| matches!(o, Order::Run { .. }))
 }
 
-/// A limit of three attempts, and a second's pause after the first failure.
-fn limited(epoch: u64, jobs: Vec<Job>) -> Desk {
+/// A limit of three attempts, and a backoff of one second after the first failure.
+fn desk_with_retry_limit(epoch: u64, jobs: Vec<Job>) -> Desk {
     let xml = "<hookworks><classes><class name='work'><attempts>3</attempts>\
                <backoff-s>1</backoff-s></class></classes></hookworks>";
     Desk::set_up(epoch, jobs, |cfg| {
@@ -68,7 +68,7 @@
     })
 }
 
-/// Two machines up that take commands by their reports only.
+/// Two machines that take commands only in heartbeat responses.
 fn machines(d: &mut Desk) {
     for n in [1, 2] {
         d.beat(&Report {
@@ -78,7 +78,7 @@
     }
 }
 
-/// The task fails wherever it is; answers where that was.
+/// The task fails on its machine, which is returned.
 fn fail_once(d: &mut Desk, seq: u64) -> Option<Host> {
     let j = d.s.jobs.get(&JobId::from(JOB))?;
     let l = j.active.get(&TaskIx(0))?;
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_hold_is_told_only_once_stored_and_outlives_its_leader() {
+fn hold_is_confirmed_only_once_stored_and_survives_failover() {
     let mut d = Desk::new(5);
     d.submit(&job(1, 2));
     d.stores = false;
@@ -105,7 +105,7 @@
     assert_eq!(d.status(again), None, "told by what is to be stored yet");
     d.store();
     assert_eq!(d.status(again), Some(200));
-    // One that stands already is told at once.
+    // A hold that is already stored is confirmed at once.
     let again = hold(&mut d, json!({"By": "ann"}));
     assert_eq!(d.status(again), Some(200));
     let mut next = Desk::with(6, vec![stored(&d)]);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_runs_goes_on_and_what_has_not_begun_is_called_back() {
+fn hold_stops_only_attempts_that_have_not_begun() {
     let mut d = Desk::new(5);
     machines(&mut d);
     d.submit(&job(1, 2));
@@ -134,7 +134,7 @@
         ..report(n, 2, Token(5 << 24))
     };
     assert!(runs(&d.beat(&r).unwrap().orders));
-    // The first is seen to run; the second's command is still under way.
+    // The first is reported running; the second one's command is still in flight.
     r.seq = Seq(3);
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
     d.beat(&r);
@@ -158,9 +158,9 @@
     assert_eq!(show(&mut d).job.done, 1);
 }
 
-/// A direct command that is not answered may be carried out minutes later.
+/// A direct command without a response may be executed minutes later.
 #[test]
-fn a_hold_that_meets_a_start_under_way_ends_it_when_it_is_seen() {
+fn hold_stops_a_start_in_flight_once_it_is_reported() {
     let mut d = Desk::new(5);
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 1));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn stopped_by_a_hold_it_may_save_and_a_gang_does_so_together() {
+fn hold_with_stop_lets_a_whole_gang_save() {
     let mut d = Desk::new(5);
     machines(&mut d);
     let mut j = job(1, 2);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn kinds_of_holds_are_separate_and_nothing_starts_before_a_release_is_stored() {
+fn hold_kinds_are_separate_and_starts_wait_for_the_stored_release() {
     let mut d = Desk::new(5);
     let bodies = [
         json!({"By": "ann"}),
@@ -231,14 +231,14 @@
     d.stores = true;
     d.wait(1.0);
     assert!(d.attempt(JOB, 0).is_some());
-    // Releasing what is not held changes nothing, and says so.
+    // Releasing a job without a hold changes nothing and succeeds.
     let asked = release(&mut d, bodies[0].clone());
     d.wait(0.5);
     assert_eq!(d.status(asked), Some(200));
 }
 
 #[test]
-fn what_is_wrong_is_refused_clearly() {
+fn invalid_hold_requests_get_a_clear_error() {
     let mut d = Desk::new(5);
     for (body, field) in [
         ("[]", "object"),
@@ -249,7 +249,7 @@
         let a = d.answer(asked).unwrap();
         assert!(a.status == 400 && a.body.contains(field), "{a:?}");
     }
-    // Unknown only after a consistent read; over: with its final state.
+    // 404 only after a consistent read; a finished job is returned with its final state.
     let asked = hold(&mut d, json!({"By": "a"}));
     assert_eq!(d.status(asked), None);
     d.event(Event::FinalRead(JOB.into(), Ok(None)));
@@ -266,8 +266,8 @@
 }
 
 #[test]
-fn a_job_at_its_limit_is_held_with_its_cause_and_never_called_over() {
-    let mut d = limited(5, vec![]);
+fn job_at_its_retry_limit_is_held_with_a_reason() {
+    let mut d = desk_with_retry_limit(5, vec![]);
     machines(&mut d);
     d.submit(&job(1, 1));
     let mut failed = vec![];
@@ -288,9 +288,9 @@
         "{:?}",
         seen.held
     );
-    assert_eq!(seen.counts[&What::Failed], 3);
-    // The next leader knows, and whoever releases it lets it begin anew.
-    let mut next = limited(6, vec![stored(&d)]);
+    assert_eq!(seen.counts[&JobEvent::Failed], 3);
+    // The next leader knows the hold; releasing it resets the failure count.
+    let mut next = desk_with_retry_limit(6, vec![stored(&d)]);
     machines(&mut next);
     next.wait(5.0);
     assert_eq!(next.attempt(JOB, 0), None);
@@ -300,11 +300,11 @@
     assert_eq!(next.s.jobs[&JobId::from(JOB)].failure_counts.of(0), 0);
 }
 
-/// The worker shows a failed task until it is told to clear it, which waits
-/// for the count to be stored: a take-over in between counts it once.
+/// The worker reports a failed task until it is told to clear it, which waits until the
+/// count is stored: a failover in between must count it once.
 #[test]
-fn a_failure_is_counted_once_by_two_leaders() {
-    let mut d = limited(5, vec![]);
+fn failure_is_counted_once_across_failover() {
+    let mut d = desk_with_retry_limit(5, vec![]);
     machines(&mut d);
     d.submit(&job(1, 1));
     d.wait(1.0);
@@ -316,7 +316,7 @@
             .active
             .get(&TaskIx(0))
             .map(|l| (l.host.clone(), l.attempt));
-        let mut next = limited(6, vec![found]);
+        let mut next = desk_with_retry_limit(6, vec![found]);
         if let Some((host, a)) = a {
             let mut r = report(number(&host), 20, Token(5 << 24));
             r.tasks = vec![ended(JOB, 0, a, Cause::Error)];
@@ -327,8 +327,8 @@
 }
 
 #[test]
-fn a_job_held_for_a_faulty_machine_goes_on() {
-    let mut d = limited(5, vec![]);
+fn job_held_because_of_a_faulty_machine_is_released() {
+    let mut d = desk_with_retry_limit(5, vec![]);
     d.beat(&Report {
         addr: None,
         ..report(1, 1, Token(0))
@@ -348,7 +348,7 @@
     }
     fail_once(&mut d, 10);
     assert!(held(&d), "three failures are the limit");
-    // Others fail there, too: the machine is set aside, and it is to blame.
+    // Another job fails there as well: the machine is quarantined and at fault.
     d.submit(&job(2, 1));
     d.wait(6.0);
     let a = d.attempt("job-000002", 0).expect("placed");
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn a_history_tells_use_and_loss_also_of_a_finished_job() {
+fn history_has_useful_and_lost_time_also_of_finished_jobs() {
     let mut d = Desk::new(5);
     machines(&mut d);
     d.submit(&job(1, 2));
@@ -391,7 +391,7 @@
     assert_eq!((u.useful_ms, u.lost_ms), (8_000, 8_000));
     let detail = seen.detail();
     assert_eq!((detail.useful.cpu, detail.lost.memory_gb), (16.0, 16.0));
-    // The final record has all that, and still reads as a final state.
+    // The final record contains all that and still decodes as a final state.
     let f = hookworks::sched::job::Final {
         state: JobState::Done,
         done: 2,
@@ -408,30 +408,30 @@
     ));
     let told: JobDetail = serde_json::from_str(&d.answer(asked).unwrap().body).unwrap();
     assert_eq!(
-        (told.job.state, told.counts[&What::Done]),
+        (told.job.state, told.counts[&JobEvent::Done]),
         (JobState::Done, 1)
     );
-    // Of one from before there were histories the state is known.
+    // The state of a job from before histories were introduced is shown.
     let asked = d.ask(Ask::Show("job-000008".into()));
     let old = json!({"state": "cancelled", "done": 3});
     d.event(Event::RecordRead(asked, "job-000008".into(), Ok(Some(old))));
     assert!(d.answer(asked).unwrap().body.contains("cancelled"));
-    // And of one that never was, nothing; told after a consistent read.
+    // A job that never existed gets 404, after a consistent read.
     let asked = d.ask(Ask::Show("job-000007".into()));
     assert_eq!(d.status(asked), None);
     d.event(Event::RecordRead(asked, "job-000007".into(), Ok(None)));
     assert_eq!(d.status(asked), Some(404));
 }
 
-/// As written by version 0.1.0, before there were holds.
-const OLD: &str = r#"{"at":1700000000000,"cancelled":false,"first":{"a":[[1,83886081,"n-000001",1700000000500]],"d":"0000000000000001"},"part_size":128,"runtimes":[1.5],"seq":3,"spec":{"Accelerators":0.0,"BookmarkS":0.0,"Bundle":"img","Crew":"red","GuessS":20.0,"Id":"job-000001","Jobline":"work","Lendable":true,"OneZone":false,"Pieces":4,"RamGb":2.0,"Scatter":false,"Shape":"batch","SizeGb":1.0,"StowS":0.0,"Urgency":"normal","Vcpus":2.0}}"#;
+/// A record written by version 0.1.0, before holds were introduced.
+const RECORD_OF_0_1_0: &str = r#"{"at":1700000000000,"cancelled":false,"first":{"a":[[1,83886081,"n-000001",1700000000500]],"d":"0000000000000001"},"part_size":128,"runtimes":[1.5],"seq":3,"spec":{"Accelerators":0.0,"BookmarkS":0.0,"Bundle":"img","Crew":"red","GuessS":20.0,"Id":"job-000001","Jobline":"work","Lendable":true,"OneZone":false,"Pieces":4,"RamGb":2.0,"Scatter":false,"Shape":"batch","SizeGb":1.0,"StowS":0.0,"Urgency":"normal","Vcpus":2.0}}"#;
 
 #[test]
-fn records_of_earlier_versions_load_and_what_a_later_one_adds_is_kept() {
-    let mut v: Value = serde_json::from_str(OLD).unwrap();
+fn earlier_records_load_and_unknown_fields_are_preserved() {
+    let mut v: Value = serde_json::from_str(RECORD_OF_0_1_0).unwrap();
     let j = Job::decode(&v, Time(1), Wall(2)).expect("an old record");
     assert!((j.done_count, j.active.len()) == (1, 1) && !j.held());
-    // A later version's fields come back out of an earlier one's hands.
+    // Fields of a later version are preserved by an earlier one.
     v["later"] = json!({"x": [1, 2]});
     v["first"]["more"] = json!("y");
     let back = Job::decode(&v, Time(1), Wall(2)).unwrap().encode(0);
@@ -446,9 +446,9 @@
 }
 
 #[test]
-fn the_fullest_record_fits_the_smallest_store() {
+fn largest_record_fits_the_smallest_value_limit() {
     let size = hookworks::sched::job::part_size(4.0);
-    let mut d = limited(5, vec![]);
+    let mut d = desk_with_retry_limit(5, vec![]);
     machines(&mut d);
     d.submit(&job(1, 1));
     let live = d.s.jobs[&JobId::from(JOB)].active[&TaskIx(0)].clone();
@@ -470,7 +470,7 @@
             );
         }
         j.history.note(
-            What::ALL[t as usize % 8],
+            JobEvent::ALL[t as usize % 8],
             hookworks_job_lifecycle::WallMillis(now.0 + t as u64 * 1000),
         );
     }
@@ -487,15 +487,15 @@
         let bytes = j.encode(part).to_string().len();
         assert!(bytes <= 4096, "part {part}: {bytes}");
     }
-    // What was cut is the reasons: it is held by all three.
+    // Only the reasons were cut: it is held by all three.
     let back = Job::decode(&j.encode(0), Time(1), now).unwrap();
     assert_eq!(back.holds.iter().count(), 3);
 }
 
-/// Looking at finished jobs one by one, as a script does, takes none of the
-/// requests that users and starts wait for; who is refused is told at once.
+/// Looking up finished jobs one by one, as a script does, must not use the quota for
+/// requests of users and starts; rejected requests are answered at once.
 #[test]
-fn looking_up_finished_jobs_has_a_budget() {
+fn lookups_of_finished_jobs_have_a_budget() {
     let mut d = Desk::new(5);
     let mut round = |seconds: f64| {
         d.wait(seconds);
@@ -515,7 +515,7 @@
         }
         reads
     };
-    // A tenth of 100 requests a second, and twice that at once.
+    // A tenth of 100 requests per second, and a burst of twice that.
     assert_eq!(round(60.0), 20);
     assert_eq!(round(0.0), 0);
     assert!((9..=11).contains(&round(1.0)));
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
-//! A full-sized fleet in memory. Work is bounded by counted steps and writes,
-//! never by time, so that the verdict is the same on every machine.
+//! A full-sized fleet in memory. Work is bounded by counted steps and writes, not by time,
+//! so that the result does not depend on the machine.
 
 mod world;
 
@@ -15,8 +15,8 @@
 const MACHINES: u32 = 850;
 const CPUS: u32 = 8;
 
-/// Teams that may use the whole fleet.
-fn roomy() -> Desk {
+/// A scheduler whose teams may use the whole fleet.
+fn desk_without_quotas() -> Desk {
     Desk::set_up(3, vec![], |cfg| {
         for t in &mut cfg.teams {
             (t.cpus, t.cpus_max) = (1e6, 1e6);
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn work_for_an_event_does_not_grow_with_machines_times_tasks() {
-    let mut d = roomy();
+fn work_per_event_does_not_grow_with_machines_times_tasks() {
+    let mut d = desk_without_quotas();
     fleet(&mut d);
     // Enough to fill the fleet, in jobs of a hundred tasks of 2 CPUs.
     let jobs = MACHINES * CPUS / 2 / 100;
@@ -54,8 +54,8 @@
     }
     let live = |d: &Desk| d.s.jobs.values().map(|j| j.active.len()).sum::<usize>();
     assert_eq!(live(&d), jobs as usize * 100);
-    // A job looks at each machine once, and again at those that it takes; the
-    // plain choice would look at all of them for every task.
+    // A job evaluates each machine once, and again those that it uses; the naive choice
+    // would evaluate all of them for every task.
     let bound = (jobs * (MACHINES + 200)) as u64;
     assert!(
         d.s.machines_evaluated() <= bound,
@@ -65,7 +65,7 @@
     // One write holds a job and all its starts.
     assert!(d.written <= jobs as usize, "{} writes", d.written);
 
-    // A full fleet and as much again waiting: reports cost next to nothing.
+    // A full fleet and as much again waiting: heartbeats cost next to nothing.
     for n in 1..=jobs {
         d.submit(&job(1000 + n as u64, 100));
     }
@@ -89,7 +89,8 @@
         "reports that tell nothing new were stored"
     );
 
-    // A task ends: its room goes to the first in line, and few are looked at.
+    // A task ends: its resources go to the first job in line, and few machines are
+    // evaluated.
     let (judged, before) = (d.s.machines_evaluated(), live(&d));
     let mut r = running(&d, 1, 3);
     let t = r.tasks.remove(0);
@@ -111,8 +112,8 @@
 }
 
 #[test]
-fn a_huge_job_on_a_full_fleet_holds_up_nobody() {
-    let mut d = roomy();
+fn huge_job_on_a_full_fleet_delays_no_heartbeat() {
+    let mut d = desk_without_quotas();
     fleet(&mut d);
     let mut huge = job(1, 100_000);
     huge.priority = Priority::Low;
@@ -135,8 +136,8 @@
 }
 
 #[test]
-fn a_new_leader_places_on_a_machine_only_after_its_report() {
-    let mut d = roomy();
+fn new_leader_places_on_a_machine_only_after_its_heartbeat() {
+    let mut d = desk_without_quotas();
     fleet(&mut d);
     for n in 1..=20 {
         d.submit(&job(n, 100));
@@ -162,10 +163,10 @@
     assert!(late(&next) > 0 && late(&next) <= (CPUS / 2) as usize);
 }
 
-/// Starts once waited behind the progress of all other jobs, since a record
-/// that was queued already stayed where it was.
+/// Starts once waited behind the progress of all other jobs, since a record that was already
+/// queued kept its place.
 #[test]
-fn a_record_moves_up_when_something_urgent_waits_for_it() {
+fn queued_record_moves_up_for_a_more_urgent_purpose() {
     let mut dirty = WriteQueue::default();
     let j = |n| hookworks::sched::job::Job::new(job(n, 4), n, Time(0), Wall(0), 64);
     let (mut a, mut b) = (j(1), j(2));
@@ -178,7 +179,7 @@
         ("job-000002", Purpose::Now)
     );
     assert!(b.dequeue_write(0, first.purpose));
-    // Progress gathers for a while, and never takes the last of the budget.
+    // Progress is batched for a while and never uses the last of the budget.
     assert!(dirty.next(Time(0), 1.0).is_none());
     assert!(dirty.next(Time(2_000_000), 0.1).is_none());
     let next = dirty.next(Time(2_000_000), 1.0).unwrap();
@@ -188,10 +189,10 @@
     assert!(!b.dequeue_write(0, old.purpose));
 }
 
-/// A worker that has just freed room is answered once its next task is stored:
-/// no direct call and no further report is needed for that.
+/// The response to a heartbeat that frees resources waits until the next task is stored, so
+/// that starting it needs no direct call and no further heartbeat.
 #[test]
-fn the_answer_to_a_report_waits_for_what_is_about_to_start() {
+fn heartbeat_response_waits_for_the_next_start() {
     let mut d = Desk::set_up(3, vec![], |cfg| cfg.heartbeat_hold = Span::millis(300));
     d.beat(&report(1, 1, Token(0)));
     d.submit(&job(1, 5));
@@ -218,7 +219,7 @@
     let runs = |o: &&Order| matches!(o, Order::Run { .. });
     assert_eq!(orders.orders.iter().filter(runs).count(), 1);
     assert!(d.direct().is_empty(), "a direct call was made all the same");
-    // With nothing stored it is answered in time all the same.
+    // Without a stored write it is still answered in time.
     let mut r = running(&d, 1, 4);
     let t = r.tasks.pop().unwrap();
     r.tasks
@@ -230,10 +231,10 @@
     assert!(d.fx.iter().any(|f| kept(&f)));
 }
 
-/// Half of all starts fetched an image that their machine still held: only the
-/// last twelve were remembered, whatever the cache.
+/// Half of all starts fetched an image that their machine still cached: only the last twelve
+/// were remembered, whatever the size of the cache.
 #[test]
-fn images_are_remembered_as_long_as_the_cache_holds_them() {
+fn images_are_remembered_while_cached() {
     let mut d = Desk::new(1);
     d.beat(&report(1, 1, Token(0)));
     let host = report(1, 1, Token(0)).host;
@@ -251,10 +252,10 @@
     assert!(held(m, 15) && !held(m, 16), "the longest unused goes first");
 }
 
-/// With hundreds of jobs waiting one pass took a second, and whoever asked waited.
+/// With hundreds of jobs waiting, one pass took a second and requests waited for it.
 #[test]
-fn a_pass_has_a_bound_and_the_next_goes_on_where_it_stopped() {
-    let mut d = roomy();
+fn pass_is_bounded_and_the_next_resumes_where_it_stopped() {
+    let mut d = desk_without_quotas();
     fleet(&mut d);
     // Every machine has room for half of what most jobs need.
     let mut most = job(1, MACHINES);
@@ -266,9 +267,9 @@
         d.submit(&job(100 + n, 4));
         longest = longest.max(d.s.machines_evaluated() - judged);
     }
-    // The proof before it, the submission, and its record: a pass each.
+    // The lease renewal, the submission and its record: a pass each.
     assert!(longest < 3 * 45_000, "{longest} machines judged at once");
-    // Small enough to fit, and behind all the others.
+    // Small enough to fit, and last in line.
     let mut small = job(2, 1);
     small.cpus = 1.0;
     d.submit(&small);
@@ -279,17 +280,17 @@
         assert!(passes < 30, "passed over");
         d.wait(0.25);
     }
-    // What is urgent does not wait for its turn.
+    // Urgent jobs don't wait for their turn.
     let mut urgent = job(3, 1);
     (urgent.cpus, urgent.priority) = (1.0, Priority::High);
     d.submit(&urgent);
     assert!(placed(&d, 3));
 }
 
-/// Fifty messages, and a pass due again after each, made a turn of 5.8 s, in which
-/// reports and proofs waited. Steps are counted here, not time.
+/// Fifty messages with a pass due after each made a turn of 5.8 s, in which heartbeats and
+/// lease renewals waited. The test counts steps, not time.
 #[test]
-fn messages_wait_for_no_pass_and_a_pass_waits_while_the_rest_has_its_turn() {
+fn messages_trigger_no_pass_and_passes_can_be_deferred() {
     let mut d = Desk::set_up(5, vec![], |c| {
         c.teams[0].cpus_max = 1e6;
         c.pass_interval = Span::millis(40);
@@ -300,7 +301,7 @@
     for n in 0..50 {
         let mut j = job(100 + n, 4);
         if n % 2 == 0 {
-            // Of a quick class, for which a pass is due at once.
+            // Of a class with fast starts, for which a pass is due at once.
             (j.class, j.priority) = ("quick".into(), Priority::High);
         }
         d.submit(&j);
@@ -315,7 +316,7 @@
     d.event(Event::Wake);
     let one = d.s.machines_evaluated() - judged;
     assert!(one > 0 && one < 45_000, "{one} machines judged in a turn");
-    // It took a while: the next one waits, whatever comes.
+    // After a long pass the next one is deferred, whatever arrives.
     let until = Time(d.now + 400_000);
     d.s.defer_pass(until);
     let judged = d.s.machines_evaluated();
@@ -331,11 +332,11 @@
     assert!(!d.s.jobs[&urgent.id].active.is_empty());
 }
 
-/// Its tasks were placed one by one, each machine was judged for each of them against all
-/// of the job's other tasks, and nothing else was done meanwhile.
+/// Its tasks used to be placed one by one, evaluating each machine for each of them against
+/// all other tasks of the job, and nothing else ran meanwhile.
 #[test]
 fn a_large_array_within_one_zone_is_placed_within_the_bound_of_a_pass() {
-    let mut d = roomy();
+    let mut d = desk_without_quotas();
     fleet(&mut d);
     let tasks = 500;
     let mut array = job(1, tasks);
@@ -350,10 +351,10 @@
     assert_eq!(zones.collect::<std::collections::BTreeSet<_>>().len(), 1);
 }
 
-/// A pass that has judged as many machines as it may goes on with the same job later.
+/// A pass that has evaluated its maximum of machines resumes with the same job later.
 #[test]
 fn a_large_array_spread_over_zones_is_placed_in_several_passes() {
-    let mut d = roomy();
+    let mut d = desk_without_quotas();
     fleet(&mut d);
     let tasks = 500;
     let mut array = job(1, tasks);
@@ -362,7 +363,7 @@
     d.submit(&array);
     for _ in 0..120 {
         let now = d.s.machines_evaluated();
-        // The proof before it, the event, and what it stored: a pass each.
+        // The lease renewal, the event and its writes: a pass each.
         assert!(now - judged < 3 * 45_000, "{} judged at once", now - judged);
         judged = now;
         d.wait(0.25);
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,5 +1,5 @@
-//! What users send: submissions that are malformed or can never run, repeated ones, and
-//! cancellations at the end of a job's last task or as controllers change.
+//! Submissions that are malformed, can never run or are repeated, and cancellations at the
+//! end of a job's last task or during a change of leader.
 
 mod world;
 
@@ -37,8 +37,8 @@
     body.to_string().into_bytes()
 }
 
-/// Answers a submission, the store holding that final state of the job, if any: it is
-/// read if that is asked for, and the job's first record conflicts with it.
+/// Submits a job while the store holds that final state of it, if any: a read of the final
+/// state returns it, and the job's first record conflicts with it.
 fn submit(d: &mut Desk, body: &[u8], stored: Option<Final>) -> (u16, String) {
     d.stores = stored.is_none();
     let req = d.ask(Ask::Submit(body.to_vec()));
@@ -64,7 +64,7 @@
     d
 }
 
-/// Fields with what they may not hold.
+/// Fields with invalid values.
 fn invalid_fields() -> Vec<(&'static str, Vec<Value>)> {
     let names = vec![Value::Null, json!(""), json!(7), json!(["x"])];
     let amounts = vec![
@@ -105,7 +105,7 @@
     ]
 }
 
-/// The bodies, and the field that the answer has to name.
+/// The bodies, each with the field that the response must name.
 fn malformed_bodies() -> Vec<(String, Vec<u8>)> {
     let mut all = vec![];
     for (field, values) in invalid_fields() {
@@ -115,7 +115,7 @@
             all.push((field.to_string(), body_without(field)));
         }
     }
-    // Not a number that there is.
+    // A number out of range.
     let text = String::from_utf8(body_with("Vcpus", &json!("INF"))).unwrap();
     let text = text.replace("\"INF\"", "1e999");
     all.push(("Vcpus".into(), text.into_bytes()));
@@ -138,11 +138,11 @@
     all
 }
 
-/// A follower answers by `JobSpec::parse` alone. A leader says the same whatever else it
-/// knows, of a job that is accepted or over as well: none of these can be a repetition
-/// of what was accepted.
+/// A follower responds by `JobSpec::parse` alone. A leader must respond the same in any
+/// state, also for a job that is accepted or finished: none of these bodies can repeat an
+/// accepted submission.
 #[test]
-fn malformed_submissions_get_the_same_400_everywhere_naming_the_field() {
+fn malformed_submissions_get_the_same_400_from_every_controller() {
     let mut desks = [(true, true), (true, false), (false, true), (false, false)]
         .map(|(proves, types)| desk(proves, types));
     let mut knows = Desk::new(5);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn fields_that_may_be_null_may_be_left_out_and_the_edges_are_taken() {
+fn optional_fields_may_be_absent_and_limit_values_are_accepted() {
     for field in ["Builds", "Yard", "DueS"] {
         for body in [body_without(field), body_with(field, &Value::Null)] {
             let a = submit(&mut Desk::new(5), &body, None);
@@ -187,7 +187,7 @@
         let a = submit(&mut Desk::new(5), &body_with(field, &v), None);
         assert_eq!(a.0, 201, "{field} {v}: {}", a.1);
     }
-    // All of the team's limit at once, and an array of far more than that.
+    // The team's whole limit at once, and an array of far more than that.
     for (kind, tasks, cpus) in [
         (Kind::Gang, 6, 2.0),
         (Kind::Service, 12, 1.0),
@@ -200,8 +200,8 @@
     }
 }
 
-/// Jobs that can never run, with the field that the answer names.
-fn never_running() -> Vec<(&'static str, Vec<u8>)> {
+/// Jobs that can never run, each with the field that the response must name.
+fn unsatisfiable_bodies() -> Vec<(&'static str, Vec<u8>)> {
     let gang = |change: &dyn Fn(&mut JobSpec)| {
         let mut j = job(1, 2);
         j.kind = Kind::Gang;
@@ -235,10 +235,11 @@
     all
 }
 
-/// The same each time, by this leader and the next; 503 as long as it can't be told.
+/// The response is the same each time, also from the next leader; it is 503 while it can't
+/// be decided.
 #[test]
-fn what_can_never_run_gets_the_same_422_from_every_leader_naming_the_reason() {
-    for (field, body) in never_running() {
+fn unsatisfiable_jobs_get_the_same_422_from_every_leader() {
+    for (field, body) in unsatisfiable_bodies() {
         let text = String::from_utf8_lossy(&body).into_owned();
         assert!(
             JobSpec::parse(&body).is_ok(),
@@ -257,12 +258,12 @@
     }
 }
 
-/// What was accepted is known, with no more than its name to go by.
+/// A repeated submission is recognized by its name alone.
 #[test]
-fn a_submission_with_the_name_of_an_accepted_job_gets_its_state() {
+fn repeated_submission_returns_the_state_of_the_accepted_job() {
     let mut d = Desk::new(5);
     assert_eq!(submit(&mut d, &body_of(&job(1, 1)), None).0, 201);
-    let others = never_running().into_iter().map(|(_, body)| body);
+    let others = unsatisfiable_bodies().into_iter().map(|(_, body)| body);
     for body in others.chain([body_of(&job(1, 9))]) {
         let a = submit(&mut d, &body, None);
         assert!(a.0 == 200 && a.1.contains("queued"), "{a:?}");
@@ -273,7 +274,7 @@
 
 type SettingsChange = fn(&mut Config);
 
-/// Ways in which what was accepted once would be refused now.
+/// Changes of the settings under which an accepted job would now be rejected.
 fn stricter_settings() -> [(&'static str, SettingsChange); 4] {
     [
         ("nothing", |_| {}),
@@ -283,10 +284,10 @@
     ]
 }
 
-/// A job whose description is larger than the state service takes got 400, also if it had
-/// been accepted and was over: nobody had looked.
+/// A job whose description exceeds the limit of the state service got 400 even if it had
+/// been accepted and had finished, as its final state was not read.
 #[test]
-fn a_repeated_submission_is_known_whatever_the_settings_are_now() {
+fn repeated_submission_is_recognized_after_settings_change() {
     let body = body_of(&job(1, 1));
     let mut first = Desk::new(5);
     submit(&mut first, &body, None);
@@ -304,7 +305,7 @@
             assert!(a.0 == 200 || waits, "{what}: over: {a:?}");
         }
     }
-    // Of a new job it is said, and each time.
+    // A new job is rejected, each time.
     let mut d = Desk::set_up(6, vec![], |c| c.value_kb = 0.5);
     for _ in 0..2 {
         let a = submit(&mut d, &body, None);
@@ -319,7 +320,7 @@
 }
 
 #[test]
-fn cancelling_what_is_over_or_unknown_changes_nothing() {
+fn cancelling_a_finished_or_unknown_job_changes_nothing() {
     let mut d = Desk::new(5);
     for (stored, status, says) in [(Some(DONE), 200, "done"), (None, 404, "no such job")] {
         for _ in 0..2 {
@@ -333,15 +334,15 @@
         assert_eq!(d.written, 0);
         d = Desk::new(6);
     }
-    // What was refused was never accepted.
-    let (_, body) = never_running().remove(0);
+    // A rejected job was never accepted.
+    let (_, body) = unsatisfiable_bodies().remove(0);
     assert_eq!(submit(&mut d, &body, None).0, 422);
     let req = d.ask(Ask::Cancel(JOB.into()));
     d.event(Event::FinalRead(JOB.into(), Ok(None)));
     assert_eq!(d.status(req), Some(404));
 }
 
-/// Jobs of one to three tasks, insistently submitted, and asked about to the end.
+/// Jobs of one to three tasks, submitted with retries and polled to the end.
 fn small_jobs(w: &mut World, from: u64, to: u64, every_s: f64) {
     for n in from..to {
         let mut j = job(n, 1 + (n % 3) as u32);
@@ -358,8 +359,9 @@
     }
 }
 
-/// Each submission was accepted, each job is done or cancelled, nothing is left.
-fn ends_well(w: &mut World, what: &str) {
+/// Checks that each submission was accepted, each job is done or cancelled, and none is
+/// left.
+fn check_all_jobs_ended(w: &mut World, what: &str) {
     w.run(90.0);
     assert!(
         w.broken.is_empty(),
@@ -376,10 +378,10 @@
     assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
 }
 
-/// With no other trouble: the cancellation reaches the leader just before the report of
-/// the end, at that moment, or after it.
+/// Without other faults: the cancellation reaches the leader just before, at the same time
+/// as, or after the heartbeat that reports the end.
 #[test]
-fn a_cancellation_may_meet_the_end_of_the_last_task() {
+fn cancellation_may_race_with_the_end_of_the_last_task() {
     let (mut cancelled, mut jobs) = (0, 0);
     for seed in 0..6 {
         let mut w = World::new(seed, 3);
@@ -388,7 +390,7 @@
         w.run(2.0);
         small_jobs(&mut w, 0, 30, 0.7);
         w.run(100.0);
-        ends_well(&mut w, &format!("seed {seed}"));
+        check_all_jobs_ended(&mut w, &format!("seed {seed}"));
         cancelled += w.cancellations();
         jobs += w.specs.len();
     }
@@ -398,7 +400,7 @@
     );
 }
 
-fn leader_ends(in_order: bool, back_s: f64) -> Ev {
+fn leader_stops(in_order: bool, back_s: f64) -> Ev {
     let change = match in_order {
         true => Change::InOrder,
         false => Change::Ends,
@@ -407,7 +409,7 @@
 }
 
 #[test]
-fn odd_requests_change_nothing_while_the_leader_changes() {
+fn invalid_requests_change_nothing_during_leader_changes() {
     for seed in 0..4 {
         let mut w = World::new(seed, 3);
         w.run_s = 6.0;
@@ -416,21 +418,21 @@
         w.odd_requests_for(60.0);
         w.run(10.0);
         for k in 0..5 {
-            w.at(0.0, leader_ends(k % 2 == 0, 0.5));
+            w.at(0.0, leader_stops(k % 2 == 0, 0.5));
             w.run(10.0);
         }
         w.run(40.0);
         let refused = |s| w.answers.iter().filter(|(_, a)| a.status == s).count();
         assert!(refused(400) > 30 && refused(422) > 30);
         w.specs.retain(|id, _| id.as_str() < "job-8");
-        ends_well(&mut w, &format!("seed {seed}"));
+        check_all_jobs_ended(&mut w, &format!("seed {seed}"));
     }
 }
 
-/// The controller that leads, or another one, ends in order or without warning and is
-/// back after 0.02 to 1 s; jobs are called off in the seconds before and after.
+/// The leader or another controller stops, orderly or by a crash, and is back after 0.02 to
+/// 1 s; jobs are cancelled in the seconds before and after.
 #[test]
-fn jobs_may_be_cancelled_while_the_work_of_a_controller_changes_hands() {
+fn jobs_may_be_cancelled_during_failover() {
     let mut cancelled = 0;
     for seed in 0..24 {
         let mut w = World::new(seed, 3);
@@ -440,14 +442,14 @@
         w.run(12.0);
         let back_s = [0.02, 0.1, 0.4, 1.0][(seed / 2 % 4) as usize];
         if seed % 4 == 3 {
-            // One that passes on what users ask.
+            // A follower, which forwards users' requests.
             let led = w.leader().expect("a leader");
             w.at(1.0, Ev::Kill((led + 1) % 3));
             w.at(1.0 + back_s, Ev::Restart((led + 1) % 3));
         } else {
-            w.at(1.0, leader_ends(seed % 2 == 0, back_s));
+            w.at(1.0, leader_stops(seed % 2 == 0, back_s));
         }
-        // Some of them while writes lag, so that what was asked for is not stored yet.
+        // In some runs writes are slow, so that the cancellation is not stored yet.
         if seed % 3 > 0 {
             w.conditions(0.5, 4.0, |c| c.writes = Some((0.05, 0.8)));
         }
@@ -456,7 +458,7 @@
             w.at(0.6 + 0.5 * k as f64, Ev::CancelNow(2, None));
         }
         w.run(200.0);
-        ends_well(&mut w, &format!("seed {seed}, back after {back_s} s"));
+        check_all_jobs_ended(&mut w, &format!("seed {seed}, back after {back_s} s"));
         cancelled += w.cancellations();
     }
     assert!(cancelled > 100, "{cancelled}");
