--- a/src/sched/job/compact.rs
+++ b/src/sched/job/compact.rs
@@ -25,7 +25,7 @@
     Short,
     #[error("trailing bytes")]
     Long,
-    #[error("number or name out value_at range")]
+    #[error("number or name out of range")]
     Range,
 }
 
--- a/src/sched/lifecycle.rs
+++ b/src/sched/lifecycle.rs
@@ -266,7 +266,7 @@
             }
         }
         for id in releasable {
-            tracing::info!(job = %id, %host, "job hold lifted: failures were caused by a host_quarantined machine");
+            tracing::info!(job = %id, %host, "job hold lifted: failures were caused by a faulty machine");
             // Failures on other machines stay counted.
             self.remove_hold(&id, HoldKind::System, "hookworks");
         }
