--- a/src/api.rs
+++ b/src/api.rs
@@ -1,10 +1,10 @@
 //! The HTTP API for users, workers and operators. `hookworks-http-server` handles the
 //! connections and their limits.
 
-use crate::ids::Label;
+use crate::ids::ControllerId;
 use crate::settings::Settings;
-use crate::time::wall;
-use crate::wire::peer::{Answer, Ask};
+use crate::time::wall_time_now;
+use crate::wire::peer::{Answer, Request};
 use crate::wire::worker::Redirect;
 use arc_swap::ArcSwapOption;
 use hookworks_http_server::{
@@ -20,7 +20,7 @@
 /// A request that the main loop answers.
 pub enum ApiRequest {
     /// A request of a user or worker, which a follower may forward to the leader.
-    Forwardable(Reply, Ask),
+    Forwardable(Reply, Request),
     /// A request for the overview of this controller.
     Overview(Reply),
 }
@@ -28,13 +28,13 @@
 /// Another controller that can take more workers.
 #[derive(Debug)]
 pub struct RedirectTarget {
-    label: Label,
+    label: ControllerId,
     free_places: AtomicUsize,
 }
 
 impl RedirectTarget {
     /// Creates a target that can take that many more workers.
-    pub fn new(label: Label, free_places: usize) -> RedirectTarget {
+    pub fn new(label: ControllerId, free_places: usize) -> RedirectTarget {
         RedirectTarget {
             label,
             free_places: AtomicUsize::new(free_places),
@@ -88,7 +88,7 @@
             .filter(|p| Instant::now() < p.valid_until)?;
         Some(Answer::new(
             200,
-            rows(&published.jobs.page(query, wall().0)),
+            rows(&published.jobs.page(query, wall_time_now().0)),
         ))
     }
 }
@@ -114,7 +114,7 @@
 }
 
 /// Redirects a worker to that controller, or to the next one it knows if none is given.
-pub fn redirect(leader: Option<Label>) -> Answer {
+pub fn redirect(leader: Option<ControllerId>) -> Answer {
     let body = serde_json::to_string(&Redirect { leader }).unwrap_or_default();
     Answer::new(421, body)
 }
@@ -243,18 +243,18 @@
 
     fn handle(&self, operation: Operation, body: Vec<u8>, reply: Reply) {
         let ask = match operation {
-            Operation::Submit => Ask::Submit(body),
-            Operation::Report => Ask::Report(body),
-            Operation::Poll(id) => Ask::Poll(id),
-            Operation::Cancel(id) => Ask::Cancel(id),
-            Operation::Hold(id) => Ask::Hold(id, body),
-            Operation::Release(id) => Ask::Release(id, body),
-            Operation::Show(id) => Ask::Show(id),
+            Operation::Submit => Request::Submit(body),
+            Operation::Report => Request::Report(body),
+            Operation::Poll(id) => Request::Poll(id),
+            Operation::Cancel(id) => Request::Cancel(id),
+            Operation::Hold(id) => Request::Hold(id, body),
+            Operation::Release(id) => Request::Release(id, body),
+            Operation::Show(id) => Request::Show(id),
             Operation::Events(query) => match since(&query) {
                 Err(e) => return reply.answer(Answer::error(400, &e)),
                 Ok(mark) => match self.shared.changes(mark) {
                     Some(answer) => return reply.answer(answer),
-                    None => Ask::Events(query),
+                    None => Request::Events(query),
                 },
             },
             Operation::List(query) => match Query::parse(&query) {
@@ -266,7 +266,7 @@
                     .filter(|_| parsed.wants_unfinished())
                 {
                     Some(answer) => return reply.answer(answer),
-                    None => Ask::List(query),
+                    None => Request::List(query),
                 },
             },
             Operation::Overview => {
--- a/src/node/job_lists.rs
+++ b/src/node/job_lists.rs
@@ -2,12 +2,12 @@
 
 use super::{Message, spawn};
 use crate::api::SharedStatus;
-use crate::ids::{JobId, ReqId};
+use crate::ids::{JobId, RequestId};
 use crate::sched::detail_of_record;
 use crate::settings::Settings;
 use crate::store::budget::Budget;
-use crate::store::client::State;
-use crate::store::{FINALS, StateClient, final_key};
+use crate::store::client::StateStore;
+use crate::store::{FINALS_PREFIX, StateClient, final_key};
 use crate::time::Clock;
 use crate::wire::peer::Answer;
 use crossbeam_channel::{Sender, bounded};
@@ -37,8 +37,8 @@
     clock: Clock,
     shared: Arc<SharedStatus>,
     inbox: Sender<Message>,
-) -> Sender<(ReqId, ListRequest)> {
-    let (sender, requests) = bounded::<(ReqId, ListRequest)>(MAX_QUEUED_LISTS);
+) -> Sender<(RequestId, ListRequest)> {
+    let (sender, requests) = bounded::<(RequestId, ListRequest)>(MAX_QUEUED_LISTS);
     let state = StateClient::new(
         settings.platform.services.state,
         Duration::from_millis(1200),
@@ -66,7 +66,7 @@
 /// Reads a page of finished jobs. It may hold few or no jobs although more follow, as
 /// the number of reads per list is limited.
 pub fn finished_page(
-    state: &impl State,
+    state: &impl StateStore,
     budget: &mut Budget,
     clock: Clock,
     query: &Query,
@@ -84,7 +84,7 @@
             break;
         }
         budget.take(clock.now(), 1.0);
-        let Ok(read) = state.page(FINALS, after.as_deref(), 200) else {
+        let Ok(read) = state.page(FINALS_PREFIX, after.as_deref(), 200) else {
             return Answer::later("the state service does not answer", 1);
         };
         let end = !read.more;
@@ -92,9 +92,9 @@
             if page.jobs.len() == query.page {
                 break;
             }
-            let id = JobId::from(item.key.trim_start_matches(FINALS));
+            let id = JobId::from(item.key.trim_start_matches(FINALS_PREFIX));
             after = Some(item.key);
-            let line = detail_of_record(&id, item.value).map(|d| d.line());
+            let line = detail_of_record(&id, item.value).map(|d| d.into_line());
             page.jobs.extend(line.filter(|l| l.matches(query)));
         }
         if end && page.jobs.len() < query.page {
@@ -105,7 +105,7 @@
             break;
         }
     }
-    let id = |key: String| Position::Finished(key.trim_start_matches(FINALS).to_string());
+    let id = |key: String| Position::Finished(key.trim_start_matches(FINALS_PREFIX).to_string());
     page.next = after.map(id);
     Answer::new(200, rows(&page))
 }
--- a/src/node/upgrade.rs
+++ b/src/node/upgrade.rs
@@ -3,13 +3,13 @@
 
 use super::leadership::LeadershipEnd;
 use super::{Message, Node, Role, spawn};
-use crate::ids::{ControllerVersion, Epoch, Instance, Label};
+use crate::ids::{ControllerId, ControllerVersion, Epoch, Instance};
 use crate::settings::Settings;
-use crate::store::client::State;
-use crate::store::{FORMAT, FormatRecord, RecordFormat, StateClient, VERSIONS};
-use crate::time::{Clock, Time, wall};
-use crate::versions::switch::{Decision, Reply, Step};
-use crate::versions::{Announcer, VersionTable, reads};
+use crate::store::client::StateStore;
+use crate::store::{FORMAT_KEY, FormatRecord, RecordFormat, StateClient, VERSIONS_PREFIX};
+use crate::time::{Clock, Time, wall_time_now};
+use crate::versions::switch::{Decision, Step, StepResult};
+use crate::versions::{Announcer, VersionTable, newest_readable_format};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     /// The switch to compact records is stored.
     Format(FormatRecord),
     /// The result of a request that the leader of that epoch made.
-    Reply(Epoch, Reply),
+    Reply(Epoch, StepResult),
 }
 
 /// The versions of the controllers and the record format, as far as known here.
@@ -63,12 +63,13 @@
 
     /// Whether records are written in a format that this version can't read.
     fn is_too_old(&self, version: ControllerVersion) -> bool {
-        self.format.is_some_and(|f| reads(version) < f.records)
+        self.format
+            .is_some_and(|f| newest_readable_format(version) < f.records)
     }
 
     /// The versions for the overview, as JSON.
     pub(super) fn overview(&self) -> serde_json::Value {
-        let entry = |(label, version): (&Label, Option<_>)| {
+        let entry = |(label, version): (&ControllerId, Option<_>)| {
             let view = match version {
                 Some((v, source)) => serde_json::json!({ "version": v, "known_by": source }),
                 None => serde_json::Value::Null,
@@ -122,14 +123,14 @@
     }
 }
 
-fn execute(state: &impl State, step: &Step) -> Reply {
+fn execute(state: &impl StateStore, step: &Step) -> StepResult {
     match step {
         Step::ReadVersions => {
-            let page = state.page(VERSIONS, None, 200);
-            Reply::Versions(page.map(|p| p.items).map_err(|_| ()))
+            let page = state.page(VERSIONS_PREFIX, None, 200);
+            StepResult::Versions(page.map(|p| p.items).map_err(|_| ()))
         }
-        Step::Store(txn) => Reply::Store(state.txn(txn)),
-        Step::ReadFormat => Reply::Format(state.get(FORMAT).map_err(|_| ())),
+        Step::Store(txn) => StepResult::Store(state.txn(txn)),
+        Step::ReadFormat => StepResult::Format(state.get(FORMAT_KEY).map_err(|_| ())),
     }
 }
 
@@ -152,7 +153,7 @@
     }
 
     /// Whether that controller is known to run at least this version.
-    pub(super) fn understands(&mut self, label: &Label, needs: ControllerVersion) -> bool {
+    pub(super) fn understands(&mut self, label: &ControllerId, needs: ControllerVersion) -> bool {
         if !self.upgrade.versions.understands(label, needs) {
             self.note_versions();
         }
@@ -169,7 +170,9 @@
         if !leadership.scheduler.may_start(now) {
             return;
         }
-        let step = leadership.switch.next(now, wall(), &self.upgrade.versions);
+        let step = leadership
+            .switch
+            .next_step(now, wall_time_now(), &self.upgrade.versions);
         if let Some(step) = step
             && self
                 .upgrade
@@ -178,10 +181,10 @@
                 .is_err()
         {
             // The request was not sent; the stored format is read before the next one.
-            let failed = Reply::Format(Err(()));
+            let failed = StepResult::Format(Err(()));
             leadership
                 .switch
-                .reply(now, failed, &mut self.upgrade.versions);
+                .handle_result(now, failed, &mut self.upgrade.versions);
         }
     }
 
@@ -192,7 +195,7 @@
         }
     }
 
-    fn switch_reply(&mut self, now: Time, epoch: Epoch, reply: Reply) {
+    fn switch_reply(&mut self, now: Time, epoch: Epoch, reply: StepResult) {
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
@@ -201,7 +204,7 @@
         }
         match leadership
             .switch
-            .reply(now, reply, &mut self.upgrade.versions)
+            .handle_result(now, reply, &mut self.upgrade.versions)
         {
             Decision::Nothing => {}
             Decision::Compact(record) => {
--- a/src/sched/dependency_ids.rs
+++ b/src/sched/dependency_ids.rs
@@ -119,7 +119,7 @@
 }
 
 fn parse_job_id(id: String) -> Option<JobId> {
-    JobId::well_formed(&id).then(|| JobId::from(id.as_str()))
+    JobId::is_well_formed(&id).then(|| JobId::from(id.as_str()))
 }
 
 /// Appends a variable-length integer, the lowest bits first.
--- a/src/sched/fences.rs
+++ b/src/sched/fences.rs
@@ -11,7 +11,7 @@
 use super::Scheduler;
 use super::machine::Machine;
 use crate::ids::{Epoch, Zone};
-use crate::time::{Span, Time, Wall};
+use crate::time::{Span, Time, WallTime};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub struct Fences {
     /// Zones to be fenced, with the time of the last possible answer.
-    wanted: BTreeMap<Zone, Wall>,
+    wanted: BTreeMap<Zone, WallTime>,
     /// Zones that the stored record of our epoch may name.
     possibly_written: BTreeSet<Zone>,
     /// Incremented with each change of `wanted`.
@@ -120,7 +120,7 @@
         }
     }
 
-    fn raise(&mut self, zone: Zone, since: Wall) {
+    fn raise(&mut self, zone: Zone, since: WallTime) {
         self.wanted.insert(zone, since);
         self.wanted_version += 1;
     }
@@ -129,7 +129,7 @@
 /// Converts wall-clock time `at` to our monotonic clock, never too early: both wall
 /// clocks may be off in opposite directions. It may lie in the future, where an earlier
 /// leader could still answer.
-fn to_local_time(now: Time, wall: Wall, at: Wall, clock_error: Span) -> Time {
+fn to_local_time(now: Time, wall: WallTime, at: WallTime, clock_error: Span) -> Time {
     let error = Span(2 * clock_error.0);
     if at.0 > wall.0 {
         return now + Span::millis(at.0 - wall.0).stretched() + error;
@@ -152,17 +152,17 @@
     /// Loads the record stored when this leadership began; ignored unless it is of the
     /// previous epoch. `wall` must have been read no later than `now`, so that
     /// converted times are never too early.
-    pub fn load_fences(&mut self, now: Time, wall: Wall, record: FenceRecord) {
+    pub fn load_fences(&mut self, now: Time, wall: WallTime, record: FenceRecord) {
         if record.epoch.0 + 1 != self.epoch.0 {
             return;
         }
         for (zone, since) in record.since {
-            let at = to_local_time(now, wall, Wall(since), self.config.clock_error);
+            let at = to_local_time(now, wall, WallTime(since), self.config.clock_error);
             let ago_s = now.0 as f64 / 1e6 - at.0 as f64 / 1e6;
             tracing::info!(%zone, ago_s, "zone was fenced by the previous leader");
             self.fences.inherited.insert(zone.clone(), at);
             // Recorded again under this epoch, for the next leader.
-            self.fences.raise(zone, Wall(since));
+            self.fences.raise(zone, WallTime(since));
         }
     }
 
@@ -183,7 +183,7 @@
         } else {
             self.wall.0.saturating_sub((now - at).0 / 1000)
         };
-        self.fences.raise(zone.clone(), Wall(since));
+        self.fences.raise(zone.clone(), WallTime(since));
     }
 
     /// Removes the fence because a worker of the zone was heard; the worker is answered
--- a/src/sched/fleet/rent.rs
+++ b/src/sched/fleet/rent.rs
@@ -2,13 +2,13 @@
 //! rental requests are answered.
 
 use super::{MachineKind, PendingRental};
-use crate::ids::{Build, Host, Team, Zone};
+use crate::ids::{Host, MachineTypeId, Team, Zone};
 use crate::sched::allowed_zones::AllowedZones;
 use crate::sched::job::Job;
 use crate::sched::machine::{Machine, MachineState};
 use crate::sched::{Effect, RentalResult, Resources, Scheduler};
 use crate::time::{Span, Time};
-use crate::wire::cloud::{Flavor, Hire};
+use crate::wire::cloud::{MachineType, RentalRequest};
 use std::collections::BTreeMap;
 
 /// A kind of machine that was refused is not requested again for this time.
@@ -190,7 +190,7 @@
         let count = (machines.ceil() as u32).clamp(1, max.max(1));
         self.fleet.last_request_number += 1;
         let name = format!("hw-{}-{}", self.fleet.epoch, self.fleet.last_request_number);
-        let request = Hire {
+        let request = RentalRequest {
             name: name.clone(),
             build: kind.build,
             zone: kind.zone,
@@ -325,7 +325,7 @@
     }
 
     /// The kinds of a machine type that may be requested now, with their prices.
-    fn offers(&self, now: Time, machine_type: &Flavor) -> Vec<(MachineKind, f64)> {
+    fn offers(&self, now: Time, machine_type: &MachineType) -> Vec<(MachineKind, f64)> {
         let mut offers = vec![];
         // Machines rented in a lost zone boot and are billed, but never report.
         for zone in machine_type
@@ -357,7 +357,7 @@
     }
 
     /// The boot time of a machine of that type, in seconds.
-    pub(in crate::sched) fn boot_s(&self, build: &Build) -> f64 {
+    pub(in crate::sched) fn boot_s(&self, build: &MachineTypeId) -> f64 {
         self.machine_types
             .get(build)
             .map_or(0.0, |machine_type| machine_type.boot_s)
@@ -414,7 +414,7 @@
     pub(in crate::sched) fn rental_answered(
         &mut self,
         now: Time,
-        request: Hire,
+        request: RentalRequest,
         result: RentalResult,
     ) {
         let kind = MachineKind::of_request(&request);
@@ -458,7 +458,7 @@
         }
     }
 
-    fn add_rented(&mut self, now: Time, host: Host, request: &Hire) {
+    fn add_rented(&mut self, now: Time, host: Host, request: &RentalRequest) {
         let token = self.base_token();
         let flavor = self.machine_types.get(&request.build);
         let machine = self.machines.entry(host.clone()).or_insert_with(|| {
--- a/src/sched/heartbeats.rs
+++ b/src/sched/heartbeats.rs
@@ -4,10 +4,10 @@
 use super::Scheduler;
 use super::machine::{Machine, MachineState, SentAnswer};
 use super::report_reconciliation::{Delivery, ReportSource};
-use crate::ids::{Host, Label, ReqId, Seq, Session};
+use crate::ids::{ControllerId, Host, RequestId, Seq, Session};
 use crate::time::{Span, Time};
 use crate::wire::peer::Answer;
-use crate::wire::worker::{Report, ReportAnswer};
+use crate::wire::worker::{Report, ReportResponse};
 
 /// The longest time an answer waits until the fence of its zone is removed from the
 /// record.
@@ -18,7 +18,7 @@
 
 /// A heartbeat that has not been answered yet.
 pub(super) struct PendingHeartbeat {
-    req: ReqId,
+    req: RequestId,
     received_at: Time,
     /// Session and sequence number, which order the heartbeats of a worker.
     position: (Session, Seq),
@@ -34,9 +34,9 @@
     pub(super) fn handle_heartbeat(
         &mut self,
         now: Time,
-        req: ReqId,
+        req: RequestId,
         body: &[u8],
-        via: Option<Label>,
+        via: Option<ControllerId>,
     ) {
         let report: Report = match serde_json::from_slice(body) {
             Ok(report) => report,
@@ -142,7 +142,10 @@
         // still renews the lease, so it carries all stops.
         let newest = heartbeat.newest;
         let orders = self.orders_for(now, host, Delivery::Answer { newest });
-        let answer = ReportAnswer { token, orders };
+        let answer = ReportResponse {
+            token,
+            commands: orders,
+        };
         let body = serde_json::to_string(&answer).unwrap_or_default();
         self.answer(heartbeat.req, Answer::new(200, body));
     }
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -7,9 +7,6 @@
 
 use super::inheritance::Inherited;
 use super::records::Purpose;
-use crate::ids::{Attempt, Host, JobId, ReqId, Seq, TaskIx};
-use crate::time::{Time, Wall};
-use crate::wire::user::{JobSpec, JobState, Kind};
 use hookworks_job_lifecycle::{FailureCounts, History, Holds, WallMillis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,6 +14,9 @@
 use super::attempt_places::AttemptPlace;
 use super::dependency_ids::DependencyIds;
 use super::resources::Resources;
+use crate::ids::{Attempt, Host, JobId, RequestId, Seq, TaskIndex};
+use crate::time::{Time, WallTime};
+use crate::wire::user::{JobKind, JobSpec, JobState};
 
 /// Progress of an attempt, as last reported by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     pub required_version: u64,
     pub phase: Phase,
     pub placed: Time,
-    pub placed_wall: Wall,
+    pub placed_wall: WallTime,
     pub running_since: Option<Time>,
     /// Placed by an earlier leader and not yet seen by this one before it ran.
     pub inherited: bool,
@@ -90,7 +90,7 @@
     pub arrived: Time,
     /// When its last dependency was done; the time of arrival if it has none.
     pub ready_since: Time,
-    pub submitted: Wall,
+    pub submitted: WallTime,
     pub cancelled: bool,
     /// Version of the first part that contains the cancellation; users are told only once
     /// that is stored.
@@ -103,8 +103,8 @@
     done: Vec<u64>,
     pub done_count: u32,
     next_unstarted: u32,
-    retry_tasks: BTreeSet<TaskIx>,
-    pub active: BTreeMap<TaskIx, ActiveAttempt>,
+    retry_tasks: BTreeSet<TaskIndex>,
+    pub active: BTreeMap<TaskIndex, ActiveAttempt>,
     pub parts: Vec<Part>,
     pub part_size: u32,
     pub runtimes: Vec<f64>,
@@ -119,7 +119,7 @@
     failed_before: u32,
     /// All tasks of the gang were running at the same time at some point.
     pub gang_ran: bool,
-    pub waiters: Vec<(u64, ReqId, ReplyKind)>,
+    pub waiters: Vec<(u64, RequestId, ReplyKind)>,
     pub holds: Holds,
     /// Holds that are durably stored; only these are shown to users, as newer ones could be
     /// lost. Then the version of the first part with the latest change of holds.
@@ -131,7 +131,7 @@
     /// Failures per task that count towards the retry limit.
     pub failure_counts: FailureCounts,
     pub history: History,
-    pub ended: Option<Wall>,
+    pub ended: Option<WallTime>,
     /// Bit set of the start conditions that are met.
     pub conditions_met: u32,
     /// Bit set of the start conditions that can't be met any more and led to a hold: once
@@ -142,7 +142,7 @@
     /// How many dependencies were done since the job was last stored.
     pub needs_met_unsaved: u32,
     /// When the last dependency was done, if there were any.
-    pub ready_at: Option<Wall>,
+    pub ready_at: Option<WallTime>,
     /// The dependency whose cancellation cancelled this job.
     pub cancelled_with: Option<JobId>,
     /// What it inherits from jobs that depend on it.
@@ -170,9 +170,9 @@
 }
 
 impl Job {
-    pub fn new(mut spec: JobSpec, seq: u64, now: Time, wall: Wall, part_size: u32) -> Job {
+    pub fn new(mut spec: JobSpec, seq: u64, now: Time, wall: WallTime, part_size: u32) -> Job {
         let n = spec.tasks;
-        let needs = std::mem::take(&mut spec.needs);
+        let needs = std::mem::take(&mut spec.dependencies);
         Job {
             need: Resources::of_task(&spec),
             spec,
@@ -254,11 +254,11 @@
         self.active.values().filter(is_running).count() as u32
     }
 
-    pub fn is_done(&self, t: TaskIx) -> bool {
+    pub fn is_done(&self, t: TaskIndex) -> bool {
         self.done[t.0 as usize / 64] >> (t.0 % 64) & 1 == 1
     }
 
-    pub fn set_done(&mut self, t: TaskIx) {
+    pub fn set_done(&mut self, t: TaskIndex) {
         if !self.is_done(t) {
             self.done[t.0 as usize / 64] |= 1 << (t.0 % 64);
             self.done_count += 1;
@@ -278,7 +278,7 @@
         if self.cancelled || self.closing_state.is_some() || self.held() || self.blocked() {
             return 0;
         }
-        if self.spec.kind == Kind::Gang && self.done_count > 0 {
+        if self.spec.kind == JobKind::Gang && self.done_count > 0 {
             return 0; // A gang completes as a whole, or has completed.
         }
         self.spec.tasks - self.done_count - self.active.len() as u32 - self.closed_count
@@ -289,12 +289,12 @@
     }
 
     /// Takes the next task to start, which is then no longer pending.
-    pub fn take_pending(&mut self) -> Option<TaskIx> {
+    pub fn take_pending(&mut self) -> Option<TaskIndex> {
         if let Some(t) = self.retry_tasks.pop_first() {
             return Some(t);
         }
         while self.next_unstarted < self.spec.tasks {
-            let t = TaskIx(self.next_unstarted);
+            let t = TaskIndex(self.next_unstarted);
             self.next_unstarted += 1;
             if !self.is_done(t) && !self.active.contains_key(&t) {
                 return Some(t);
@@ -310,7 +310,7 @@
         self.retry_tasks.clear();
         self.open_tasks = vec![0; self.done.len()];
         self.closed_count = self.spec.tasks;
-        for t in (0..self.spec.tasks).map(TaskIx) {
+        for t in (0..self.spec.tasks).map(TaskIndex) {
             if self.is_done(t) || self.active.contains_key(&t) {
                 self.open_task(t);
             }
@@ -318,7 +318,7 @@
     }
 
     /// The task's counterpart is done. Returns true if the task waited for it.
-    pub fn open_task(&mut self, t: TaskIx) -> bool {
+    pub fn open_task(&mut self, t: TaskIndex) -> bool {
         let (word, bit) = (t.0 as usize / 64, 1 << (t.0 % 64));
         match self.open_tasks.get_mut(word) {
             Some(w) if *w & bit == 0 => *w |= bit,
@@ -332,7 +332,7 @@
     }
 
     /// Whether the task may be started: not waiting, active or done.
-    pub fn is_startable(&self, t: TaskIx) -> bool {
+    pub fn is_startable(&self, t: TaskIndex) -> bool {
         let (word, bit) = (t.0 as usize / 64, 1 << (t.0 % 64));
         let open =
             self.open_tasks.is_empty() || self.open_tasks.get(word).is_some_and(|w| w & bit != 0);
@@ -340,18 +340,18 @@
     }
 
     /// Requeues a task whose attempt ended without success.
-    pub fn requeue(&mut self, t: TaskIx) {
+    pub fn requeue(&mut self, t: TaskIndex) {
         if !self.is_done(t) && t.0 < self.next_unstarted {
             self.retry_tasks.insert(t);
         }
     }
 
-    pub fn part_of(&self, t: TaskIx) -> usize {
+    pub fn part_of(&self, t: TaskIndex) -> usize {
         (t.0 / self.part_size) as usize
     }
 
     /// Whether every change of the task's part is stored.
-    pub fn part_stored(&self, t: TaskIx) -> bool {
+    pub fn part_stored(&self, t: TaskIndex) -> bool {
         let p = &self.parts[self.part_of(t)];
         p.stored_version >= p.version
     }
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -2,12 +2,12 @@
 
 use super::compact::{StartedTask, TaskRecord};
 use super::{ActiveAttempt, Job, MAX_RUNTIMES, Phase, Rest};
-use crate::ids::{Attempt, Host, TaskIx};
+use crate::ids::{Attempt, Host, TaskIndex};
 use crate::sched::attempt_places::AttemptPlaces;
 use crate::sched::dependency_ids::DependencyIds;
 use crate::sched::estimate;
-use crate::store::pieces::{self, RecordRoom};
-use crate::time::{Time, Wall};
+use crate::store::pieces::{self, RecordLimits};
+use crate::time::{Time, WallTime};
 use crate::wire::user::JobSpec;
 use hookworks_job_lifecycle::{
     History, Hold, HoldKind, Holds, JobEvent, MAX_REASON_BYTES, WallMillis,
@@ -110,7 +110,7 @@
 
 /// Converts the wall clock time `at` to the monotonic clock; `now` and `wall` are the
 /// current times of both clocks.
-fn steady_time(now: Time, wall: Wall, at: Wall) -> Time {
+fn steady_time(now: Time, wall: WallTime, at: WallTime) -> Time {
     Time(now.0.saturating_sub(1000 * wall.0.saturating_sub(at.0)))
 }
 
@@ -123,7 +123,7 @@
         } else {
             words.iter().map(|w| format!("{w:016x}")).collect()
         };
-        let live = || self.active.range(TaskIx(from)..TaskIx(to));
+        let live = || self.active.range(TaskIndex(from)..TaskIndex(to));
         let failures = self.failure_counts.encode(from, to);
         // Bytes left of the space that the part size was chosen for.
         let used = BYTES_PER_TASK as usize * live().count() + done.len() + failures.len();
@@ -147,22 +147,28 @@
         let (from, to) = self.part_range(part);
         let failures = self.failure_counts.encode(from, to);
         let digit = |c: char| c.to_digit(16).unwrap_or(0) as u8;
-        let started = |(t, l): (&TaskIx, &ActiveAttempt)| StartedTask {
+        let started = |(t, l): (&TaskIndex, &ActiveAttempt)| StartedTask {
             task: t.0 - from,
             attempt: l.attempt,
             host: l.host.clone(),
             placed: l.placed_wall,
             place: l.place.clone(),
         };
-        let live = self.active.range(TaskIx(from)..TaskIx(to));
+        let live = self.active.range(TaskIndex(from)..TaskIndex(to));
         TaskRecord {
-            done: (from..to).map(|t| self.is_done(TaskIx(t))).collect(),
+            done: (from..to).map(|t| self.is_done(TaskIndex(t))).collect(),
             failures: failures.chars().map(digit).collect(),
             started: live.map(started).collect(),
         }
     }
 
-    fn load_part(&mut self, part: usize, stored: StoredPart, now: Time, wall: Wall) -> Option<()> {
+    fn load_part(
+        &mut self,
+        part: usize,
+        stored: StoredPart,
+        now: Time,
+        wall: WallTime,
+    ) -> Option<()> {
         let (text, rest) = match stored {
             StoredPart::Legacy(record) => return self.load_legacy(part, record, now, wall),
             StoredPart::Compact(text) => (text, Rest::default()),
@@ -171,14 +177,14 @@
         let decoded = TaskRecord::decode(&text);
         let record = decoded
             .inspect_err(
-                |e| tracing::error!(job = %self.id(), part, error = %e, "compact record can't be decoded"),
+                |e| tracing::error!(job = %self.id(), part, error = %e, "compact record can't be decoded")
             )
             .ok()?;
         self.parts[part].rest = rest;
         self.load_tasks(part, record, now, wall)
     }
 
-    fn load_legacy(&mut self, part: usize, r: PartRecord, now: Time, wall: Wall) -> Option<()> {
+    fn load_legacy(&mut self, part: usize, r: PartRecord, now: Time, wall: WallTime) -> Option<()> {
         let from = (part as u32).checked_mul(self.part_size)?;
         for (i, word) in r.done.as_bytes().chunks(16).enumerate() {
             let w = u64::from_str_radix(std::str::from_utf8(word).ok()?, 16).ok()?;
@@ -187,7 +193,7 @@
                 if t >= self.spec.tasks {
                     return None;
                 }
-                self.set_done(TaskIx(t));
+                self.set_done(TaskIndex(t));
             }
         }
         let places = r.places.map(|p| p.for_entries(&r.live)).unwrap_or_default();
@@ -197,7 +203,7 @@
                 task: t,
                 attempt: Attempt(attempt),
                 host,
-                placed: Wall(at),
+                placed: WallTime(at),
                 place: places.next(),
             };
             self.load_started(started, now, wall)?;
@@ -208,14 +214,14 @@
         Some(())
     }
 
-    fn load_tasks(&mut self, part: usize, r: TaskRecord, now: Time, wall: Wall) -> Option<()> {
+    fn load_tasks(&mut self, part: usize, r: TaskRecord, now: Time, wall: WallTime) -> Option<()> {
         let (from, to) = self.part_range(part);
         let in_part = |count: usize| count <= (to - from) as usize;
         if !in_part(r.done.len()) || !in_part(r.failures.len()) {
             return None;
         }
         for (t, _) in (from..).zip(&r.done).filter(|(_, done)| **done) {
-            self.set_done(TaskIx(t));
+            self.set_done(TaskIndex(t));
         }
         for mut started in r.started {
             started.task = started.task.checked_add(from).filter(|t| *t < to)?;
@@ -228,7 +234,7 @@
     }
 
     /// Takes over an attempt that an earlier leader started.
-    fn load_started(&mut self, started: StartedTask, now: Time, wall: Wall) -> Option<()> {
+    fn load_started(&mut self, started: StartedTask, now: Time, wall: WallTime) -> Option<()> {
         if started.task >= self.spec.tasks {
             return None;
         }
@@ -248,7 +254,7 @@
             stop: None,
             timed_out: false,
         };
-        self.active.insert(TaskIx(started.task), live);
+        self.active.insert(TaskIndex(started.task), live);
         Some(())
     }
 
@@ -301,13 +307,13 @@
     /// Encodes one part in the compact format. The history is cut to fit into one value, or
     /// else into as many values as the record may have. If that does not suffice, the
     /// reasons of holds are left out, then the places of its tasks.
-    pub fn encode_compact(&self, part: usize, room: RecordRoom) -> serde_json::Value {
+    pub fn encode_compact(&self, part: usize, room: RecordLimits) -> serde_json::Value {
         let mut tasks = self.task_record(part);
         let rest = || self.parts[part].rest.clone();
         if part > 0 {
             let full = StoredPart::compact(&tasks, rest());
             let value = serde_json::to_value(full).unwrap_or_default();
-            if room.holds(&value) {
+            if room.fits(&value) {
                 return value;
             }
             tasks.forget_places();
@@ -322,15 +328,15 @@
         };
         let mut holds = self.holds.clone();
         let mut value = minimal(&tasks, &holds);
-        if !room.holds(&value) {
+        if !room.fits(&value) {
             holds = holds.abbreviated();
             value = minimal(&tasks, &holds);
         }
-        if !room.holds(&value) {
+        if !room.fits(&value) {
             tasks.forget_places();
             value = minimal(&tasks, &holds);
         }
-        let bytes = value["h"].to_string().len() + room.spare(&value);
+        let bytes = value["h"].to_string().len() + room.growth_bytes(&value);
         if bytes > MIN_HISTORY_BYTES && self.history.entries().next().is_some() {
             value["h"] = self.history.encode(bytes.min(MAX_HISTORY_BYTES));
         }
@@ -357,20 +363,20 @@
         if !self.needs.is_empty() {
             value["ready_at"] = u64::MAX.into();
         }
-        pieces::needed(&value.to_string(), value_bytes)
+        pieces::values_needed(&value.to_string(), value_bytes)
     }
 
-    pub fn decode(value: &serde_json::Value, now: Time, wall: Wall) -> Option<Job> {
+    pub fn decode(value: &serde_json::Value, now: Time, wall: WallTime) -> Option<Job> {
         let h = Header::deserialize(value).ok()?;
         // Parts begin at whole words of the bit set.
         if h.part_size == 0 || !h.part_size.is_multiple_of(64) || h.spec.tasks == 0 {
             return None;
         }
-        let mut job = Job::new(h.spec, h.seq, now, Wall(h.at), h.part_size);
-        job.arrived = steady_time(now, wall, Wall(h.at));
-        let ready = h.ready_at.map(|at| steady_time(now, wall, Wall(at)));
+        let mut job = Job::new(h.spec, h.seq, now, WallTime(h.at), h.part_size);
+        job.arrived = steady_time(now, wall, WallTime(h.at));
+        let ready = h.ready_at.map(|at| steady_time(now, wall, WallTime(at)));
         job.ready_since = ready.unwrap_or(job.arrived);
-        job.ready_at = h.ready_at.map(Wall);
+        job.ready_at = h.ready_at.map(WallTime);
         job.needs = h.needs;
         job.cancelled = h.cancelled;
         job.median_runtime = estimate::median(&h.runtimes);
@@ -393,7 +399,7 @@
         part: usize,
         value: &serde_json::Value,
         now: Time,
-        wall: Wall,
+        wall: WallTime,
     ) -> Option<()> {
         let stored = StoredPart::deserialize(value).ok()?;
         if part == 0 || part >= self.parts.len() {
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -2,10 +2,11 @@
 
 use super::resources::Resources;
 use crate::ids::{
-    Attempt, Build, CallId, Host, Image, JobId, Label, Seq, Session, TaskId, Token, Zone,
+    Attempt, CallId, ControllerId, Host, Image, JobId, MachineTypeId, Seq, Session, TaskId, Token,
+    Zone,
 };
 use crate::time::{Span, Time};
-use crate::wire::cloud::Flavor;
+use crate::wire::cloud::MachineType;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The phase of a machine's rental.
@@ -35,7 +36,7 @@
 pub struct Machine {
     pub host: Host,
     pub addr: Option<String>,
-    pub build: Build,
+    pub build: MachineTypeId,
     pub zone: Zone,
     pub spot: bool,
     pub state: MachineState,
@@ -61,7 +62,7 @@
     /// When it last sent anything, answers to direct calls included.
     pub last_contact: Time,
     /// The controller that forwarded its last heartbeat; none if it came directly.
-    pub relayed_by: Option<Label>,
+    pub relayed_by: Option<ControllerId>,
     /// When the last answer to one of its heartbeats was sent. The worker's lease
     /// starts earlier, when it sent the heartbeat.
     pub last_renewal: Time,
@@ -125,7 +126,14 @@
 
 impl Machine {
     /// A machine just rented or first seen, with no report yet.
-    pub fn new(host: Host, build: Build, zone: Zone, spot: bool, now: Time, token: Token) -> Self {
+    pub fn new(
+        host: Host,
+        build: MachineTypeId,
+        zone: Zone,
+        spot: bool,
+        now: Time,
+        token: Token,
+    ) -> Self {
         Machine {
             host,
             addr: None,
@@ -211,7 +219,7 @@
     }
 
     /// Sets capacity, cache size and fetch rate from the machine type.
-    pub fn set_machine_type(&mut self, machine_type: &Flavor) {
+    pub fn set_machine_type(&mut self, machine_type: &MachineType) {
         self.capacity = Resources::of_machine_type(machine_type);
         self.cache_gb = machine_type.cache_gb;
         self.fetch_gb_per_s = machine_type.fetch_gb_per_s;
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -34,36 +34,37 @@
 mod wait_limits;
 mod zones;
 
+use crate::store::RecordFormat;
+use crate::store::budget::Budget;
+use crate::wire::user::JobState;
 pub use fences::FenceRecord;
+use hookworks_job_lifecycle::RetryPolicy;
+use job::{Final, Job};
 pub use lifecycle::detail_of_record;
+use machine::{Allocation, Machine, MachineState};
 pub use records::{Key, PendingWrite, Purpose, WriteQueue};
 pub use requests::{LookUpCounts, answer_final};
 pub use resources::Resources;
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use crate::ids::{
-    Attempt, Build, CallId, Class, Epoch, Host, JobId, Label, ReqId, TaskId, Token, Zone,
+    Attempt, CallId, Class, ControllerId, Epoch, Host, JobId, MachineTypeId, RequestId, TaskId,
+    Token, Zone,
 };
-use crate::settings::{Settings, Tuning, Workers};
-use crate::store::RecordFormat;
-use crate::store::budget::Budget;
-use crate::time::{Span, Time, Wall};
-use crate::wire::cloud::{Flavor, Hire, Listed};
-use crate::wire::peer::{Answer, Ask};
-use crate::wire::user::JobState;
-use crate::wire::worker::{Orders, Report};
-use hookworks_job_lifecycle::RetryPolicy;
-use job::{Final, Job};
-use machine::{Allocation, Machine, MachineState};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use crate::settings::{Settings, Tuning, WorkerParams};
+use crate::time::{Span, Time, WallTime};
+use crate::wire::cloud::{ListedHost, MachineType, RentalRequest};
+use crate::wire::peer::{Answer, Request};
+use crate::wire::worker::{Commands, Report};
 
 /// An input of the scheduler.
 #[derive(Debug)]
 pub enum Event {
-    Ask(ReqId, Ask),
+    Ask(RequestId, Request),
     /// A heartbeat that another controller forwarded.
-    Relayed(ReqId, Label, Vec<u8>),
+    Relayed(RequestId, ControllerId, Vec<u8>),
     /// Controllers that are currently unreachable.
-    Unreachable(Vec<Label>),
+    Unreachable(Vec<ControllerId>),
     /// A record is durably stored, up to this version.
     Stored(Key, u64),
     /// The state service currently refuses writes for this job.
@@ -74,15 +75,15 @@
     FinalRead(JobId, Result<Option<Final>, ()>),
     /// Result of a consistent read of the whole final record, for a request that shows the
     /// job.
-    RecordRead(ReqId, JobId, Result<Option<serde_json::Value>, ()>),
+    RecordRead(RequestId, JobId, Result<Option<serde_json::Value>, ()>),
     Direct(CallId, Host, DirectResult),
-    MachineTypes(Vec<Flavor>),
-    Listed(Vec<Listed>),
-    RentalResult(Hire, RentalResult),
+    MachineTypes(Vec<MachineType>),
+    Listed(Vec<ListedHost>),
+    RentalResult(RentalRequest, RentalResult),
     Released(Vec<Host>, bool),
     /// The leader lease was renewed; the time is when the renewal was sent.
     LeadershipConfirmed(Time),
-    Tick(Wall),
+    Tick(WallTime),
     /// Requests have queued here for so long that their responses may arrive too late.
     Overloaded,
     /// The time returned by [`Scheduler::wake_at`] has come.
@@ -116,23 +117,23 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    Answer(ReqId, Answer),
+    Answer(RequestId, Answer),
     ReadFinal(JobId),
-    ReadRecord(ReqId, JobId),
+    ReadRecord(RequestId, JobId),
     Orders {
         call: CallId,
         host: Host,
         addr: String,
-        orders: Orders,
+        orders: Commands,
     },
-    Rent(Hire),
+    Rent(RentalRequest),
     Release(Vec<Host>),
 }
 
 /// Settings of the scheduler, fixed for one leadership.
 #[derive(Clone, Debug)]
 pub struct Config {
-    pub workers: Workers,
+    pub workers: WorkerParams,
     pub tuning: Tuning,
     pub teams: Vec<crate::settings::TeamLimit>,
     pub objectives: Vec<crate::settings::Objective>,
@@ -159,13 +160,13 @@
     /// Maximum age of the cloud's list of machines.
     pub max_list_age: Span,
     /// The other controllers and their zones.
-    pub controllers: BTreeMap<Label, Zone>,
+    pub controllers: BTreeMap<ControllerId, Zone>,
 }
 
 impl Config {
     pub fn from(s: &Settings) -> Config {
         // Settings with invalid sizes were rejected at startup.
-        let sizes = s.sizes().ok();
+        let sizes = s.capacity_limits().ok();
         Config {
             max_jobs: sizes.map_or(DEFAULT_MAX_JOBS, |s| s.jobs),
             max_finals: sizes.map_or(DEFAULT_MAX_JOBS, |s| s.finals),
@@ -181,7 +182,7 @@
             heartbeat_hold: Span::secs(s.tuning.hold_ms / 1000.0),
             zones: s.tuning.zones.limits(s.platform.params.workers.report_s),
             act_on_zones: s.tuning.zones.act,
-            fairness: s.tuning.served.floor(),
+            fairness: s.tuning.served.fairness_policy(),
             clock_error: Span::secs(s.platform.params.clock_error_ms / 1000.0),
             max_list_age: Span::secs(s.platform.params.cloud.list_lag_s * 2.0),
             controllers: s.platform.controllers(),
@@ -200,7 +201,7 @@
     pub epoch: Epoch,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<Host, Machine>,
-    pub machine_types: BTreeMap<Build, Flavor>,
+    pub machine_types: BTreeMap<MachineTypeId, MachineType>,
     pub write_queue: WriteQueue,
     /// The format in which records are written.
     record_format: RecordFormat,
@@ -222,7 +223,7 @@
     submission_lookups: referenced_jobs::Lookups,
     /// When running tasks reach their time limit.
     time_limits: BTreeSet<(Time, TaskId)>,
-    pending_final_reads: HashMap<JobId, Vec<(ReqId, Ask)>>,
+    pending_final_reads: HashMap<JobId, Vec<(RequestId, Request)>>,
     record_reads_in_flight: usize,
     lookup_budget: Budget,
     /// Budget for polls of jobs that are finished or unknown.
@@ -239,7 +240,7 @@
     resumed_at: Time,
     /// When requests were last found to have queued for too long.
     overloaded_at: Time,
-    wall: Wall,
+    wall: WallTime,
     /// Something has changed that requires another placement pass.
     replan: bool,
     /// Earliest time of the next placement pass; passes are batched.
@@ -286,12 +287,12 @@
 const SUMMARY_INTERVAL: Span = Span(10_000_000);
 
 impl Scheduler {
-    pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: Wall) -> Scheduler {
+    pub fn new(cfg: Config, epoch: Epoch, proven: Time, now: Time, wall: WallTime) -> Scheduler {
         let look_ups = 2.0 * cfg.lookup_reads_per_s;
         Scheduler {
             teams: team::Teams::new(&cfg.teams),
             fast_start_classes: BTreeSet::new(),
-            retry_policies: cfg.tuning.rules(),
+            retry_policies: cfg.tuning.retry_policies(),
             record_reads_in_flight: 0,
             lookup_budget: Budget::new(
                 cfg.lookup_reads_per_s,
@@ -487,12 +488,12 @@
         Token(self.epoch.base())
     }
 
-    fn answer(&mut self, req: ReqId, a: Answer) {
+    fn answer(&mut self, req: RequestId, a: Answer) {
         self.effects.push(Effect::Answer(req, a));
     }
 
-    fn set_machine_types(&mut self, flavors: Vec<Flavor>) {
-        let usable = |f: &Flavor| {
+    fn set_machine_types(&mut self, flavors: Vec<MachineType>) {
+        let usable = |f: &MachineType| {
             let fine = f.cpus > 0.0 && f.gpus >= 0.0 && f.memory_gb >= 0.0;
             if !fine {
                 tracing::warn!(build = %f.build, "machine type ignored: negative capacity or no CPUs");
@@ -533,7 +534,7 @@
                 };
                 let token = Token(self.epoch.base());
                 let m = self.machines.entry(l.host.clone()).or_insert_with(|| {
-                    let b = Build::from("");
+                    let b = MachineTypeId::from("");
                     Machine::new(l.host.clone(), b, "".into(), false, now, token)
                 });
                 m.state = MachineState::Up;
@@ -548,7 +549,7 @@
                 m.used += job.need;
                 let task = TaskId {
                     job: id.clone(),
-                    ix: *t,
+                    index: *t,
                 };
                 m.allocations.insert(task, slot);
                 self.teams.add(&job.spec.team, &job.need);
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -5,7 +5,7 @@
 use super::job::{self, Job};
 use super::machine::MachineState;
 use crate::time::Time;
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 use std::collections::BTreeMap;
 
 /// Maximum waiting gangs listed one by one.
@@ -114,7 +114,7 @@
 
     /// Gangs that have not started, and what each waits for.
     fn gangs_waiting(&self) -> Vec<serde_json::Value> {
-        let waits = |j: &&Job| j.spec.kind == Kind::Gang && j.pending() > 0;
+        let waits = |j: &&Job| j.spec.kind == JobKind::Gang && j.pending() > 0;
         let one = |j: &Job| {
             let short = self.fleet.shortages.iter().find(|s| s.job == *j.id());
             let left = self.teams.remaining(&j.spec.team).tasks_that_fit(&j.need);
@@ -139,7 +139,10 @@
     /// Number of service replicas that are not running, by class.
     fn replicas_missing(&self) -> BTreeMap<String, u32> {
         let mut missing = BTreeMap::new();
-        let services = self.jobs.values().filter(|j| j.spec.kind == Kind::Service);
+        let services = self
+            .jobs
+            .values()
+            .filter(|j| j.spec.kind == JobKind::Service);
         for j in services.filter(|j| !j.cancelled && j.needs.is_empty()) {
             let n = j.spec.tasks - j.running();
             if n > 0 {
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -19,9 +19,9 @@
 use super::machine::{Allocation, ENDLESS, Machine};
 use super::order::{Order, Turn};
 use super::records::Purpose;
-use crate::ids::{Attempt, Host, JobId, TaskId, TaskIx, Team};
+use crate::ids::{Attempt, Host, JobId, TaskId, TaskIndex, Team};
 use crate::time::{Span, Time};
-use crate::wire::user::{JobSpec, Kind};
+use crate::wire::user::{JobKind, JobSpec};
 use std::cell::Cell;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -140,7 +140,7 @@
         order: &Order,
         score_limit: u64,
     ) -> (Option<Shortage>, bool) {
-        let is_gang = |job: &Job| job.spec.kind == Kind::Gang;
+        let is_gang = |job: &Job| job.spec.kind == JobKind::Gang;
         if self.jobs.get(id).is_some_and(is_gang) {
             return (self.place_gang(now, id, reserved, order), true);
         }
@@ -522,10 +522,10 @@
     candidates
 }
 
-pub(super) fn task_id(id: &JobId, ix: TaskIx) -> TaskId {
+pub(super) fn task_id(id: &JobId, ix: TaskIndex) -> TaskId {
     TaskId {
         job: id.clone(),
-        ix,
+        index: ix,
     }
 }
 
@@ -665,7 +665,7 @@
 }
 
 pub(super) fn is_placed_individually(job: &Job) -> bool {
-    job.spec.kind == Kind::Gang || job.spec.one_zone || job.spec.spread
+    job.spec.kind == JobKind::Gang || job.spec.one_zone || job.spec.spread
 }
 
 fn fit_class(remaining: Option<(Span, Span)>, estimate: Span, max_spread: Span) -> u8 {
--- a/src/sched/reachability.rs
+++ b/src/sched/reachability.rs
@@ -142,7 +142,7 @@
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.active.get(&task.ix));
+                .and_then(|job| job.active.get(&task.index));
             !live.is_some_and(waits) || shown.contains(task)
         };
         let machine = self.machines.get(host);
@@ -189,7 +189,7 @@
             let live = self
                 .jobs
                 .get(&task.job)
-                .and_then(|job| job.active.get(&task.ix));
+                .and_then(|job| job.active.get(&task.index));
             live.is_some_and(|live| live.stop.is_some() || live.phase == Phase::Placed)
         };
         let running_unknown = machine.unknown_attempts.values().any(|ended| !ended);
--- a/src/sched/recovery.rs
+++ b/src/sched/recovery.rs
@@ -18,8 +18,8 @@
 use super::{Effect, Scheduler};
 use crate::ids::{CallId, Host, Session, TaskId, Token};
 use crate::time::{Span, Time};
-use crate::wire::user::Kind;
-use crate::wire::worker::Orders;
+use crate::wire::user::JobKind;
+use crate::wire::worker::Commands;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Recent probes in flight at a time; the other threads for direct calls serve commands
@@ -96,7 +96,7 @@
             return;
         };
         machine.direct_call = Some(call);
-        let orders = Orders {
+        let orders = Commands {
             token: machine.token,
             // The session of a worker that has not reported yet is unknown.
             session: if machine.has_reported {
@@ -104,7 +104,7 @@
             } else {
                 Session(0)
             },
-            orders: vec![],
+            commands: vec![],
         };
         self.probes.in_flight.insert(call, now);
         self.probes.sent_count += 1;
@@ -172,7 +172,7 @@
         };
         let spec = &job.spec;
         let stopped = job.cancelled || job.closing_state.is_some() || job.held() || job.blocked();
-        let anywhere = spec.kind == Kind::Array && !spec.one_zone && !spec.spread;
+        let anywhere = spec.kind == JobKind::Array && !spec.one_zone && !spec.spread;
         let left = self.teams.remaining(&spec.team);
         let fits = machine.capacity.covers(&machine.used) && left.at_least_zero() == left;
         !stopped && anywhere && fits && now >= job.backoff_until && may_run_on(spec, machine)
--- a/src/sched/referenced_jobs.rs
+++ b/src/sched/referenced_jobs.rs
@@ -6,11 +6,11 @@
 
 use super::job::Final;
 use super::{Effect, Scheduler};
-use crate::ids::{JobId, ReqId};
+use crate::ids::{JobId, RequestId};
 use crate::store::budget::Budget;
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask};
-use crate::wire::user::{After, JobSpec, JobState, Kind};
+use crate::wire::peer::{Answer, Request};
+use crate::wire::user::{JobKind, JobSpec, JobState, StartCondition};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -41,7 +41,7 @@
 
 /// Look-ups in flight, and the cached results of those that took too long.
 pub(super) struct Lookups {
-    in_flight: BTreeMap<ReqId, Lookup>,
+    in_flight: BTreeMap<RequestId, Lookup>,
     cached: BTreeMap<JobId, (Time, FoundJobs)>,
     /// Budget of submissions that name more jobs than may be read at once.
     budget: Budget,
@@ -91,21 +91,21 @@
     pub(super) fn look_up_referenced(
         &mut self,
         now: Time,
-        req: ReqId,
+        req: RequestId,
         spec: &JobSpec,
         body: &[u8],
     ) -> bool {
-        if spec.after.is_empty() && spec.needs.is_empty() {
+        if spec.start_conditions.is_empty() && spec.dependencies.is_empty() {
             return false;
         }
-        if !spec.needs.is_empty() && !self.accepts_dependencies() {
+        if !spec.dependencies.is_empty() && !self.accepts_dependencies() {
             let text = "Awaits: not before every controller runs this version";
             self.answer(req, Answer::later(text, 1));
             return true;
         }
-        if spec.needs.contains(&spec.id) {
+        if spec.dependencies.contains(&spec.id) {
             // Rejected, unless it was accepted by a version without dependencies.
-            self.look_up_final(now, req, spec.id.clone(), Ask::Submit(body.to_vec()));
+            self.look_up_final(now, req, spec.id.clone(), Request::Submit(body.to_vec()));
             return true;
         }
         let found = self.submission_lookups.cached.remove(&spec.id);
@@ -139,9 +139,9 @@
 
     fn unknown_names(&self, spec: &JobSpec) -> BTreeSet<JobId> {
         // Start conditions need the team of a finished job, which only its record contains.
-        let conditions = spec.after.iter().map(|a| &a.job);
+        let conditions = spec.start_conditions.iter().map(|a| &a.job);
         let conditions = conditions.filter(|id| !self.jobs.contains_key(id));
-        let needs = spec.needs.iter().filter(|id| !self.is_known(id));
+        let needs = spec.dependencies.iter().filter(|id| !self.is_known(id));
         conditions.chain(needs).cloned().collect()
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Sends as many reads for a submission as may be in flight.
-    fn read_referenced(&mut self, now: Time, req: ReqId) {
+    fn read_referenced(&mut self, now: Time, req: RequestId) {
         let all = &mut self.submission_lookups;
         let reads = all.reads();
         let Some(l) = all.in_flight.get_mut(&req).filter(|l| !l.answered) else {
@@ -179,7 +179,7 @@
     pub(super) fn referenced_read(
         &mut self,
         now: Time,
-        req: ReqId,
+        req: RequestId,
         id: &JobId,
         r: &Result<Option<Value>, ()>,
     ) -> bool {
@@ -219,7 +219,7 @@
         true
     }
 
-    fn stop_reading(&mut self, req: ReqId) {
+    fn stop_reading(&mut self, req: RequestId) {
         let all = &mut self.submission_lookups.in_flight;
         if let Some(l) = all.get_mut(&req) {
             let own = l.to_read.take(&l.spec.id);
@@ -229,7 +229,7 @@
     }
 
     /// Continues or answers a submission whose reads have all finished.
-    fn finish_lookup(&mut self, now: Time, req: ReqId, l: Lookup) {
+    fn finish_lookup(&mut self, now: Time, req: RequestId, l: Lookup) {
         if l.answered {
             return self.submission_lookups.cache(now, &l.spec.id, l.found);
         }
@@ -237,19 +237,19 @@
             // It finished long ago.
             let f = *f;
             self.cache_final(&l.spec.id, f);
-            self.handle_request(now, req, Ask::Submit(l.body));
+            self.handle_request(now, req, Request::Submit(l.body));
         } else if !self.may_start(now) {
             self.answer_unconfirmed(req);
         } else if self.jobs.contains_key(&l.spec.id) {
             // Submitted meanwhile by another request.
-            self.handle_request(now, req, Ask::Submit(l.body));
+            self.handle_request(now, req, Request::Submit(l.body));
         } else if !self.refuse_references(req, &l.spec, &l.found) {
             for (id, (f, _)) in &l.found {
                 self.cache_final(id, *f);
             }
             let mut spec = l.spec;
             let done = |id: &JobId| l.found.get(id).is_some_and(|f| f.0.state == JobState::Done);
-            spec.needs.retain(|id| !done(id));
+            spec.dependencies.retain(|id| !done(id));
             self.submit_resolved(now, req, spec, l.body);
         }
     }
@@ -259,7 +259,7 @@
         let all = &mut self.submission_lookups;
         all.cached.retain(|_, (since, _)| now - *since < CACHE_TTL);
         let open = all.in_flight.iter().filter(|(_, l)| !l.answered);
-        let requests: Vec<ReqId> = open.map(|(req, _)| *req).collect();
+        let requests: Vec<RequestId> = open.map(|(req, _)| *req).collect();
         for req in requests {
             self.read_referenced(now, req);
             let all = &mut self.submission_lookups.in_flight;
@@ -277,9 +277,13 @@
     }
 
     /// Rejects a submission whose named jobs don't allow it; true if it did.
-    fn refuse_references(&mut self, req: ReqId, spec: &JobSpec, found: &FoundJobs) -> bool {
+    fn refuse_references(&mut self, req: RequestId, spec: &JobSpec, found: &FoundJobs) -> bool {
         // A job that is not stored yet may never be; then this one would wait forever.
-        let names = spec.after.iter().map(|a| &a.job).chain(&spec.needs);
+        let names = spec
+            .start_conditions
+            .iter()
+            .map(|a| &a.job)
+            .chain(&spec.dependencies);
         let being_stored = |id: &JobId| {
             let j = self.jobs.get(id);
             j.is_some_and(|j| j.parts[0].stored_version == 0)
@@ -292,11 +296,11 @@
             }
         }
         let condition_error = spec
-            .after
+            .start_conditions
             .iter()
             .find_map(|a| self.condition_error(spec, a, found));
         let never = |id: &&JobId| !self.is_known(id) && !found.contains_key(*id);
-        let unknown = spec.needs.iter().find(never);
+        let unknown = spec.dependencies.iter().find(never);
         let unknown = unknown.map(|id| format!("Awaits: no job {id}"));
         if let Some(text) = condition_error.or(unknown) {
             self.answer(req, Answer::error(422, &text));
@@ -306,14 +310,19 @@
     }
 
     /// Why a start condition is rejected, if it is.
-    fn condition_error(&self, spec: &JobSpec, a: &After, found: &FoundJobs) -> Option<String> {
+    fn condition_error(
+        &self,
+        spec: &JobSpec,
+        a: &StartCondition,
+        found: &FoundJobs,
+    ) -> Option<String> {
         let team = match (self.jobs.get(&a.job), found.get(&a.job)) {
             (Some(j), _) => Some(j.spec.team.to_string()),
             (None, Some((_, team))) => team.clone(),
             (None, None) => return Some(format!("After: no job {}", a.job)),
         };
         let tasks = self.jobs.get(&a.job).map(|j| (j.spec.tasks, j.spec.kind));
-        if a.each && tasks.is_some_and(|t| t != (spec.tasks, Kind::Array)) {
+        if a.each && tasks.is_some_and(|t| t != (spec.tasks, JobKind::Array)) {
             let text = format!("After.Each: {} is no array of {} tasks", a.job, spec.tasks);
             return Some(text);
         }
--- a/src/sched/requests.rs
+++ b/src/sched/requests.rs
@@ -5,9 +5,9 @@
 use super::dependencies::ParentOutcome;
 use super::job::{Final, Job, ReplyKind};
 use super::records::Purpose;
-use crate::ids::{JobId, ReqId};
+use crate::ids::{JobId, RequestId};
 use crate::time::{Span, Time};
-use crate::wire::peer::{Answer, Ask};
+use crate::wire::peer::{Answer, Request};
 use crate::wire::user::{JobSpec, JobState, JobView};
 use hookworks_fairness::JobEvent;
 
@@ -49,29 +49,31 @@
 }
 
 impl Scheduler {
-    pub(super) fn handle_request(&mut self, now: Time, req: ReqId, ask: Ask) {
+    pub(super) fn handle_request(&mut self, now: Time, req: RequestId, ask: Request) {
         match ask {
-            Ask::Report(body) => self.handle_heartbeat(now, req, &body, None),
-            Ask::Submit(body) => match JobSpec::parse(&body) {
+            Request::Report(body) => self.handle_heartbeat(now, req, &body, None),
+            Request::Submit(body) => match JobSpec::parse(&body) {
                 Ok(spec) => self.submit(now, req, spec, body),
                 Err(e) => self.answer(req, Answer::error(400, &e)),
             },
-            Ask::Poll(id) => self.poll(now, req, id.as_str().into()),
-            Ask::Cancel(id) => self.cancel(now, req, id.as_str().into()),
-            Ask::Hold(id, body) => self.hold(now, req, id.as_str().into(), body),
-            Ask::Release(id, body) => self.release(now, req, id.as_str().into(), body),
+            Request::Poll(id) => self.poll(now, req, id.as_str().into()),
+            Request::Cancel(id) => self.cancel(now, req, id.as_str().into()),
+            Request::Hold(id, body) => self.hold(now, req, id.as_str().into(), body),
+            Request::Release(id, body) => self.release(now, req, id.as_str().into(), body),
             // Lists are served elsewhere, from the published lines.
-            Ask::List(_) | Ask::Events(_) => self.answer(req, Answer::error(404, "no such path")),
-            Ask::Show(id) => self.show_job(now, req, id.as_str().into()),
+            Request::List(_) | Request::Events(_) => {
+                self.answer(req, Answer::error(404, "no such path"))
+            }
+            Request::Show(id) => self.show_job(now, req, id.as_str().into()),
         }
     }
 
-    pub(super) fn answer_unconfirmed(&mut self, req: ReqId) {
+    pub(super) fn answer_unconfirmed(&mut self, req: RequestId) {
         let text = "leadership is not proven at the moment";
         self.answer(req, Answer::later(text, 1));
     }
 
-    fn submit(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
+    fn submit(&mut self, now: Time, req: RequestId, spec: JobSpec, body: Vec<u8>) {
         let id = spec.id.clone();
         if let Some(f) = self.finals.get(&id) {
             let f = *f;
@@ -106,7 +108,13 @@
     }
 
     /// Continues a submission once the jobs that it names are known.
-    pub(super) fn submit_resolved(&mut self, now: Time, req: ReqId, spec: JobSpec, body: Vec<u8>) {
+    pub(super) fn submit_resolved(
+        &mut self,
+        now: Time,
+        req: RequestId,
+        spec: JobSpec,
+        body: Vec<u8>,
+    ) {
         let id = spec.id.clone();
         // A repeated submission must never get 400 or 422, so a submission that would be
         // rejected is rejected only after reading whether the job has already finished.
@@ -116,7 +124,7 @@
                     .record(now, &spec.class, &spec.team, JobEvent::Refused);
                 return self.answer(req, Answer::later(&e, 1));
             }
-            Ok(Some(_)) => return self.look_up_final(now, req, id, Ask::Submit(body)),
+            Ok(Some(_)) => return self.look_up_final(now, req, id, Request::Submit(body)),
             Ok(None) => {}
         }
         if self.jobs.len() >= self.config.max_jobs {
@@ -129,7 +137,7 @@
             return self.answer(req, too_many_dependencies());
         }
         if self.too_large(&job) {
-            return self.look_up_final(now, req, id, Ask::Submit(body));
+            return self.look_up_final(now, req, id, Request::Submit(body));
         }
         self.next_seq += 1;
         // Written after the next pass, so that one write holds the job and its first starts.
@@ -147,7 +155,7 @@
         self.replan = true;
     }
 
-    fn answer_active(&mut self, req: ReqId, id: &JobId) {
+    fn answer_active(&mut self, req: RequestId, id: &JobId) {
         if !self.ancestors_known(id) {
             return self.answer(
                 req,
@@ -172,7 +180,7 @@
 
     /// Answers requests for final states, which needs no valid lease, and rejects others
     /// while the lease is not confirmed.
-    fn answer_final_or_unconfirmed(&mut self, now: Time, req: ReqId, id: &JobId) -> bool {
+    fn answer_final_or_unconfirmed(&mut self, now: Time, req: RequestId, id: &JobId) -> bool {
         if let Some(f) = self.finals.get(id) {
             let f = *f;
             self.answer(req, final_response(id, f));
@@ -186,7 +194,7 @@
         true
     }
 
-    fn poll(&mut self, now: Time, req: ReqId, id: JobId) {
+    fn poll(&mut self, now: Time, req: RequestId, id: JobId) {
         if self.answer_final_or_unconfirmed(now, req, &id) {
             return;
         }
@@ -200,11 +208,11 @@
                 self.answer(req, Answer::later("the job is being stored", 1));
             }
             Some(_) => self.answer_active(req, &id),
-            None => self.look_up_final(now, req, id.clone(), Ask::Poll(id.to_string())),
+            None => self.look_up_final(now, req, id.clone(), Request::Poll(id.to_string())),
         }
     }
 
-    fn cancel(&mut self, now: Time, req: ReqId, id: JobId) {
+    fn cancel(&mut self, now: Time, req: RequestId, id: JobId) {
         if self.answer_final_or_unconfirmed(now, req, &id) {
             return;
         }
@@ -216,7 +224,7 @@
             return self.answer(req, a);
         }
         let Some(j) = self.jobs.get_mut(&id) else {
-            return self.look_up_final(now, req, id.clone(), Ask::Cancel(id.to_string()));
+            return self.look_up_final(now, req, id.clone(), Request::Cancel(id.to_string()));
         };
         if j.closing_state.is_some() {
             j.waiters.push((u64::MAX, req, ReplyKind::Cancel));
@@ -254,9 +262,9 @@
         }
     }
 
-    pub(super) fn look_up_final(&mut self, now: Time, req: ReqId, id: JobId, ask: Ask) {
+    pub(super) fn look_up_final(&mut self, now: Time, req: RequestId, id: JobId, ask: Request) {
         // No job with a malformed id can ever have been accepted.
-        if !JobId::well_formed(id.as_str()) {
+        if !JobId::is_well_formed(id.as_str()) {
             return self.answer(req, Answer::error(404, "no such job"));
         }
         if self.pending_final_reads.len() >= MAX_FINAL_READS {
@@ -267,7 +275,7 @@
         // Polls get a bounded share of the state service's request quota. Otherwise they
         // could use up all of it, and every request would be refused for a while, lease
         // renewals among them.
-        if first && matches!(ask, Ask::Poll(_)) {
+        if first && matches!(ask, Request::Poll(_)) {
             if !self.poll_budget.has(now, 1.0) {
                 self.lookup_counts.over_budget += 1;
                 return self.answer(req, Answer::later("too many look-ups at a time", 1));
@@ -303,7 +311,7 @@
         for (req, ask) in asked {
             let a = match (&r, &ask) {
                 (Err(()), _) => Answer::later("the state service does not answer", 1),
-                (Ok(Some(f)), Ask::Hold(..) | Ask::Release(..)) => {
+                (Ok(Some(f)), Request::Hold(..) | Request::Release(..)) => {
                     Answer::new(409, job_view_json(&id, f.state, f.done, 0))
                 }
                 (Ok(Some(f)), _) => final_response(&id, *f),
@@ -314,7 +322,7 @@
                 (Ok(None), _) if self.jobs.contains_key(&id) => {
                     Answer::later("the job is being stored", 1)
                 }
-                (Ok(None), Ask::Submit(body)) => self.refusal_answer(now, body),
+                (Ok(None), Request::Submit(body)) => self.refusal_answer(now, body),
                 (Ok(None), _) => Answer::error(404, "no such job"),
             };
             self.answer(req, a);
@@ -325,7 +333,7 @@
         &mut self,
         now: Time,
         id: &JobId,
-        ready: Vec<(u64, ReqId, ReplyKind)>,
+        ready: Vec<(u64, RequestId, ReplyKind)>,
     ) {
         for (_, req, what) in ready {
             // A cancellation is final. Any other stored state may be out of date: a leader
@@ -358,7 +366,7 @@
     pub(super) fn answer_waiters_final(
         &mut self,
         id: &JobId,
-        waiters: Vec<(u64, ReqId, ReplyKind)>,
+        waiters: Vec<(u64, RequestId, ReplyKind)>,
         f: Final,
         new: bool,
     ) {
--- a/src/sched/resources.rs
+++ b/src/sched/resources.rs
@@ -1,7 +1,7 @@
 //! Amounts of CPUs, accelerators and memory, in thousandths of a unit so that sums stay
 //! exact.
 
-use crate::wire::cloud::Flavor;
+use crate::wire::cloud::MachineType;
 use crate::wire::user::{JobSpec, MAX_TASKS};
 use std::fmt;
 use std::ops::{AddAssign, SubAssign};
@@ -37,7 +37,7 @@
         }
     }
     /// The capacity of a machine, rounded down.
-    pub fn of_machine_type(flavor: &Flavor) -> Resources {
+    pub fn of_machine_type(flavor: &MachineType) -> Resources {
         Resources {
             cpu: to_milli_floor(flavor.cpus),
             gpu: to_milli_floor(flavor.gpus),
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -7,9 +7,9 @@
 use super::job::{ActiveAttempt, Job, Phase};
 use super::machine::{Machine, MachineState};
 use super::{Config, Resources, Scheduler, estimate};
-use crate::ids::{Host, Label, TaskId, Zone};
+use crate::ids::{ControllerId, Host, TaskId, Zone};
 use crate::time::{Span, Time};
-use crate::wire::user::{Kind, Priority};
+use crate::wire::user::{JobKind, Priority};
 use hookworks_zones::{
     AttemptAtRisk, AttemptKind, Budget, Change, Evidence, LostMachine, State, Zones, plan_releases,
 };
@@ -36,7 +36,7 @@
 pub(super) struct ZoneMonitor {
     pub zones: Zones,
     /// The zones of the other controllers.
-    controllers: BTreeMap<Label, Zone>,
+    controllers: BTreeMap<ControllerId, Zone>,
     /// Direct calls that failed since the last update.
     failed_calls: BTreeMap<Zone, u32>,
     tally: BTreeMap<Zone, Tally>,
@@ -339,7 +339,7 @@
         let lease = self.lease_bound();
         let at_risk = |task: &TaskId| {
             let job = self.jobs.get(&task.job)?;
-            let live = job.active.get(&task.ix)?;
+            let live = job.active.get(&task.index)?;
             Some(self.attempt_at_risk(now, machine, job, live))
         };
         LostMachine {
@@ -371,14 +371,14 @@
             true => Span::secs(ran_for.as_secs() % checkpoint_s),
             false => ran_for,
         };
-        let gang = job.spec.kind == Kind::Gang;
+        let gang = job.spec.kind == JobKind::Gang;
         // A gang runs only as a whole: one that has lost a member or is being stopped
         // only waits for proof that the other members have ended.
         let complete = job.active.len() as u32 == job.spec.tasks
             && job.active.values().all(|live| live.stop.is_none());
         let kind = match job.spec.kind {
-            Kind::Service => AttemptKind::Replica,
-            Kind::Gang if !complete || live.stop.is_some() => AttemptKind::BrokenGang,
+            JobKind::Service => AttemptKind::Replica,
+            JobKind::Gang if !complete || live.stop.is_some() => AttemptKind::BrokenGang,
             _ if job.priority() <= Priority::High || self.is_quick(&job.spec.class) => {
                 AttemptKind::Urgent
             }
@@ -516,5 +516,5 @@
 
 /// Whether production and urgent tasks may preempt this job.
 fn may_be_preempted(job: &Job) -> bool {
-    job.spec.kind == Kind::Array && job.priority() > Priority::High
+    job.spec.kind == JobKind::Array && job.priority() > Priority::High
 }
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -6,9 +6,9 @@
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
 use hookworks::sched::{DirectResult, Event};
-use hookworks::time::{Span, Time, Wall};
-use hookworks::wire::cloud::Listed;
-use hookworks::wire::peer::Ask;
+use hookworks::time::{Span, Time, WallTime};
+use hookworks::wire::cloud::ListedHost;
+use hookworks::wire::peer::Request;
 use hookworks::wire::worker::*;
 use std::collections::BTreeSet;
 use world::desk::{Desk, report, task};
@@ -68,10 +68,10 @@
     // lease has expired or a later session is reported.
     d.beat(&report(2, 1, Token(0)));
     assert_eq!(
-        d.s.jobs[&"job-000003".into()].active[&TaskIx(0)].host,
+        d.s.jobs[&"job-000003".into()].active[&TaskIndex(0)].host,
         host(2)
     );
-    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].active[&TaskIx(0)].host == host(1);
+    let there = |d: &Desk| d.s.jobs[&"job-000002".into()].active[&TaskIndex(0)].host == host(1);
     assert!(there(&d));
     let mut r = report_with_running_task(seq, a);
     r.session = Session(2);
@@ -91,7 +91,7 @@
     let (mut d, a) = with_running_task();
     let mut seq = become_unreachable(&mut d, a);
     let answered = d.s.machines[&host(1)].last_renewal;
-    d.ask(Ask::Cancel(JOB.into()));
+    d.ask(Request::Cancel(JOB.into()));
     let cancelled = d.now;
     while d.attempt(JOB, 0).is_some() {
         assert!(
@@ -203,7 +203,7 @@
     d.submit(&job(1, 1));
     let a = d.attempt(JOB, 0).unwrap();
     let j = &d.s.jobs[&JOB.into()];
-    let mut j = Job::decode(&j.encode(0), Time(d.now), Wall(d.now / 1000)).unwrap();
+    let mut j = Job::decode(&j.encode(0), Time(d.now), WallTime(d.now / 1000)).unwrap();
     (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
     let mut d = Desk::with(6, vec![j]);
     d.refuses = true;
@@ -254,7 +254,7 @@
     );
     assert!(d.s.machines[&host(1)].spot_notice_until.is_none());
     // The cloud lists it, so it exists.
-    let listed = Listed {
+    let listed = ListedHost {
         host: host(1),
         addr: None,
         build: "m8".into(),
@@ -289,7 +289,7 @@
 fn a_partitioned_leader_refuses_its_workers() {
     for (alone, busy) in [(true, false), (false, false), (true, true)] {
         let others = [("b", "a"), ("c", "b")];
-        let others = others.map(|(l, z)| (Label::from(l), Zone::from(z)));
+        let others = others.map(|(l, z)| (ControllerId::from(l), Zone::from(z)));
         let mut d = Desk::set_up(5, vec![], |c| {
             c.controllers = others.iter().cloned().collect()
         });
@@ -297,7 +297,7 @@
         d.proves = false;
         for n in 2..20 {
             let away = if alone { vec!["b", "c"] } else { vec!["b"] };
-            let away = away.into_iter().map(Label::from).collect();
+            let away = away.into_iter().map(ControllerId::from).collect();
             d.event(Event::Unreachable(away));
             if busy {
                 d.event(Event::Overloaded);
@@ -323,7 +323,7 @@
     d.wait(1.0);
     // Less than a lease, but longer than a silent machine is kept.
     d.now += 14_000_000;
-    d.event(Event::Tick(Wall(d.now / 1000)));
+    d.event(Event::Tick(WallTime(d.now / 1000)));
     // More than half of them report before the others.
     for n in 1..=3 {
         d.beat(&report(n, 2, Token(0)));
@@ -359,7 +359,7 @@
         pause(&mut d, 1);
         d.wait(0.25);
         pause(&mut d, 2);
-        let poll = d.ask(Ask::Poll(JOB.into()));
+        let poll = d.ask(Request::Poll(JOB.into()));
         let beat = d.beat(&report(1, 2, Token(0)));
         assert_ne!(d.status(poll), Some(200), "pause at {pause_at}");
         assert!(d.direct().is_empty());
@@ -367,7 +367,7 @@
             assert_eq!(d.status(req), Some(503));
         }
         // Workers' leases are renewed during the grace period, but no command is sent.
-        assert!(beat.is_none_or(|a| a.orders.is_empty()));
+        assert!(beat.is_none_or(|a| a.commands.is_empty()));
     }
 }
 
@@ -381,7 +381,7 @@
     d.beat(&report(1, 900, Token(3)));
     d.wait(0.25);
     let (call, h, orders) = d.direct().remove(0);
-    assert!(orders.orders.is_empty(), "a probe carries no commands");
+    assert!(orders.commands.is_empty(), "a probe carries no commands");
     let mut r = report(1, 3, orders.token);
     r.session = Session(2);
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
