--- a/src/peer/inbound.rs
+++ b/src/peer/inbound.rs
@@ -1,7 +1,7 @@
-//! Connections of the other controllers: pings go to the membership, messages for this
-//! controller to the main loop, and those for the third are passed on.
+//! Inbound connections from the other controllers: pings go to the membership, messages to
+//! this controller go to the main loop, and those to the third one are forwarded.
 
-use super::{FromPeers, INBOUND_EACH, Peers};
+use super::{MAX_INBOUND_PER_PEER, PeerEvent, Peers};
 use crate::ids::{ControllerId, ControllerVersion, Epoch, Instance};
 use crate::wire::peer::{PeerMessage, PingExtension, PingIdentity};
 use crate::wire::peer_frame;
@@ -12,17 +12,17 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// A live peer pings twice a second; a connection that is silent for longer is closed.
+/// A live peer pings twice a second; a connection without data for longer is closed.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 const READ_BUFFER_BYTES: usize = 32 * 1024;
-/// After a failure to accept, most likely for want of descriptors.
+/// Delay after a failure to accept, most likely for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Peers {
     /// Accepts connections, with a thread for each.
     pub(super) fn accept<F>(self: Arc<Self>, listener: &TcpListener, inbox: &F)
     where
-        F: Fn(FromPeers) -> bool + Send + Clone + 'static,
+        F: Fn(PeerEvent) -> bool + Send + Clone + 'static,
     {
         let open = Arc::new(AtomicUsize::new(0));
         for stream in listener.incoming() {
@@ -30,16 +30,16 @@
                 std::thread::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             };
-            if open.fetch_add(1, Ordering::SeqCst) >= INBOUND_EACH * self.links.len() {
+            if open.fetch_add(1, Ordering::SeqCst) >= MAX_INBOUND_PER_PEER * self.links.len() {
                 open.fetch_sub(1, Ordering::SeqCst);
                 continue;
             }
-            // Numbered here: threads may begin in another order.
-            let link = LinkId(self.next_link.fetch_add(1, Ordering::Relaxed));
-            let (peers, inbox, now_open) = (self.clone(), inbox.clone(), open.clone());
+            // Numbered here, as the threads may start in another order.
+            let link = LinkId(self.next_link_id.fetch_add(1, Ordering::Relaxed));
+            let (peers, inbox, open_connections) = (self.clone(), inbox.clone(), open.clone());
             let started = crate::node::spawn("peer-in", move || {
                 peers.listen_to(stream, link, &inbox);
-                now_open.fetch_sub(1, Ordering::SeqCst);
+                open_connections.fetch_sub(1, Ordering::SeqCst);
             });
             if !started {
                 open.fetch_sub(1, Ordering::SeqCst);
@@ -47,43 +47,43 @@
         }
     }
 
-    fn listen_to(&self, stream: TcpStream, link: LinkId, inbox: &impl Fn(FromPeers) -> bool) {
+    fn listen_to(&self, stream: TcpStream, link: LinkId, inbox: &impl Fn(PeerEvent) -> bool) {
         let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
         let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
         while let Ok((message, (more, sender))) = peer_frame::read(&mut stream) {
-            let goes_on = match message {
+            let main_loop_runs = match message {
                 PeerMessage::Ping { .. } => match ping_status(message, &more, sender) {
                     Some((from, status)) => self.receive_ping(from, link, status, inbox),
                     None => true,
                 },
                 message => self.receive(message, inbox),
             };
-            if !goes_on {
+            if !main_loop_runs {
                 break;
             }
         }
-        let gone = self.members().link_closed(link);
+        let gone = self.membership().link_closed(link);
         if let Some(label) = gone {
-            tracing::debug!(%label, "its link has ended");
+            tracing::debug!(%label, "inbound link from controller closed");
             self.ping_all();
-            inbox(FromPeers::Gone(label));
+            inbox(PeerEvent::Disconnected(label));
         }
     }
 
-    /// Takes a message for this controller, or passes it on to where it belongs; false
-    /// once nobody listens any more.
-    fn receive(&self, message: PeerMessage, inbox: &impl Fn(FromPeers) -> bool) -> bool {
+    /// Handles a message to this controller, or forwards it to its receiver. False once
+    /// the main loop has ended.
+    fn receive(&self, message: PeerMessage, inbox: &impl Fn(PeerEvent) -> bool) -> bool {
         let to = match &message {
             PeerMessage::Request { to, .. } | PeerMessage::Response { to, .. } => {
                 ControllerId::from(to.as_str())
             }
             PeerMessage::Ping { .. } => return true,
         };
-        if to == self.me.label {
-            return inbox(FromPeers::Msg(self.now(), message));
+        if to == self.local.label {
+            return inbox(PeerEvent::Message(self.now(), message));
         }
-        // Passed on once, straight to where it belongs.
-        if self.members().reachable(self.now(), &to)
+        // Forwarded once, and only over a direct link.
+        if self.membership().reachable(self.now(), &to)
             && let Some(link) = self.links.get(&to)
         {
             let _ = link.queue.try_send(vec![message]);
@@ -91,36 +91,38 @@
         true
     }
 
-    /// Takes a ping; false once nobody listens any more.
+    /// Handles a ping. False once the main loop has ended.
     fn receive_ping(
         &self,
         from: ControllerId,
-        by: LinkId,
+        link_id: LinkId,
         status: PeerStatus,
-        inbox: &impl Fn(FromPeers) -> bool,
+        inbox: &impl Fn(PeerEvent) -> bool,
     ) -> bool {
         let Some(link) = self.links.get(&from) else {
             return true;
         };
-        let outcome = self.members().record_ping(self.now(), &from, by, status);
+        let outcome = self
+            .membership()
+            .record_ping(self.now(), &from, link_id, status);
         match outcome {
             PingOutcome::Unchanged | PingOutcome::Stale => true,
             PingOutcome::Joined => {
-                // It waits for our word that it is heard.
+                // The peer waits for a ping that confirms that it is heard.
                 self.ping_all();
                 true
             }
             PingOutcome::Restarted => {
-                tracing::info!(label = %from, "another process has taken up that label");
-                link.process.fetch_add(1, Ordering::SeqCst);
+                tracing::info!(label = %from, "controller restarted under the same label");
+                link.restart_count.fetch_add(1, Ordering::SeqCst);
                 self.ping_all();
-                inbox(FromPeers::Gone(from))
+                inbox(PeerEvent::Disconnected(from))
             }
         }
     }
 }
 
-/// Who sent a ping, and what it says; none if the message is no ping.
+/// The sender and the content of a ping; none if the message is no ping.
 fn ping_status(
     message: PeerMessage,
     more: &PingExtension,
--- a/src/sched/life.rs
+++ b/src/sched/lifecycle.rs
@@ -1,46 +1,55 @@
-//! A job's life beyond placing: holds, limits of retries, what has happened and
-//! what was used. All of it is stored with the job's records, and told once it is.
+//! Holds, retry limits, time limits, history and resource usage of jobs. All of it is stored
+//! with the job's records and shown once it is stored.
 
 use super::dependencies::ParentOutcome;
-use super::job::{Final, Job, Live, Phase, Waiting};
+use super::job::{ActiveAttempt, Final, Job, Phase, ReplyKind};
 use super::records::Purpose;
-use super::users::view;
-use super::{Effect, Sched};
+use super::requests::job_view_json;
+use super::{Effect, Scheduler};
 use crate::ids::{Class, Host, JobId, RequestId, TaskId, TaskIndex, Team};
 use crate::time::{Span, Time};
 use crate::wire::peer::{Answer, Request};
 use crate::wire::user::{HoldView, JobDetail, JobKind, JobState, JobView, ResourceSeconds};
 use hookworks_job_lifecycle::{
-    Failure, History, Hold, HoldKind, HoldRequest, Holds, JobEvent as What, ReleaseRequest,
-    RetryDecision, WallMillis as At,
+    Failure, History, Hold, HoldKind, HoldRequest, Holds, JobEvent, ReleaseRequest, RetryDecision,
+    WallMillis,
 };
 use hookworks_listing::Line;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Reads of finished jobs' records under way at a time.
-const MAX_RECORDS: usize = 64;
-/// Who puts the hold of a job that has failed too often.
-const LIMIT: &str = "retry-limit";
+/// Maximum reads of finished jobs' records in flight.
+const MAX_RECORD_READS: usize = 64;
+/// Author of the hold on a job that has exhausted its retries.
+const RETRY_LIMIT_AUTHOR: &str = "retry-limit";
 
-impl Sched {
-    /// Answers what can't be held or released, which is over; true if it did.
-    fn over(&mut self, now: Time, req: RequestId, id: &JobId, ask: &Request) -> bool {
+impl Scheduler {
+    /// Answers a hold or release of a job that is not active. Returns true if it answered.
+    fn refuse_unless_active(
+        &mut self,
+        now: Time,
+        req: RequestId,
+        id: &JobId,
+        ask: &Request,
+    ) -> bool {
         if let Some(f) = self.finals.get(id) {
-            let a = Answer::new(409, view(id, f.state, f.done, 0));
+            let a = Answer::new(409, job_view_json(id, f.state, f.done, 0));
             self.answer(req, a);
         } else if !self.may_start(now) {
-            self.no_proof(req);
+            self.answer_unconfirmed(req);
         } else if self.unreadable.contains_key(id) {
             self.answer(req, Answer::later("the job's record can't be read", 30));
         } else if !self.ancestors_known(id) {
-            self.answer(req, Answer::later("what it needs is being looked up", 1));
+            self.answer(
+                req,
+                Answer::later("the job's dependencies are being looked up", 1),
+            );
         } else if let Some(j) = self.jobs.get_mut(id) {
-            if j.closing.is_some() {
-                // Told with its final state, once that is stored.
-                j.waiters.push((u64::MAX, req, Waiting::Hold(false)));
-            } else if j.cancelled && j.parts[0].stored >= j.cancel_ver {
-                let a = Answer::new(409, view(id, JobState::Cancelled, j.done_count, 0));
+            if j.closing_state.is_some() {
+                // Answered with the final state once that is stored.
+                j.waiters.push((u64::MAX, req, ReplyKind::Hold(false)));
+            } else if j.cancelled && j.parts[0].stored_version >= j.cancel_version {
+                let a = Answer::new(409, job_view_json(id, JobState::Cancelled, j.done_count, 0));
                 self.answer(req, a);
             } else if j.cancelled {
                 self.answer(req, Answer::later("the job is being cancelled", 1));
@@ -48,7 +57,7 @@
                 return false;
             }
         } else {
-            self.look_up(now, req, id.clone(), ask.clone());
+            self.look_up_final(now, req, id.clone(), ask.clone());
         }
         true
     }
@@ -58,7 +67,7 @@
             Ok(r) => r,
             Err(e) => return self.answer(req, Answer::error(400, &e)),
         };
-        if self.over(now, req, &id, &Request::Hold(id.to_string(), body)) {
+        if self.refuse_unless_active(now, req, &id, &Request::Hold(id.to_string(), body)) {
             return;
         }
         let hold = Hold {
@@ -67,61 +76,64 @@
             why: r.why,
             at: self.wall.into(),
         };
-        tracing::info!(job = %id, kind = ?hold.kind, by = %hold.by, stop = r.stop, "held");
+        tracing::info!(job = %id, kind = ?hold.kind, by = %hold.by, stop = r.stop, "job held");
         self.put_hold(now, &id, hold, Purpose::Now);
-        self.tell_stored(req, &id, true);
+        self.answer_when_stored(req, &id, true);
         if r.stop {
             self.stop_running(now, &id);
         }
     }
 
-    /// The job starts nothing from now on; what is on its way is called back.
+    /// Puts a hold on the job: nothing more starts, and attempts that have not begun are
+    /// stopped.
     pub(super) fn put_hold(&mut self, now: Time, id: &JobId, hold: Hold, purpose: Purpose) {
         let wall = self.wall;
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
         if j.holds.put(hold) {
-            j.history.note(What::Held, wall.into());
-            j.holds_ver = j.touch(0, &mut self.dirty, purpose);
+            j.history.note(JobEvent::Held, wall.into());
+            j.holds_version = j.mark_changed(0, &mut self.write_queue, purpose);
         }
-        self.call_back(now, id);
+        self.stop_unstarted(now, id);
         self.replan = true;
     }
 
-    /// Ends what has not begun. A command that is under way may still start it;
-    /// then it is told to end as soon as it is seen.
-    fn call_back(&mut self, now: Time, id: &JobId) {
+    /// Stops attempts that have not begun. A command in flight may still start one, which is
+    /// then stopped as soon as a heartbeat reports it.
+    fn stop_unstarted(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
         let leeway = j.spec.save_s + 1.0;
-        let begun = |l: &Live| matches!(l.phase, Phase::Running | Phase::Saving);
+        let has_begun = |l: &ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
         if j.spec.kind == JobKind::Gang {
-            // It begins together or not at all.
-            if !j.gang_ran && !j.live.values().any(begun) {
+            // A gang begins as a whole or not at all.
+            if !j.gang_ran && !j.active.values().any(has_begun) {
                 self.stop_gang(now, id);
             }
             return;
         }
-        // What an earlier leader placed may run, unseen as yet.
-        let on_its_way = |l: &Live| l.phase == Phase::Placed && l.stop.is_none() && !l.inherited;
-        let some = j.live.iter().filter(|(_, l)| on_its_way(l));
+        // An attempt placed by an earlier leader may be running without having been reported
+        // yet.
+        let not_begun =
+            |l: &ActiveAttempt| l.phase == Phase::Placed && l.stop.is_none() && !l.inherited;
+        let some = j.active.iter().filter(|(_, l)| not_begun(l));
         let tasks: Vec<TaskIndex> = some.map(|(t, _)| *t).collect();
         for t in tasks {
-            self.stop(now, id, t, leeway);
+            self.stop_attempt(now, id, t, leeway);
         }
     }
 
-    /// What runs is told to save and end; a gang all at once.
+    /// Tells active attempts to save and end; a gang as a whole.
     fn stop_running(&mut self, now: Time, id: &JobId) {
         let Some(j) = self.jobs.get(id) else { return };
         if j.spec.kind == JobKind::Gang {
             return self.stop_gang(now, id);
         }
         let leeway = j.spec.save_s + 1.0;
-        let goes_on = j.live.iter().filter(|(_, l)| l.stop.is_none());
-        let tasks: Vec<TaskIndex> = goes_on.map(|(t, _)| *t).collect();
+        let not_stopping = j.active.iter().filter(|(_, l)| l.stop.is_none());
+        let tasks: Vec<TaskIndex> = not_stopping.map(|(t, _)| *t).collect();
         for t in tasks {
-            self.stop(now, id, t, leeway);
+            self.stop_attempt(now, id, t, leeway);
         }
     }
 
@@ -130,37 +142,37 @@
             Ok(r) => r,
             Err(e) => return self.answer(req, Answer::error(400, &e)),
         };
-        if self.over(now, req, &id, &Request::Release(id.to_string(), body)) {
+        if self.refuse_unless_active(now, req, &id, &Request::Release(id.to_string(), body)) {
             return;
         }
-        if self.take_hold(&id, r.kind, &r.by)
+        if self.remove_hold(&id, r.kind, &r.by)
             && r.kind == HoldKind::System
             && let Some(j) = self.jobs.get_mut(&id)
         {
-            // Whoever lets it go on wants it tried anew.
+            // Releasing the system hold starts the retries anew.
             for part in j.parts_with_failures() {
-                j.touch(part, &mut self.dirty, Purpose::Now);
+                j.mark_changed(part, &mut self.write_queue, Purpose::Now);
             }
-            j.attempts.reset();
+            j.failure_counts.reset();
         }
-        self.tell_stored(req, &id, false);
+        self.answer_when_stored(req, &id, false);
     }
 
-    /// Answers once all that is known of the job's holds is stored; also where
-    /// nothing has changed, as what was asked first may not be stored yet.
-    fn tell_stored(&mut self, req: RequestId, id: &JobId, held: bool) {
+    /// Answers once all changes of the job are stored, also if this request changed nothing,
+    /// as an earlier one may not be stored yet.
+    fn answer_when_stored(&mut self, req: RequestId, id: &JobId, held: bool) {
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
-        let ver = j.parts[0].ver;
-        if j.parts[0].stored < ver {
-            return j.waiters.push((ver, req, Waiting::Hold(held)));
+        let ver = j.parts[0].version;
+        if j.parts[0].stored_version < ver {
+            return j.waiters.push((ver, req, ReplyKind::Hold(held)));
         }
         let a = self.hold_answer(id, held);
         self.answer(req, a);
     }
 
-    /// A hold, or a release, is stored.
+    /// The response to a hold or release that is stored.
     pub(super) fn hold_answer(&self, id: &JobId, held: bool) -> Answer {
         match self.jobs.get(id) {
             Some(j) if j.cancelled => Answer::later("the job is being cancelled", 1),
@@ -175,9 +187,9 @@
         }
     }
 
-    /// Nothing starts before the release is stored: a new leader would find
-    /// the job held, and tasks that began all the same. False: it was not held.
-    fn take_hold(&mut self, id: &JobId, kind: HoldKind, by: &str) -> bool {
+    /// Removes a hold; false if there was none. Nothing starts before the release is stored:
+    /// otherwise a new leader could find the job held, with tasks that began all the same.
+    fn remove_hold(&mut self, id: &JobId, kind: HoldKind, by: &str) -> bool {
         let wall = self.wall;
         let Some(j) = self.jobs.get_mut(id) else {
             return false;
@@ -185,35 +197,39 @@
         if j.holds.release(kind).is_none() {
             return false;
         }
-        tracing::info!(job = %id, ?kind, by, "released");
-        j.history.note(What::Released, wall.into());
-        j.release_ver = j.touch(0, &mut self.dirty, Purpose::Now);
-        j.holds_ver = j.release_ver;
+        tracing::info!(job = %id, ?kind, by, "job hold released");
+        j.history.note(JobEvent::Released, wall.into());
+        j.release_version = j.mark_changed(0, &mut self.write_queue, Purpose::Now);
+        j.holds_version = j.release_version;
         self.replan = true;
         true
     }
 
-    /// An attempt ended without being done. What follows for the job is stored
-    /// along with that.
-    pub(super) fn note_failure(&mut self, now: Time, t: &TaskId, l: &Live, why: Failure) {
+    /// Records that an attempt ended without success. The consequences for the job are
+    /// stored with it.
+    pub(super) fn note_failure(&mut self, now: Time, t: &TaskId, l: &ActiveAttempt, why: Failure) {
         let wall = self.wall;
-        let faulty = self.machines.get(&l.host).is_some_and(|m| m.quarantined);
+        let host_quarantined = self.machines.get(&l.host).is_some_and(|m| m.quarantined);
         let Some(j) = self.jobs.get_mut(&t.job) else {
             return;
         };
         let what = match why {
-            Failure::Error => What::Failed,
-            Failure::TimedOut => What::TimedOut,
-            Failure::Lost => What::Lost,
-            Failure::Stopped => What::Stopped,
+            Failure::Error => JobEvent::Failed,
+            Failure::TimedOut => JobEvent::TimedOut,
+            Failure::Lost => JobEvent::Lost,
+            Failure::Stopped => JobEvent::Stopped,
         };
         j.history.note(what, wall.into());
-        if why == Failure::Error && faulty || j.cancelled {
+        if why == Failure::Error && host_quarantined || j.cancelled {
             return;
         }
-        let rule = self.rules.get(&j.spec.class).copied().unwrap_or_default();
+        let rule = self
+            .retry_policies
+            .get(&j.spec.class)
+            .copied()
+            .unwrap_or_default();
         let of = (t.index.0, j.spec.tasks);
-        match j.attempts.failed(of, l.host.as_str(), why, &rule) {
+        match j.failure_counts.failed(of, l.host.as_str(), why, &rule) {
             RetryDecision::NotCounted => {}
             RetryDecision::RetryAfter(pause) => {
                 let pause = Span(pause.as_micros() as u64);
@@ -222,11 +238,11 @@
             RetryDecision::Exhausted(n) => {
                 let hold = Hold {
                     kind: HoldKind::System,
-                    by: LIMIT.into(),
+                    by: RETRY_LIMIT_AUTHOR.into(),
                     why: format!("task {} failed {n} times, at last on {}", t.index, l.host),
                     at: wall.into(),
                 };
-                tracing::info!(job = %t.job, why = %hold.why, "held at its limit");
+                tracing::info!(job = %t.job, why = %hold.why, "job held: retry limit reached");
                 let id = t.job.clone();
                 self.put_hold(now, &id, hold, Purpose::Start);
                 self.announce(&id, ParentOutcome::Failed);
@@ -234,43 +250,47 @@
         }
     }
 
-    /// A machine has turned out to be faulty: what failed there does not count,
-    /// and who was held for it goes on.
-    pub(super) fn forgive(&mut self, host: &Host) {
-        let mut free = vec![];
+    /// Discards failures on a machine that turned out to be faulty, and releases jobs that
+    /// were held only because of them.
+    pub(super) fn discard_failures_on(&mut self, host: &Host) {
+        let mut releasable = vec![];
         for j in self.jobs.values_mut() {
             let parts = j.parts_with_failures();
-            if !j.attempts.forgive(host.as_str()) {
+            if !j.failure_counts.forgive(host.as_str()) {
                 continue;
             }
             for p in parts {
-                j.touch(p, &mut self.dirty, Purpose::Progress);
+                j.mark_changed(p, &mut self.write_queue, Purpose::Progress);
             }
-            let rule = self.rules.get(&j.spec.class).copied().unwrap_or_default();
-            if j.failed_too_often() && !j.attempts.exhausted(&rule) {
-                free.push(j.id().clone());
+            let rule = self
+                .retry_policies
+                .get(&j.spec.class)
+                .copied()
+                .unwrap_or_default();
+            if j.failed_too_often() && !j.failure_counts.exhausted(&rule) {
+                releasable.push(j.id().clone());
             }
         }
-        for id in free {
-            tracing::info!(job = %id, %host, "its machine was faulty");
-            // The failures elsewhere stay counted.
-            self.take_hold(&id, HoldKind::System, "hookworks");
+        for id in releasable {
+            tracing::info!(job = %id, %host, "job hold lifted: failures were caused by a host_quarantined machine");
+            // Failures on other machines stay counted.
+            self.remove_hold(&id, HoldKind::System, "hookworks");
         }
     }
 
-    /// Lines of jobs that have changed since they were last asked for; `Err`:
-    /// it is over, with the state that it came to.
+    /// Lines of jobs that changed since the last call; `Err` for a finished job, with its
+    /// final state if that is cached.
     pub fn take_changed(&mut self) -> Vec<(JobId, Result<Line, Option<JobState>>)> {
-        let changed = std::mem::take(&mut self.dirty.changed);
+        let changed = std::mem::take(&mut self.write_queue.changed);
         let mut lines = Vec::with_capacity(changed.len());
         for id in changed {
             if !self.ancestors_known(&id) {
-                self.dirty.changed.insert(id);
+                self.write_queue.changed.insert(id);
                 continue;
             }
             match self.jobs.get(&id) {
-                // What is not stored is not told: it could go back.
-                Some(j) if j.parts[0].stored == 0 => {}
+                // Only stored state is shown: any other could be lost.
+                Some(j) if j.parts[0].stored_version == 0 => {}
                 Some(j) if j.cancelled && !j.cancellation_stored() => {}
                 Some(j) => lines.push((id, Ok(j.detail().into_line()))),
                 None => {
@@ -282,19 +302,23 @@
         lines
     }
 
-    /// What the whole record of a job says; of a finished one it is read.
-    pub(super) fn show(&mut self, now: Time, req: RequestId, id: JobId) {
+    /// Answers with all details of a job; the record of a finished one is read from the
+    /// store.
+    pub(super) fn show_job(&mut self, now: Time, req: RequestId, id: JobId) {
         if !self.may_start(now) {
-            return self.no_proof(req);
+            return self.answer_unconfirmed(req);
         }
         if self.unreadable.contains_key(&id) {
             return self.answer(req, Answer::later("the job's record can't be read", 30));
         }
         if !self.ancestors_known(&id) {
-            return self.answer(req, Answer::later("what it needs is being looked up", 1));
+            return self.answer(
+                req,
+                Answer::later("the job's dependencies are being looked up", 1),
+            );
         }
-        let open = |j: &Job| j.closing.is_none() || j.cancelled_with.is_some();
-        let stored = |j: &Job| j.parts[0].stored > 0 && open(j);
+        let open = |j: &Job| j.closing_state.is_none() || j.cancelled_with.is_some();
+        let stored = |j: &Job| j.parts[0].stored_version > 0 && open(j);
         match self.jobs.get(&id) {
             Some(j) if stored(j) && (!j.cancelled || j.cancellation_stored()) => {
                 let body = serde_json::to_string(&j.detail()).unwrap_or_default();
@@ -304,13 +328,15 @@
             None if !JobId::is_well_formed(id.as_str()) => {
                 self.answer(req, Answer::error(404, "no such job"));
             }
-            None if self.record_reads >= MAX_RECORDS || !self.look_ups.has(now, 1.0) => {
+            None if self.record_reads_in_flight >= MAX_RECORD_READS
+                || !self.lookup_budget.has(now, 1.0) =>
+            {
                 self.answer(req, Answer::later("too many look-ups at a time", 1));
             }
             None => {
-                self.record_reads += 1;
-                self.look_ups.take(now, 1.0);
-                self.out.push(Effect::ReadRecord(req, id));
+                self.record_reads_in_flight += 1;
+                self.lookup_budget.take(now, 1.0);
+                self.effects.push(Effect::ReadRecord(req, id));
             }
         }
     }
@@ -322,10 +348,10 @@
         id: JobId,
         r: Result<Option<Value>, ()>,
     ) {
-        if self.named_read(now, req, &id, &r) {
+        if self.referenced_read(now, req, &id, &r) {
             return;
         }
-        self.record_reads = self.record_reads.saturating_sub(1);
+        self.record_reads_in_flight = self.record_reads_in_flight.saturating_sub(1);
         let detail = |v: Value| detail_of_record(&id, v);
         let a = match r {
             Err(()) => Answer::later("the state service does not answer", 1),
@@ -333,10 +359,10 @@
                 Some(d) => Answer::new(200, serde_json::to_string(&d).unwrap_or_default()),
                 None => Answer::later("the job's record can't be read", 30),
             },
-            Ok(None) if !self.may_start(now) => return self.no_proof(req),
-            // It may have been accepted since the read was asked for.
+            Ok(None) if !self.may_start(now) => return self.answer_unconfirmed(req),
+            // It may have been accepted since the read was sent.
             Ok(None) if self.jobs.contains_key(&id) || self.finals.contains_key(&id) => {
-                return self.show(now, req, id);
+                return self.show_job(now, req, id);
             }
             Ok(None) => Answer::error(404, "no such job"),
         };
@@ -344,18 +370,18 @@
     }
 }
 
-impl Sched {
-    /// A task has begun to run; it may have a limit.
-    pub(super) fn note_limit(&mut self, t: &TaskId, since: Time) {
+impl Scheduler {
+    /// Schedules the time limit of a task that has begun to run, if it has one.
+    pub(super) fn track_time_limit(&mut self, t: &TaskId, since: Time) {
         let limit = self.jobs.get(&t.job).and_then(|j| j.spec.limit_s);
         if let Some(s) = limit {
             self.time_limits.insert((since + Span::secs(s), t.clone()));
         }
     }
 
-    /// Those that have run for longer than they may are told to save and end,
-    /// and a while later to end at once.
-    pub(super) fn end_overlong(&mut self, now: Time) {
+    /// Tells tasks that exceed their time limit to save and end, and some time later to end
+    /// at once.
+    pub(super) fn enforce_time_limits(&mut self, now: Time) {
         while let Some((at, t)) = self.time_limits.first().cloned()
             && at <= now
         {
@@ -363,7 +389,7 @@
             let Some(j) = self.jobs.get(&t.job) else {
                 continue;
             };
-            let (Some(limit), Some(l)) = (j.spec.limit_s, j.live.get(&t.index)) else {
+            let (Some(limit), Some(l)) = (j.spec.limit_s, j.active.get(&t.index)) else {
                 continue;
             };
             let Some(since) = l.running_since else {
@@ -371,23 +397,23 @@
             };
             let over = since + Span::secs(limit);
             if now < over {
-                // Another attempt by now.
+                // Meanwhile it is another attempt.
                 self.time_limits.insert((over, t));
                 continue;
             }
             let saves = j.spec.save_s + 1.0;
             if l.timed_out {
-                self.stop(now, &t.job, t.index, 0.0);
+                self.stop_attempt(now, &t.job, t.index, 0.0);
                 continue;
             }
-            tracing::info!(task = %t, limit, "ran for longer than it may");
-            let again = now + Span::secs(saves + self.cfg.workers.report_s);
+            tracing::info!(task = %t, limit, "task exceeded its time limit");
+            let again = now + Span::secs(saves + self.config.workers.report_s);
             if j.spec.kind == JobKind::Gang {
                 self.stop_gang(now, &t.job);
             } else {
-                self.stop(now, &t.job, t.index, saves);
+                self.stop_attempt(now, &t.job, t.index, saves);
             }
-            if let Some(l) = self.live_mut(&t) {
+            if let Some(l) = self.active_attempt_mut(&t) {
                 l.timed_out = true;
                 self.time_limits.insert((again, t));
             }
@@ -398,32 +424,32 @@
 impl Job {
     /// Nothing of it may start: it is held, or its release is not stored yet.
     pub fn held(&self) -> bool {
-        !self.holds.is_empty() || self.parts[0].stored < self.release_ver
+        !self.holds.is_empty() || self.parts[0].stored_version < self.release_version
     }
 
-    /// Held by the scheduler, since a task has failed as often as it may.
+    /// Held by the scheduler because a task has exhausted its retries.
     pub(super) fn failed_too_often(&self) -> bool {
         self.holds
             .get(HoldKind::System)
-            .is_some_and(|h| h.by == LIMIT)
+            .is_some_and(|h| h.by == RETRY_LIMIT_AUTHOR)
     }
 
     fn parts_with_failures(&self) -> Vec<usize> {
         let has = |p: &usize| {
             let (from, to) = self.part_range(*p);
-            !self.attempts.encode(from, to).is_empty()
+            !self.failure_counts.encode(from, to).is_empty()
         };
         (0..self.parts.len()).filter(has).collect()
     }
 
-    /// A run of a task is over; what of it was of use.
-    pub(super) fn account(&mut self, now: Time, l: &Live, done: bool, kept: bool) {
+    /// Records the useful and the lost time of an attempt that has ended.
+    pub(super) fn record_usage(&mut self, now: Time, l: &ActiveAttempt, done: bool, kept: bool) {
         let Some(since) = l.running_since else { return };
         let ran = (now - since).0 / 1000;
         let step = (self.spec.checkpoint_s * 1000.0) as u64;
         let useful = match self.spec.kind {
             _ if done || kept => ran,
-            // A replica was of use for as long as it ran.
+            // A replica is useful for as long as it runs.
             JobKind::Service => ran,
             _ if step > 0 => ran / step * step,
             _ => 0,
@@ -440,9 +466,9 @@
         }
     }
 
-    /// All that is known of the job.
+    /// All details of the job.
     pub fn detail(&self) -> JobDetail {
-        let detail = self.facts().detail(self.job_view(), &self.shown);
+        let detail = self.summary().detail(self.job_view(), &self.stored_holds);
         JobDetail {
             dependencies: self.shown_needs(),
             dependency_count: self.needs.len(),
@@ -450,14 +476,18 @@
         }
     }
 
-    /// For whoever asks: not all of them, if there are very many.
+    /// The first dependencies, at most `MAX_DEPENDENCIES_SHOWN`.
     fn shown_needs(&self) -> Vec<JobId> {
-        self.needs.iter().take(NEEDS_SHOWN).cloned().collect()
+        self.needs
+            .iter()
+            .take(MAX_DEPENDENCIES_SHOWN)
+            .cloned()
+            .collect()
     }
 
-    fn facts(&self) -> Facts {
+    fn summary(&self) -> JobSummary {
         let s = &self.spec;
-        Facts {
+        JobSummary {
             class: s.class.clone(),
             team: s.team.clone(),
             tasks: s.tasks,
@@ -465,34 +495,34 @@
             submitted: self.submitted.0,
             ended: self.ended.map(|w| w.0),
             due: s.deadline_s.map(|d| self.submitted.0 + (d * 1000.0) as u64),
-            history: self.history.encode(FINAL_HISTORY),
+            history: self.history.encode(FINAL_HISTORY_BYTES),
             cancelled_with: self.cancelled_with.clone(),
         }
     }
 
-    /// The final record of a job that is over: its state, and its life.
+    /// The final record of a finished job: its state and its summary.
     pub fn final_record(&self, f: Final) -> Value {
-        let facts = Some(self.facts());
+        let facts = Some(self.summary());
         let record = FinalRecord { end: f, facts };
         serde_json::to_value(record).unwrap_or_default()
     }
 }
 
-/// Needed jobs that are told one by one.
-const NEEDS_SHOWN: usize = 100;
-/// Bytes for the history of a finished job.
-const FINAL_HISTORY: usize = 500;
+/// Maximum dependencies listed one by one.
+const MAX_DEPENDENCIES_SHOWN: usize = 100;
+/// Maximum bytes for the history of a finished job.
+const FINAL_HISTORY_BYTES: usize = 500;
 
-/// What stays of a job besides its state.
+/// What is kept of a finished job besides its state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Facts {
+struct JobSummary {
     #[serde(rename = "c")]
     class: Class,
     #[serde(rename = "t")]
     team: Team,
     #[serde(rename = "n")]
     tasks: u32,
-    /// CPUs, accelerators and memory of each task.
+    /// CPUs, accelerators and memory in GB of each task.
     #[serde(rename = "r")]
     takes: (f64, f64, f64),
     #[serde(rename = "at")]
@@ -503,7 +533,7 @@
     due: Option<u64>,
     #[serde(rename = "h")]
     history: Value,
-    /// The job that it needed and that was cancelled.
+    /// The dependency whose cancellation cancelled this job.
     #[serde(rename = "cw", default, skip_serializing_if = "Option::is_none")]
     cancelled_with: Option<JobId>,
 }
@@ -512,14 +542,14 @@
 struct FinalRecord {
     #[serde(flatten)]
     end: Final,
-    /// Of jobs that ended before there were histories there is none.
+    /// Absent for jobs that ended before histories were introduced.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
-    facts: Option<Facts>,
+    facts: Option<JobSummary>,
 }
 
-impl Facts {
+impl JobSummary {
     fn detail(&self, job: JobView, holds: &Holds) -> JobDetail {
-        let at = At(self.submitted);
+        let at = WallMillis(self.submitted);
         let h = History::decode(at, &self.history).unwrap_or_else(|| History::new(at));
         let of = |ms: u64| {
             let t = ms as f64 / 1000.0;
@@ -530,7 +560,7 @@
                 memory_gb: t * memory_gb,
             }
         };
-        let times = |w: &What| (*w, h.count(*w));
+        let event_count = |w: &JobEvent| (*w, h.count(*w));
         JobDetail {
             job,
             class: self.class.clone(),
@@ -544,7 +574,11 @@
             dependencies: vec![],
             dependency_count: 0,
             cancelled_with: self.cancelled_with.clone(),
-            counts: What::ALL.iter().map(times).filter(|c| c.1 > 0).collect(),
+            counts: JobEvent::ALL
+                .iter()
+                .map(event_count)
+                .filter(|c| c.1 > 0)
+                .collect(),
             useful: of(h.usage().useful_ms),
             lost: of(h.usage().lost_ms),
             history: h.entries().copied().collect(),
@@ -552,7 +586,7 @@
     }
 }
 
-/// What the final record of a job tells; `None` if it can't be read.
+/// The details in the final record of a job; `None` if it can't be decoded.
 pub fn detail_of_record(id: &JobId, record: Value) -> Option<JobDetail> {
     let r: FinalRecord = serde_json::from_value(record).ok()?;
     let job = JobView {
@@ -561,7 +595,7 @@
         done: r.end.done,
         running: 0,
     };
-    let none = || Facts {
+    let none = || JobSummary {
         class: "".into(),
         team: "".into(),
         tasks: r.end.done,
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -18,7 +18,7 @@
 use super::limits::{EffectiveLimits, TxnSize};
 use super::{FENCES_KEY, LEADER_KEY};
 use crate::ids::{JobId, Revision, TxnId};
-use crate::sched::{Dirty, Purpose, Sched};
+use crate::sched::{PendingWrite, Purpose, Scheduler};
 use crate::settings::{LimitValues, StateLimits};
 use crate::time::Time;
 use crate::wire::state::Txn;
@@ -190,7 +190,7 @@
     }
 
     /// The next transaction to send, if any may be sent now.
-    pub fn next_txn(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
+    pub fn next_txn(&mut self, now: Time, sched: &mut Scheduler) -> Option<(TxnId, Txn)> {
         self.log_changes(now);
         if self.limits.recover(now) {
             self.apply_limits(now);
@@ -202,7 +202,7 @@
             return Some(fences);
         }
         self.requeue_oversized(now, sched);
-        if sched.dirty.is_empty() && self.garbage.is_empty() {
+        if sched.write_queue.is_empty() && self.garbage.is_empty() {
             return None;
         }
         let budget = self.change_budget.available(now) as usize;
@@ -218,8 +218,8 @@
         Some(self.send(now, draft))
     }
 
-    fn may_send(&mut self, now: Time, sched: &Sched) -> bool {
-        let lanes = if sched.dirty.lengths()[0] > 0 {
+    fn may_send(&mut self, now: Time, sched: &Scheduler) -> bool {
+        let lanes = if sched.write_queue.lengths()[0] > 0 {
             MAX_TXNS_IN_FLIGHT_URGENT
         } else {
             MAX_TXNS_IN_FLIGHT
@@ -235,11 +235,13 @@
         (budget as f64 - draft.changes() as f64) / self.change_budget.burst()
     }
 
-    fn add_records(&mut self, now: Time, sched: &mut Sched, draft: &mut Draft) {
+    fn add_records(&mut self, now: Time, sched: &mut Scheduler, draft: &mut Draft) {
         let mut skipped = vec![];
         let alone = self.single_record_txns > 0;
         while (!alone || draft.writes.is_empty())
-            && let Some(d) = sched.dirty.next(now, self.budget_share_left(now, draft))
+            && let Some(d) = sched
+                .write_queue
+                .next(now, self.budget_share_left(now, draft))
         {
             match self.add_record(sched, &d, draft) {
                 AddOutcome::Handled => {}
@@ -251,17 +253,22 @@
                     if let Some(j) = sched.jobs.get_mut(&d.job) {
                         j.parts[d.part].queued = Some(d.purpose);
                     }
-                    sched.dirty.put_back(d);
+                    sched.write_queue.push_front(d);
                     break;
                 }
             }
         }
         for d in skipped.into_iter().rev() {
-            sched.dirty.put_back(d);
+            sched.write_queue.push_front(d);
         }
     }
 
-    fn add_record(&mut self, sched: &mut Sched, d: &Dirty, draft: &mut Draft) -> AddOutcome {
+    fn add_record(
+        &mut self,
+        sched: &mut Scheduler,
+        d: &PendingWrite,
+        draft: &mut Draft,
+    ) -> AddOutcome {
         // Within one transaction a job may appear with several parts.
         if self.busy.contains(&d.job) && !draft.has_job(&d.job) {
             return AddOutcome::Busy;
@@ -269,7 +276,7 @@
         let Some(j) = sched.jobs.get_mut(&d.job) else {
             return AddOutcome::Handled;
         };
-        if !j.unqueue(d.part, d.purpose) || draft.has_final_write(&d.job) {
+        if !j.dequeue_write(d.part, d.purpose) || draft.has_final_write(&d.job) {
             return AddOutcome::Handled;
         }
         let end = sched.final_of(&d.job);
@@ -362,13 +369,13 @@
 
     /// The record of fenced zones goes first: workers wait for it. It takes its
     /// turns like a job's record, under a name that no job has.
-    fn fences_txn(&mut self, now: Time, sched: &mut Sched) -> Option<(TxnId, Txn)> {
+    fn fences_txn(&mut self, now: Time, sched: &mut Scheduler) -> Option<(TxnId, Txn)> {
         let job = JobId::from("");
         if self.busy.contains(&job) {
             return None;
         }
         let (record, ver) = sched.fences_to_write()?;
-        let record = record.within(self.limits.value_bytes());
+        let record = record.truncated_to(self.limits.value_bytes());
         let value = serde_json::to_value(record).unwrap_or_default();
         let mut draft = Draft::new(1);
         draft.add_condition(FENCES_KEY.into(), self.revision(FENCES_KEY));
--- a/src/store/commit/outcomes.rs
+++ b/src/store/commit/outcomes.rs
@@ -7,7 +7,7 @@
 use super::{Committer, InFlightTxn, Step};
 use crate::ids::{JobId, Revision, TxnId};
 use crate::sched::job::Final;
-use crate::sched::{Event, Key, Sched};
+use crate::sched::{Event, Key, Scheduler};
 use crate::store::TxnOutcome;
 use crate::time::{Span, Time};
 use crate::wire::state::Item;
@@ -18,7 +18,7 @@
 /// Who waits for a write is told to come again once changes were refused for so long.
 const MAX_RATE_LIMITED: Span = Span(1_000_000);
 impl Committer {
-    fn requeue(&mut self, sched: &mut Sched, works: Vec<RecordWrite>) {
+    fn requeue(&mut self, sched: &mut Scheduler, works: Vec<RecordWrite>) {
         for w in works.into_iter().rev() {
             self.busy.remove(&w.job);
             Self::requeue_write(sched, w);
@@ -26,7 +26,7 @@
     }
 
     /// A transaction with these has certainly not been carried out.
-    fn mark_not_applied(sched: &mut Sched, works: &[RecordWrite]) {
+    fn mark_not_applied(sched: &mut Scheduler, works: &[RecordWrite]) {
         for w in works
             .iter()
             .filter(|w| matches!(w.target, WriteTarget::End))
@@ -35,14 +35,14 @@
         }
     }
 
-    fn requeue_write(sched: &mut Sched, w: RecordWrite) {
+    fn requeue_write(sched: &mut Scheduler, w: RecordWrite) {
         let part = match w.target {
             WriteTarget::Part(p, _) => p,
             WriteTarget::End => 0,
-            WriteTarget::Fences(_) => return sched.fences_again(),
+            WriteTarget::Fences(_) => return sched.fence_write_failed(),
         };
         if let Some(j) = sched.jobs.get_mut(&w.job) {
-            j.queue(part, &mut sched.dirty, w.purpose);
+            j.enqueue_write(part, &mut sched.write_queue, w.purpose);
         }
     }
 
@@ -52,7 +52,7 @@
         now: Time,
         id: TxnId,
         outcome: TxnOutcome,
-        sched: &mut Sched,
+        sched: &mut Scheduler,
     ) -> (Vec<Event>, Vec<Step>) {
         let Some(sent) = self.in_flight.remove(&id) else {
             return (vec![], vec![]);
@@ -86,7 +86,7 @@
         &mut self,
         works: Vec<RecordWrite>,
         stamp: Revision,
-        sched: &Sched,
+        sched: &Scheduler,
     ) -> Vec<Event> {
         let mut events = vec![];
         for w in works {
@@ -116,7 +116,7 @@
         &mut self,
         works: Vec<RecordWrite>,
         failed: &[String],
-        sched: &mut Sched,
+        sched: &mut Scheduler,
     ) -> Vec<Step> {
         Self::mark_not_applied(sched, &works);
         let mut steps = vec![];
@@ -144,7 +144,7 @@
         &mut self,
         now: Time,
         works: Vec<RecordWrite>,
-        sched: &mut Sched,
+        sched: &mut Scheduler,
     ) -> Vec<Event> {
         self.backoff_until = now + REFUSAL_BACKOFF;
         Self::mark_not_applied(sched, &works);
@@ -156,7 +156,12 @@
     }
 
     /// It is sent again in smaller transactions and values, if that may help.
-    fn handle_too_large(&mut self, now: Time, sent: InFlightTxn, sched: &mut Sched) -> Vec<Event> {
+    fn handle_too_large(
+        &mut self,
+        now: Time,
+        sent: InFlightTxn,
+        sched: &mut Scheduler,
+    ) -> Vec<Event> {
         if self.limits.handle_size_refusal(sent.size) {
             self.apply_limits(now);
             Self::mark_not_applied(sched, &sent.writes);
@@ -180,7 +185,7 @@
                 WriteTarget::End => self.defer_oversized(now, sched, (w.job, 0), w.purpose),
                 WriteTarget::Fences(_) => {
                     self.backoff_until = now + REFUSAL_BACKOFF;
-                    sched.fences_again();
+                    sched.fence_write_failed();
                 }
             }
         }
@@ -192,7 +197,7 @@
         &mut self,
         now: Time,
         works: Vec<RecordWrite>,
-        sched: &mut Sched,
+        sched: &mut Scheduler,
     ) -> Vec<Event> {
         let since = *self.refused_since.get_or_insert(now);
         if self.limits.handle_rate_refusal(now) {
@@ -209,7 +214,7 @@
     }
 
     /// Parts of a finished job that did not fit into its last transaction.
-    fn collect_garbage(&mut self, sched: &Sched, job: &JobId) {
+    fn collect_garbage(&mut self, sched: &Scheduler, job: &JobId) {
         let parts = sched.jobs.get(job).map_or(0, |j| j.parts.len());
         for part in 0..parts {
             let pieces = (1..).map(|n| piece_key(job, part, n));
@@ -228,7 +233,7 @@
         &mut self,
         key: String,
         r: Result<Option<Item>, ReadError>,
-        sched: &mut Sched,
+        sched: &mut Scheduler,
     ) -> (Vec<Event>, Vec<Step>) {
         let Ok(item) = r else {
             return (vec![], vec![Step::Read(key)]);
--- a/src/store/commit/records.rs
+++ b/src/store/commit/records.rs
@@ -42,7 +42,7 @@
         let puts = puts.collect();
         let keys = keys.into_iter().map(|key| KeyWrite { key, put: true });
         (
-            WriteTarget::Part(part, job.parts[part].ver),
+            WriteTarget::Part(part, job.parts[part].version),
             keys.collect(),
             puts,
         )
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -192,7 +192,9 @@
 fn what_a_replaced_process_sent_is_not_applied_any_more() {
     let s = Handle::default();
     let at = || Some(bound_address("10.0.0.1:81", None));
-    let ElectionOutcome::Elected { stamp, .. } = candidate(&s, "a", 1, at()).step(|| Time(0))
+    let ElectionOutcome::Elected {
+        revision: stamp, ..
+    } = candidate(&s, "a", 1, at()).step(|| Time(0))
     else {
         panic!()
     };
@@ -241,7 +243,10 @@
 fn a_deposed_leader_writes_nothing() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected {
+        revision: stamp, ..
+    } = a.step(|| Time(0))
+    else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
@@ -262,7 +267,10 @@
 fn a_write_whose_answer_is_lost_is_read_back_not_taken_for_granted() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected {
+        revision: stamp, ..
+    } = a.step(|| Time(0))
+    else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
@@ -328,7 +336,7 @@
         d.ask(Request::Cancel(format!("job-{:06}", 100 + n)));
     }
     // The cancellations themselves are stored; the ends wait.
-    let lengths = d.s.dirty.lengths();
+    let lengths = d.s.write_queue.lengths();
     assert!(lengths[0] + lengths[2] >= 200, "{lengths:?}");
     let (mut swept, mut ended, mut longest) = (0, 0, 0);
     let mut waiting: Option<(RequestId, u64)> = None;
@@ -336,9 +344,9 @@
     for step in 0..800 {
         d.now += 25_000;
         let now = Time(d.now);
-        d.s.handle(now, Event::Proven(now));
+        d.s.handle(now, Event::LeadershipConfirmed(now));
         if step == 760 {
-            assert!(d.s.dirty.is_empty(), "nothing but litter is left");
+            assert!(d.s.write_queue.is_empty(), "nothing but litter is left");
             burst = (0..8).map(|n| d.submit(&job(5000 + n, 1))).collect();
         } else if step == 764 {
             let told = burst.iter().filter(|r| d.status(**r).is_some()).count();
@@ -437,7 +445,12 @@
             let mut second = Elector::new(store, me(2), Span::secs(2.0));
             let won = matches!(second.step(|| Time(0)), ElectionOutcome::Elected { .. });
             let mut third = candidate(&s, "a", 3, at());
-            let ElectionOutcome::Elected { epoch, stamp, .. } = third.step(|| Time(0)) else {
+            let ElectionOutcome::Elected {
+                epoch,
+                revision: stamp,
+                ..
+            } = third.step(|| Time(0))
+            else {
                 panic!("not at once: {left} {carried_out}");
             };
             let key = s.read(LEADER_KEY).unwrap().unwrap();
@@ -456,7 +469,10 @@
 fn a_job_that_ends_while_its_first_write_is_unclear_leaves_no_record() {
     let s = Handle::default();
     let mut a = elector(&s, "a");
-    let ElectionOutcome::Elected { stamp, .. } = a.step(|| Time(0)) else {
+    let ElectionOutcome::Elected {
+        revision: stamp, ..
+    } = a.step(|| Time(0))
+    else {
         panic!()
     };
     let (mut d, mut c, txn, id) = submitted(stamp);
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -4,7 +4,7 @@
 
 use hookworks::election::{Candidate, ElectionOutcome, Elector};
 use hookworks::ids::*;
-use hookworks::node::load::load;
+use hookworks::node::state_loading::load_state;
 use hookworks::sched::{DirectResult, Event, Purpose};
 use hookworks::store::client::StateStore;
 use hookworks::store::commit::{Committer, Step};
@@ -28,7 +28,9 @@
         address: None,
     };
     match Elector::new(s.clone(), me, Span::secs(2.0)).step(|| Time(0)) {
-        ElectionOutcome::Elected { stamp, .. } => stamp,
+        ElectionOutcome::Elected {
+            revision: stamp, ..
+        } => stamp,
         e => panic!("{e:?}"),
     }
 }
@@ -64,9 +66,9 @@
     let s = Handle::default();
     let leader = led(&s);
     s.put(PART, serde_json::json!({"left": "by an earlier leader"}));
-    let l = load(&s, Epoch(5), leader, Time(1), WallTime(1)).unwrap();
+    let l = load_state(&s, Epoch(5), leader, Time(1), WallTime(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
-    for (key, stamp) in l.litter {
+    for (key, stamp) in l.garbage {
         c.add_garbage(key, stamp);
     }
     let mut d = Desk::new(5);
@@ -76,11 +78,11 @@
     d.submit(&job(1, 300));
     let j = d.s.jobs.get_mut(&JobId::from(JOB)).unwrap();
     assert!(j.parts.len() > 1);
-    j.touch(1, &mut d.s.dirty, Purpose::Start);
+    j.mark_changed(1, &mut d.s.write_queue, Purpose::Start);
     write_all(&s, &mut c, &mut d);
     let written = s.get(PART).unwrap().unwrap();
     assert!(written.value.get("left").is_none(), "{written:?}");
-    assert_eq!(d.s.jobs[&JobId::from(JOB)].parts[1].stored, 1);
+    assert_eq!(d.s.jobs[&JobId::from(JOB)].parts[1].stored_version, 1);
     let outcome = s.apply(&late);
     assert!(matches!(outcome, TxnOutcome::Conflict(_)), "{outcome:?}");
     assert!(s.get(PART).unwrap().is_some());
@@ -92,9 +94,9 @@
     let s = Handle::default();
     let leader = led(&s);
     s.put(PART, serde_json::json!({}));
-    let l = load(&s, Epoch(5), leader, Time(1), WallTime(1)).unwrap();
+    let l = load_state(&s, Epoch(5), leader, Time(1), WallTime(1)).unwrap();
     let mut c = Committer::new(leader, &settings("x").platform.params.state);
-    for (key, stamp) in l.litter {
+    for (key, stamp) in l.garbage {
         c.add_garbage(key, stamp);
     }
     write_all(&s, &mut c, &mut Desk::new(5));
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -4,7 +4,7 @@
 
 use hookworks::ids::*;
 use hookworks::sched::job::{Final, Job};
-use hookworks::sched::{DirectResult, Effect, Event, HireResult, Key, Sched};
+use hookworks::sched::{DirectResult, Effect, Event, Key, RentalResult, Scheduler};
 use hookworks::store::client::StateStore;
 use hookworks::time::{Time, WallTime};
 use hookworks::wire::peer::Request;
@@ -141,7 +141,7 @@
     let mut r = report(1, 2, Token(0));
     for seq in 2..6 {
         d.wait(3.0);
-        d.event(Event::OutOfReach(vec!["cut".into()]));
+        d.event(Event::Unreachable(vec!["cut".into()]));
         r.seq = Seq(seq);
         let body = serde_json::to_vec(&r).unwrap();
         d.event(Event::Relayed(RequestId(910 + seq), "near".into(), body));
@@ -150,7 +150,7 @@
     for n in 5..=20 {
         d.beat(&report(n, 1, Token(0)));
     }
-    d.event(Event::OutOfReach(vec!["cut".into()]));
+    d.event(Event::Unreachable(vec!["cut".into()]));
     d.wait(1.0);
     assert!(d.released().is_empty(), "{:?}", d.released());
     // Not for ever: their leases run out.
@@ -264,7 +264,7 @@
     d.beat(&r);
     let j = &d.s.jobs[&JobId::from(JOB)];
     let mut j = Job::decode(&j.encode(0), Time(d.now), WallTime(d.now / 1000)).unwrap();
-    (j.parts[0].ver, j.parts[0].stored) = (1, 1);
+    (j.parts[0].version, j.parts[0].stored_version) = (1, 1);
     j
 }
 
@@ -377,7 +377,7 @@
     }
     let cfg = hookworks::sched::Config::from(&settings("x"));
     let now = Time(d.now);
-    let mut s = Sched::new(cfg, Epoch(1), now, now, WallTime(1));
+    let mut s = Scheduler::new(cfg, Epoch(1), now, now, WallTime(1));
     let body = serde_json::to_vec(&job(4, 1)).unwrap();
     let fx = s.handle(now, Event::Ask(RequestId(1), Request::Submit(body)));
     assert!(matches!(&fx[..], [Effect::Answer(_, a)] if a.status == 503));
@@ -394,11 +394,13 @@
     s.put("hookworks/live/job-000001", serde_json::json!({"spec": 7}));
     s.put("hookworks/live/job-000002", good);
     s.put("hookworks/part/job-000009/000001", serde_json::json!({}));
-    let l = hookworks::node::load::load(&s, Epoch(2), Revision(1), Time(1), WallTime(1)).unwrap();
+    let l =
+        hookworks::node::state_loading::load_state(&s, Epoch(2), Revision(1), Time(1), WallTime(1))
+            .unwrap();
     assert_eq!(l.jobs.len(), 1);
     assert_eq!(l.unreadable[&JobId::from(JOB)], JobState::Queued);
     let part = s.get("hookworks/part/job-000009/000001").unwrap().unwrap();
-    assert_eq!(l.litter, vec![(part.key, part.revision)]);
+    assert_eq!(l.garbage, vec![(part.key, part.revision)]);
     let mut d = Desk::new(2);
     let now = Time(d.now);
     d.s.load(now, l.jobs, l.unreadable);
@@ -418,7 +420,9 @@
     let s = Handle::default();
     let damaged = serde_json::json!({"spec": 7, "cancelled": true});
     s.put("hookworks/live/job-000001", damaged);
-    let l = hookworks::node::load::load(&s, Epoch(2), Revision(1), Time(1), WallTime(1)).unwrap();
+    let l =
+        hookworks::node::state_loading::load_state(&s, Epoch(2), Revision(1), Time(1), WallTime(1))
+            .unwrap();
     let mut d = Desk::new(2);
     d.s.load(Time(d.now), l.jobs, l.unreadable);
     for ask in [Request::Poll(JOB.into()), Request::Cancel(JOB.into())] {
@@ -435,26 +439,28 @@
     first.beat(&report(1, 1, Token(0)));
     first.submit(&job(1, 300));
     let j = &first.s.jobs[&JobId::from(JOB)];
-    assert!(j.parts.len() > 1 && !j.live.is_empty());
+    assert!(j.parts.len() > 1 && !j.active.is_empty());
     s.put("hookworks/live/job-000001", j.encode(0));
     s.put(
         "hookworks/part/job-000001/000001",
         serde_json::json!({"a": "x"}),
     );
-    let l = hookworks::node::load::load(&s, Epoch(2), Revision(1), Time(1), WallTime(1)).unwrap();
-    assert!(l.unreadable.is_empty() && l.stamps.len() == 2);
+    let l =
+        hookworks::node::state_loading::load_state(&s, Epoch(2), Revision(1), Time(1), WallTime(1))
+            .unwrap();
+    assert!(l.unreadable.is_empty() && l.revisions.len() == 2);
     let mut d = Desk::new(2);
     d.refuses = true;
     let mut jobs = l.jobs;
     for j in &mut jobs {
-        j.live.clear();
+        j.active.clear();
     }
     d.s.load(Time(d.now), jobs, l.unreadable);
     let poll = d.ask(Request::Poll(JOB.into()));
     assert_eq!(d.status(poll), Some(200));
     let began = d.now;
     let mut seq = 1u32;
-    while d.s.jobs[&JobId::from(JOB)].live.is_empty() {
+    while d.s.jobs[&JobId::from(JOB)].active.is_empty() {
         seq += 1;
         // What idles is given back, so another machine each time.
         d.beat(&report(seq, 1, Token(0)));
@@ -501,12 +507,12 @@
     d.submit(&job(1, 1));
     d.wait(0.5);
     let hire = d.fx.iter().find_map(|f| match f {
-        Effect::Hire(h) => Some(h.clone()),
+        Effect::Rent(h) => Some(h.clone()),
         _ => None,
     });
     let host = Host::from("n-000001");
-    let got = HireResult::Ok(vec![host.clone()]);
-    d.event(Event::Hired(hire.unwrap(), got));
+    let got = RentalResult::Ok(vec![host.clone()]);
+    d.event(Event::RentalResult(hire.unwrap(), got));
     d.wait(28.0);
     let listed = serde_json::from_value(serde_json::json!({
         "Id": host, "Endpoint": "x:1", "Build": "m8", "Yard": "a",
@@ -532,7 +538,7 @@
     // answers to reports held no commands, and a cancelled task ran on.
     let (mut d, a) = one_task(true);
     let (_, host, _) = d.direct().remove(0);
-    assert!(d.s.machines[&host].direct.is_some());
+    assert!(d.s.machines[&host].direct_call.is_some());
     d.ask(Request::Cancel(JOB.into()));
     let mut r = report(1, 2, Token(0));
     r.tasks = vec![task(JOB, 0, a, TaskState::Running)];
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -4,7 +4,7 @@
 use super::{flavor, settings};
 use hookworks::ids::*;
 use hookworks::sched::job::Job;
-use hookworks::sched::{Config, DirectResult, Effect, Event, FenceRecord, Key, Sched};
+use hookworks::sched::{Config, DirectResult, Effect, Event, FenceRecord, Key, Scheduler};
 use hookworks::time::{Span, Time, WallTime};
 use hookworks::wire::cloud::ListedHost;
 use hookworks::wire::peer::{Answer, Request};
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 pub struct Desk {
-    pub s: Sched,
+    pub s: Scheduler,
     pub now: u64,
     pub fx: Vec<Effect>,
     /// The state service accepts at once.
@@ -60,12 +60,12 @@
         let now = 4_000_000_000;
         let mut cfg = Config::from(&settings("x"));
         // Each event leads to all that follows from it.
-        cfg.pass_every = Span::ZERO;
-        cfg.hold = Span::ZERO;
+        cfg.pass_interval = Span::ZERO;
+        cfg.heartbeat_hold = Span::ZERO;
         change(&mut cfg);
-        let mut s = Sched::new(cfg, Epoch(epoch), Time(now), Time(now), WallTime(1_000_000));
+        let mut s = Scheduler::new(cfg, Epoch(epoch), Time(now), Time(now), WallTime(1_000_000));
         if let Some(f) = fences {
-            s.take_fences(Time(now), WallTime(1_000_000), f);
+            s.load_fences(Time(now), WallTime(1_000_000), f);
         }
         s.load(Time(now), jobs, Default::default());
         let mut d = Desk {
@@ -81,13 +81,14 @@
             written: 0,
             next_req: 1,
         };
-        d.event(Event::Flavors(vec![flavor()]));
+        d.event(Event::MachineTypes(vec![flavor()]));
         d
     }
 
     pub fn event(&mut self, e: Event) {
         if self.proves {
-            self.s.handle(Time(self.now), Event::Proven(Time(self.now)));
+            self.s
+                .handle(Time(self.now), Event::LeadershipConfirmed(Time(self.now)));
         }
         let fx = self.s.handle(Time(self.now), e);
         self.fx.extend(fx);
@@ -108,17 +109,17 @@
 
     /// Only what waits first, not what that leads to.
     pub fn store_one(&mut self) -> bool {
-        while let Some(d) = self.s.dirty.pop() {
+        while let Some(d) = self.s.write_queue.pop() {
             let (id, part) = (d.job, d.part);
             let Some(j) = self.s.jobs.get_mut(&id) else {
                 continue;
             };
-            if !j.unqueue(part, d.purpose) {
+            if !j.dequeue_write(part, d.purpose) {
                 continue;
             }
             self.written += 1;
-            let ver = j.parts[part].ver;
-            let key = match j.closing {
+            let ver = j.parts[part].version;
+            let key = match j.closing_state {
                 Some(_) => Key::Final(id),
                 None => Key::Part(id, part),
             };
@@ -211,7 +212,7 @@
 
     pub fn attempt(&self, job: &str, ix: u32) -> Option<Attempt> {
         let j = self.s.jobs.get(&JobId::from(job))?;
-        j.live.get(&TaskIndex(ix)).map(|l| l.attempt)
+        j.active.get(&TaskIndex(ix)).map(|l| l.attempt)
     }
 }
 
--- a/tests/world/steps.rs
+++ b/tests/world/steps.rs
@@ -6,8 +6,8 @@
 use super::{Ev, S, Term, World, flavor, settings};
 use hookworks::election::ElectionOutcome;
 use hookworks::ids::*;
-use hookworks::node::load::load;
-use hookworks::sched::{Config, Event, Sched};
+use hookworks::node::state_loading::load_state;
+use hookworks::sched::{Config, Event, Scheduler};
 use hookworks::settings::{NextLimits, Settings};
 use hookworks::store::RecordFormat;
 use hookworks::store::commit::Committer;
@@ -29,10 +29,10 @@
             match self.ctls[i].elector.step(|| now) {
                 ElectionOutcome::Elected {
                     epoch,
-                    stamp,
+                    revision: stamp,
                     proven,
                 } => self.won(i, epoch, stamp, proven),
-                ElectionOutcome::Renewed(t) => self.event(i, Event::Proven(t)),
+                ElectionOutcome::Renewed(t) => self.event(i, Event::LeadershipConfirmed(t)),
                 ElectionOutcome::Following(l) => {
                     self.ctls[i].term = None;
                     // Our own earlier process leads no more, whatever the key says yet.
@@ -52,8 +52,8 @@
         let service = self.store.of(i);
         self.take_up_version(i);
         let loaded = match self.is_new(i) {
-            true => load(&service, epoch, stamp, now, wall),
-            false => load(&ProductionView(service), epoch, stamp, now, wall),
+            true => load_state(&service, epoch, stamp, now, wall),
+            false => load_state(&ProductionView(service), epoch, stamp, now, wall),
         };
         let Ok(l) = loaded else {
             return self.load_again(i, epoch, stamp, proven);
@@ -62,22 +62,22 @@
         let format = l.record_format();
         let takes_format = self.note_term(i, epoch, FormatSwitch::new(stamp, format));
         let mut commit = Committer::new(stamp, &s.platform.params.state);
-        for (k, st) in l.stamps {
+        for (k, st) in l.revisions {
             commit.record_revision(k, st);
         }
         if format == RecordFormat::Compact {
-            for (k, st) in l.litter {
+            for (k, st) in l.garbage {
                 commit.add_garbage(k, st);
             }
         }
         let cfg = self.config(i, &s);
-        let mut sched = Sched::new(cfg, epoch, proven, now, wall);
+        let mut sched = Scheduler::new(cfg, epoch, proven, now, wall);
         if takes_format {
             commit.set_format(format);
             sched.set_format(format);
         }
         if let Some(f) = l.fences {
-            sched.take_fences(now, wall, f);
+            sched.load_fences(now, wall, f);
         }
         sched.load(now, l.jobs, l.unreadable);
         self.log.push(format!("{} c{i} leads {epoch}", self.now));
@@ -89,7 +89,7 @@
         });
         let mut f = flavor();
         f.zones = self.zones.clone();
-        self.event(i, Event::Flavors(vec![f]));
+        self.event(i, Event::MachineTypes(vec![f]));
         self.hand_over_copies();
     }
 
@@ -111,8 +111,8 @@
     /// What controller `i` is told.
     fn config(&self, i: usize, s: &Settings) -> Config {
         let mut cfg = Config::from(s);
-        cfg.floor.reserved_share = self.floor;
-        cfg.floor.max_overtaken = self.overtaken;
+        cfg.fairness.reserved_share = self.floor;
+        cfg.fairness.max_overtaken = self.overtaken;
         cfg.workers.cancel_s = self.believed_s.unwrap_or(self.cancel_s);
         for t in &mut cfg.teams {
             for limit in [&mut t.cpus, &mut t.cpus_max, &mut t.gpus_max] {
