--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -178,7 +178,7 @@
     state_answered_at: Time,
     /// When this controller last led or could reach a leader.
     leader_reachable_at: Time,
-    /// When the lease of the own leadership was last confirmed.
+    /// When the last confirmed renewal of the own lease was sent.
     proven_at: Time,
     shared: Arc<SharedStatus>,
     server: Server<HttpApi>,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -33,7 +33,7 @@
     others * (2 + MAX_INBOUND_PER_PEER) + 2
 }
 
-/// What the main loop is told of the other controllers.
+/// An event from the other controllers, for the main loop.
 pub enum PeerEvent {
     /// A message and the time of its arrival. Timeouts count from then, as the message may
     /// be queued for longer than an answer is useful.
