--- a/src/sched/consistency.rs
+++ b/src/sched/consistency.rs
@@ -10,16 +10,16 @@
         let mut by_team: BTreeMap<&Team, Resources> = BTreeMap::new();
         let mut active_attempts = 0;
         for job in self.jobs.values() {
-            for (ix, live) in &job.active {
+            for (ix, active) in &job.active {
                 *by_team.entry(&job.spec.team).or_default() += job.need;
                 active_attempts += 1;
                 let task = crate::ids::TaskId {
                     job: job.id().clone(),
                     ix: *ix,
                 };
-                let machine = self.machines.get(&live.host);
+                let machine = self.machines.get(&active.host);
                 if !machine.is_some_and(|machine| machine.allocations.contains_key(&task)) {
-                    inconsistencies.push(format!("{task} has no allocation on {}", live.host));
+                    inconsistencies.push(format!("{task} has no allocation on {}", active.host));
                 }
             }
             let listed = job.active.len() as u32 + job.done_count;
--- a/src/sched/direct_calls.rs
+++ b/src/sched/direct_calls.rs
@@ -16,8 +16,8 @@
 const MAX_INTERVALS_SINCE_HEARD: f64 = 1.5;
 
 /// Whether the attempt is placed and its start has not been sent yet.
-fn awaits_command(live: &ActiveAttempt) -> bool {
-    live.phase == Phase::Placed && !live.run_sent
+fn awaits_command(active: &ActiveAttempt) -> bool {
+    active.phase == Phase::Placed && !active.run_sent
 }
 
 impl Scheduler {
@@ -96,8 +96,8 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        for live in job.active.values().filter(|live| awaits_command(live)) {
-            self.machines_to_push.insert(live.host.clone());
+        for active in job.active.values().filter(|active| awaits_command(active)) {
+            self.machines_to_push.insert(active.host.clone());
         }
     }
 
@@ -124,8 +124,8 @@
         };
         machine.allocations.keys().any(|task| {
             let job = self.jobs.get(&task.job);
-            let live = job.and_then(|job| job.active.get(&task.ix));
-            live.is_some_and(awaits_command)
+            let active = job.and_then(|job| job.active.get(&task.ix));
+            active.is_some_and(awaits_command)
         })
     }
 
--- a/src/sched/reachability.rs
+++ b/src/sched/reachability.rs
@@ -52,7 +52,10 @@
     /// Handles a token confirmed by the worker. Returns true if that makes an
     /// unreachable worker reachable again.
     pub(super) fn confirm_token(&mut self, now: Time, token: Token) -> bool {
-        if self.unconfirmed_token.is_some_and(|doubt| token >= doubt) {
+        if self
+            .unconfirmed_token
+            .is_some_and(|unconfirmed| token >= unconfirmed)
+        {
             self.unconfirmed_token = None;
         }
         let reachable_again = token >= self.token && self.unreachable_since.is_some();
@@ -102,7 +105,7 @@
         }
         let lease_expired =
             session == SessionChange::Later && self.answered_in_time(now, &report.host);
-        let heard = report.token >= answer.token
+        let took_effect = report.token >= answer.token
             && (session != SessionChange::Same
                 || self.orders_took_effect(&report.host, answer, shown));
         let Some(machine) = self.machines.get_mut(&report.host) else {
@@ -110,7 +113,7 @@
         };
         if lease_expired {
             machine.ineffective_answers = MAX_INEFFECTIVE_ANSWERS;
-        } else if heard {
+        } else if took_effect {
             machine.ineffective_answers = 0;
         } else {
             machine.ineffective_answers += 1;
@@ -135,18 +138,18 @@
         answer: SentAnswer,
         shown: &BTreeSet<TaskId>,
     ) -> bool {
-        let waits = |live: &ActiveAttempt| {
-            live.phase == Phase::Placed && live.run_sent_in == Some(answer.seq)
+        let waits = |active: &ActiveAttempt| {
+            active.phase == Phase::Placed && active.run_sent_in == Some(answer.seq)
         };
-        let begun = |task: &TaskId| {
-            let live = self
+        let started = |task: &TaskId| {
+            let active = self
                 .jobs
                 .get(&task.job)
                 .and_then(|job| job.active.get(&task.ix));
-            !live.is_some_and(waits) || shown.contains(task)
+            !active.is_some_and(waits) || shown.contains(task)
         };
         let machine = self.machines.get(host);
-        machine.is_none_or(|machine| machine.allocations.keys().all(begun))
+        machine.is_none_or(|machine| machine.allocations.keys().all(started))
     }
 
     fn mark_unreachable(&mut self, now: Time, host: &Host) {
@@ -164,7 +167,7 @@
         for task in tasks {
             if self
                 .active_attempt_mut(&task)
-                .is_some_and(|live| !live.run_sent)
+                .is_some_and(|active| !active.run_sent)
             {
                 self.attempt_gone(now, &task);
             }
@@ -186,11 +189,11 @@
             return false;
         };
         let ends = |task: &TaskId| {
-            let live = self
+            let active = self
                 .jobs
                 .get(&task.job)
                 .and_then(|job| job.active.get(&task.ix));
-            live.is_some_and(|live| live.stop.is_some() || live.phase == Phase::Placed)
+            active.is_some_and(|active| active.stop.is_some() || active.phase == Phase::Placed)
         };
         let running_unknown = machine.unknown_attempts.values().any(|ended| !ended);
         let any = running_unknown || machine.allocations.keys().any(ends);
--- a/src/sched/recovery.rs
+++ b/src/sched/recovery.rs
@@ -147,14 +147,14 @@
         if !self.may_resume_attempt(now, host, task) {
             return false;
         }
-        let Some(live) = self.active_attempt_mut(task) else {
+        let Some(active) = self.active_attempt_mut(task) else {
             return false;
         };
         // The worker rejects commands of earlier leaders from now on.
-        live.inherited = false;
-        live.run_sent = false;
-        live.run_sent_in = None;
-        live.placed = now;
+        active.inherited = false;
+        active.run_sent = false;
+        active.run_sent_in = None;
+        active.placed = now;
         self.probes.resumed += 1;
         self.machines_with_unsent_runs.insert(host.clone());
         self.machines_to_push.insert(host.clone());
@@ -222,9 +222,9 @@
 
     fn attempt_progress(&self) -> AttemptProgress {
         let mut progress = AttemptProgress::default();
-        for live in self.jobs.values().flat_map(|job| job.active.values()) {
-            match live.phase {
-                Phase::Placed if live.inherited => progress.unproven += 1,
+        for active in self.jobs.values().flat_map(|job| job.active.values()) {
+            match active.phase {
+                Phase::Placed if active.inherited => progress.unproven += 1,
                 Phase::Placed => progress.not_begun += 1,
                 _ => progress.on_machines += 1,
             }
--- a/src/sched/report_reconciliation.rs
+++ b/src/sched/report_reconciliation.rs
@@ -150,8 +150,8 @@
         machine.session_confirmed |= sent_under_this_leader;
         machine.existence_confirmed |= sent_under_this_leader;
         machine.update_from_report(now, report, source);
-        if let Some(flavor) = self.machine_types.get(&machine.build) {
-            machine.set_machine_type(flavor);
+        if let Some(machine_type) = self.machine_types.get(&machine.build) {
+            machine.set_machine_type(machine_type);
         }
         if !machine.has_reported || session != SessionChange::Same {
             // The session, and with it the lease, may have started just now, long after
@@ -202,9 +202,9 @@
         if proven {
             machine.unconfirmed_token = None;
         }
-        let ended = |live: &&mut ActiveAttempt| {
-            let seen = !live.inherited || live.phase != Phase::Placed;
-            live.run_sent && (proven || seen)
+        let ended = |active: &&mut ActiveAttempt| {
+            let seen = !active.inherited || active.phase != Phase::Placed;
+            active.run_sent && (proven || seen)
         };
         let tasks: Vec<TaskId> = machine.allocations.keys().cloned().collect();
         for task in tasks {
@@ -224,13 +224,13 @@
     /// on that machine.
     fn apply_task(&mut self, now: Time, host: &Host, report: &TaskReport) -> bool {
         let task = &report.task;
-        let Some(live) = self.active_attempt_mut(task) else {
+        let Some(active) = self.active_attempt_mut(task) else {
             return false;
         };
-        if live.attempt != report.attempt || live.host != *host {
+        if active.attempt != report.attempt || active.host != *host {
             return false;
         }
-        let running_since = live.running_since;
+        let running_since = active.running_since;
         let Some(phase) = Phase::of(report.state) else {
             self.attempt_ended(now, host, report, running_since);
             return false;
@@ -246,13 +246,13 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.active.get_mut(&task.ix) else {
+        let Some(active) = job.active.get_mut(&task.ix) else {
             return;
         };
-        let changed = live.phase != phase;
-        live.phase = phase;
+        let changed = active.phase != phase;
+        active.phase = phase;
         // An attempt seen fetching or waiting has not started to run.
-        live.inherited &= phase == Phase::Running;
+        active.inherited &= phase == Phase::Running;
         job.update_gang_ran(phase);
         if !changed {
             return;
@@ -269,19 +269,19 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.active.get_mut(&task.ix) else {
+        let Some(active) = job.active.get_mut(&task.ix) else {
             return;
         };
         // An attempt of an earlier leader may have been running for long: the recorded
         // placement time is used instead.
-        let since = if live.inherited { live.placed } else { now };
-        live.running_since = Some(since);
-        let after_s = (now - live.placed).as_secs();
+        let since = if active.inherited { active.placed } else { now };
+        active.running_since = Some(since);
+        let after_s = (now - active.placed).as_secs();
         let waited_s = (now - job.ready_since).as_secs();
         let (image, gb) = (&job.spec.image, job.spec.image_gb);
         tracing::debug!(%task, class = %job.spec.class, %host, after_s, waited_s, %image, gb, "running");
         let first_of_job = job.history.first_start().is_none();
-        if !live.inherited || first_of_job {
+        if !active.inherited || first_of_job {
             job.history.note(JobEvent::Started, self.wall.into());
         }
         if let Some(machine) = self.machines.get_mut(host)
@@ -340,7 +340,7 @@
             Some(Cause::Stopped) => {
                 let timed_out = self
                     .active_attempt_mut(task)
-                    .is_some_and(|live| live.timed_out);
+                    .is_some_and(|active| active.timed_out);
                 let failure = if timed_out {
                     Failure::TimedOut
                 } else {
@@ -357,10 +357,10 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let live = job.active.remove(&task.ix);
-        let inherited = live.as_ref().is_some_and(|live| live.inherited);
-        if let Some(live) = &live {
-            job.record_usage(now, live, true, false);
+        let active = job.active.remove(&task.ix);
+        let inherited = active.as_ref().is_some_and(|active| active.inherited);
+        if let Some(active) = &active {
+            job.record_usage(now, active, true, false);
             job.history.note(JobEvent::Done, self.wall.into());
         }
         job.failure_counts.done(task.ix.0);
@@ -399,12 +399,12 @@
     fn refresh_estimates(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let estimate = estimate::of(job);
-        for (ix, live) in &job.active {
+        for (ix, active) in &job.active {
             let task = TaskId {
                 job: id.clone(),
                 ix: *ix,
             };
-            if let Some(machine) = self.machines.get_mut(&live.host)
+            if let Some(machine) = self.machines.get_mut(&active.host)
                 && let Some(allocation) = machine.allocations.get_mut(&task)
             {
                 allocation.estimate = estimate;
@@ -418,11 +418,11 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(live) = job.active.get(&task.ix) else {
+        let Some(active) = job.active.get(&task.ix) else {
             return;
         };
         self.teams.subtract(&job.spec.team, &job.need);
-        if let Some(machine) = self.machines.get_mut(&live.host)
+        if let Some(machine) = self.machines.get_mut(&active.host)
             && machine.allocations.remove(task).is_some()
         {
             machine.used -= job.need;
@@ -451,12 +451,12 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(live) = job.active.remove(&task.ix) else {
+        let Some(active) = job.active.remove(&task.ix) else {
             return;
         };
-        job.record_usage(now, &live, false, kept);
+        job.record_usage(now, &active, false, kept);
         if let Some(failure) = failure {
-            self.note_failure(now, task, &live, failure);
+            self.note_failure(now, task, &active, failure);
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -492,22 +492,22 @@
             .filter(|task| !shown.contains(*task));
         let missing: Vec<TaskId> = missing.cloned().collect();
         for task in missing {
-            let Some(live) = self.active_attempt_mut(&task) else {
+            let Some(active) = self.active_attempt_mut(&task) else {
                 continue;
             };
-            let gone = match (live.phase, live.stop) {
+            let gone = match (active.phase, active.stop) {
                 // Never started by an earlier leader: it is started now, or placed
                 // again if its resources may have been given away.
-                (Phase::Placed, None) if live.inherited && !no_command_pending => {
+                (Phase::Placed, None) if active.inherited && !no_command_pending => {
                     self.request_confirmation(host);
                     false
                 }
-                (Phase::Placed, None) => live.inherited && !self.resume_attempt(now, host, &task),
+                (Phase::Placed, None) => active.inherited && !self.resume_attempt(now, host, &task),
                 // Stopped before it was seen: gone once no command that may still be
                 // executed could start it.
                 (Phase::Placed, Some(_)) => {
-                    let answered = live.run_sent_in.is_none_or(|told| told < seq);
-                    !live.run_sent
+                    let answered = active.run_sent_in.is_none_or(|sent_in| sent_in < seq);
+                    !active.run_sent
                         || (no_command_pending && source == ReportSource::Heartbeat && answered)
                 }
                 _ => no_command_pending,
@@ -580,23 +580,23 @@
         let answers = delivery != Delivery::DirectCall;
         let job = self.jobs.get(&task.job)?;
         let stored = job.parts[job.part_of(task.ix)].stored_version;
-        let live = self.active_attempt_mut(&task)?;
-        let attempt = live.attempt;
-        match (live.phase, live.stop) {
+        let active = self.active_attempt_mut(&task)?;
+        let attempt = active.attempt;
+        match (active.phase, active.stop) {
             (Phase::Placed, None) => {
-                if live.inherited || !may_run || stored < live.required_version {
+                if active.inherited || !may_run || stored < active.required_version {
                     return None;
                 }
-                live.run_sent = true;
+                active.run_sent = true;
                 if answers {
-                    live.run_sent_in = Some(seq);
+                    active.run_sent_in = Some(seq);
                 }
                 Some(Order::Run { task, attempt })
             }
             // The attempt may start between this report and the answer, so an answer
             // that renews the lease must repeat every stop. A direct call renews no
             // lease.
-            (Phase::Placed, Some(_)) if !(answers && live.run_sent) => None,
+            (Phase::Placed, Some(_)) if !(answers && active.run_sent) => None,
             (_, Some(stop)) => Some(Order::Kill {
                 task,
                 attempt,
@@ -626,14 +626,14 @@
             job: id.clone(),
             ix,
         };
-        let Some(live) = self.active_attempt_mut(&task) else {
+        let Some(active) = self.active_attempt_mut(&task) else {
             return;
         };
-        if !live.run_sent {
+        if !active.run_sent {
             return self.attempt_gone(now, &task);
         }
-        live.stop = Some(Stop { leeway_s });
-        let (host, not_seen) = (live.host.clone(), live.phase == Phase::Placed);
+        active.stop = Some(Stop { leeway_s });
+        let (host, not_seen) = (active.host.clone(), active.phase == Phase::Placed);
         if not_seen {
             self.invalidate_call(&host);
         }
--- a/src/sched/zones.rs
+++ b/src/sched/zones.rs
@@ -278,7 +278,7 @@
         for task in tasks {
             if self
                 .active_attempt_mut(&task)
-                .is_some_and(|live| !live.run_sent)
+                .is_some_and(|active| !active.run_sent)
             {
                 self.attempt_gone(now, &task);
             }
@@ -339,8 +339,8 @@
         let lease = self.lease_bound();
         let at_risk = |task: &TaskId| {
             let job = self.jobs.get(&task.job)?;
-            let live = job.active.get(&task.ix)?;
-            Some(self.attempt_at_risk(now, machine, job, live))
+            let active = job.active.get(&task.ix)?;
+            Some(self.attempt_at_risk(now, machine, job, active))
         };
         LostMachine {
             machine: machine.host.clone(),
@@ -355,15 +355,15 @@
         now: Time,
         machine: &Machine,
         job: &Job,
-        live: &ActiveAttempt,
+        active: &ActiveAttempt,
     ) -> AttemptAtRisk {
         let machine_share = job.need.dominant_share_of(&machine.capacity);
         let estimate_total = estimate::of(job);
-        let ran_for = match (live.phase, live.running_since) {
+        let ran_for = match (active.phase, active.running_since) {
             (Phase::Running, Some(since)) => now - since,
             // For attempts started by an earlier leader only the placement time is
             // known.
-            _ if live.inherited => now - live.placed,
+            _ if active.inherited => now - active.placed,
             _ => Span::ZERO,
         };
         let checkpoint_s = job.spec.checkpoint_s;
@@ -375,10 +375,10 @@
         // A gang runs only as a whole: one that has lost a member or is being stopped
         // only waits for proof that the other members have ended.
         let complete = job.active.len() as u32 == job.spec.tasks
-            && job.active.values().all(|live| live.stop.is_none());
+            && job.active.values().all(|active| active.stop.is_none());
         let kind = match job.spec.kind {
             Kind::Service => AttemptKind::Replica,
-            Kind::Gang if !complete || live.stop.is_some() => AttemptKind::BrokenGang,
+            Kind::Gang if !complete || active.stop.is_some() => AttemptKind::BrokenGang,
             _ if job.priority() <= Priority::High || self.is_quick(&job.spec.class) => {
                 AttemptKind::Urgent
             }
