--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -21,14 +21,14 @@
 
 impl Scheduler {
     /// Why a job can never run, if so; `Err` if that can't be decided yet.
-    pub(super) fn unsatisfiable(&self, s: &JobSpec) -> Result<Option<String>, String> {
-        let Some(limit) = self.teams.limit(&s.team) else {
-            return Ok(Some(format!("Crew: no team {}", s.team)));
+    pub(super) fn unsatisfiable(&self, spec: &JobSpec) -> Result<Option<String>, String> {
+        let Some(limit) = self.teams.limit(&spec.team) else {
+            return Ok(Some(format!("Crew: no team {}", spec.team)));
         };
-        let need = Resources::of_task(s);
-        let concurrent_tasks = match s.kind {
+        let need = Resources::of_task(spec);
+        let concurrent_tasks = match spec.kind {
             JobKind::Array => 1,
-            JobKind::Gang | JobKind::Service => s.tasks as i64,
+            JobKind::Gang | JobKind::Service => spec.tasks as i64,
         };
         if let Some(part) = limit.first_lacking(&need.scaled(concurrent_tasks)) {
             return Ok(Some(format!("{part}: more than the team's limit")));
@@ -36,14 +36,18 @@
         if self.machine_types.is_empty() {
             return Err("machine types are not known yet".into());
         }
-        let allowed = |f: &&MachineType| s.builds.as_ref().is_none_or(|b| b.contains(&f.build));
+        let allowed = |machine_type: &&MachineType| {
+            spec.builds
+                .as_ref()
+                .is_none_or(|b| b.contains(&machine_type.build))
+        };
         let types: Vec<&MachineType> = self.machine_types.values().filter(allowed).collect();
         if types.is_empty() {
             return Ok(Some("Builds: no such machine type".into()));
         }
         let lacking: Vec<_> = types
             .iter()
-            .map(|f| Resources::of_machine_type(f).first_lacking(&need))
+            .map(|machine_type| Resources::of_machine_type(machine_type).first_lacking(&need))
             .collect();
         if lacking.iter().all(Option::is_some) {
             let part = lacking.into_iter().flatten().next().unwrap_or("Vcpus");
@@ -51,26 +55,27 @@
         }
         let fitting = types
             .iter()
-            .filter(|f| Resources::of_machine_type(f).fits(&need));
+            .filter(|machine_type| Resources::of_machine_type(machine_type).fits(&need));
         let mut zones: Vec<Option<&Zone>> = vec![];
-        for f in fitting {
-            match f.zones.is_empty() {
+        for machine_type in fitting {
+            match machine_type.zones.is_empty() {
                 // No zones given: it could be any.
                 true => zones.extend([None, None]),
-                false => zones.extend(f.zones.iter().map(Some)),
+                false => zones.extend(machine_type.zones.iter().map(Some)),
             }
         }
-        let wanted = |z: &&Option<&Zone>| match (z, &s.zone) {
-            (Some(z), Some(only)) => *z == only,
+        let wanted = |zone: &&Option<&Zone>| match (zone, &spec.zone) {
+            (Some(zone), Some(only)) => *zone == only,
             _ => true,
         };
         let zones: Vec<_> = zones.iter().filter(wanted).collect();
         if zones.is_empty() {
             return Ok(Some("Yard: no machine there has room for a task".into()));
         }
-        let distinct = zones.len() > 1 && zones.iter().any(|z| *z != zones[0] || z.is_none());
-        let one = s.one_zone || s.zone.is_some() || !distinct;
-        if s.spread && one && concurrent_tasks > 1 {
+        let distinct =
+            zones.len() > 1 && zones.iter().any(|zone| *zone != zones[0] || zone.is_none());
+        let one = spec.one_zone || spec.zone.is_some() || !distinct;
+        if spec.spread && one && concurrent_tasks > 1 {
             return Ok(Some("Scatter: all tasks would be in one zone".into()));
         }
         Ok(None)
--- a/src/sched/job/record.rs
+++ b/src/sched/job/record.rs
@@ -131,11 +131,18 @@
         PartRecord {
             done,
             live: live()
-                .map(|(t, l)| (t.0, l.attempt.0, l.host.clone(), l.placed_wall.0))
+                .map(|(t, active)| {
+                    (
+                        t.0,
+                        active.attempt.0,
+                        active.host.clone(),
+                        active.placed_wall.0,
+                    )
+                })
                 .collect(),
             failures,
             places: AttemptPlaces::of(
-                live().map(|(_, l)| l),
+                live().map(|(_, active)| active),
                 left.saturating_sub(MIN_HISTORY_BYTES),
             ),
             rest: self.parts[part].rest.clone(),
@@ -147,12 +154,12 @@
         let (from, to) = self.part_range(part);
         let failures = self.failure_counts.encode(from, to);
         let digit = |c: char| c.to_digit(16).unwrap_or(0) as u8;
-        let started = |(t, l): (&TaskIndex, &ActiveAttempt)| StartedTask {
+        let started = |(t, active): (&TaskIndex, &ActiveAttempt)| StartedTask {
             task: t.0 - from,
-            attempt: l.attempt,
-            host: l.host.clone(),
-            placed: l.placed_wall,
-            place: l.place.clone(),
+            attempt: active.attempt,
+            host: active.host.clone(),
+            placed: active.placed_wall,
+            place: active.place.clone(),
         };
         let live = self.active.range(TaskIndex(from)..TaskIndex(to));
         TaskRecord {
@@ -367,30 +374,38 @@
     }
 
     pub fn decode(value: &serde_json::Value, now: Time, wall: WallTime) -> Option<Job> {
-        let h = Header::deserialize(value).ok()?;
+        let header = Header::deserialize(value).ok()?;
         // Parts begin at whole words of the bit set.
-        if h.part_size == 0 || !h.part_size.is_multiple_of(64) || h.spec.tasks == 0 {
+        if header.part_size == 0 || !header.part_size.is_multiple_of(64) || header.spec.tasks == 0 {
             return None;
         }
-        let mut job = Job::new(h.spec, h.seq, now, WallTime(h.at), h.part_size);
-        job.arrived = steady_time(now, wall, WallTime(h.at));
-        let ready = h.ready_at.map(|at| steady_time(now, wall, WallTime(at)));
+        let mut job = Job::new(
+            header.spec,
+            header.seq,
+            now,
+            WallTime(header.at),
+            header.part_size,
+        );
+        job.arrived = steady_time(now, wall, WallTime(header.at));
+        let ready = header
+            .ready_at
+            .map(|at| steady_time(now, wall, WallTime(at)));
         job.ready_since = ready.unwrap_or(job.arrived);
-        job.ready_at = h.ready_at.map(WallTime);
-        job.needs = h.needs;
-        job.cancelled = h.cancelled;
-        job.median_runtime = estimate::median(&h.runtimes);
-        job.runtimes = h.runtimes;
-        job.holds = h.holds;
+        job.ready_at = header.ready_at.map(WallTime);
+        job.needs = header.needs;
+        job.cancelled = header.cancelled;
+        job.median_runtime = estimate::median(&header.runtimes);
+        job.runtimes = header.runtimes;
+        job.holds = header.holds;
         job.stored_holds = job.holds.clone();
-        (job.conditions_met, job.conditions_unmeetable) = (h.met, h.never);
-        let history = h
+        (job.conditions_met, job.conditions_unmeetable) = (header.met, header.never);
+        let history = header
             .history
-            .and_then(|v| History::decode(WallMillis(h.at), &v));
-        job.history = history.unwrap_or_else(|| History::new(WallMillis(h.at)));
+            .and_then(|v| History::decode(WallMillis(header.at), &v));
+        job.history = history.unwrap_or_else(|| History::new(WallMillis(header.at)));
         job.failed_before = job.history.count(JobEvent::Failed);
-        job.unknown_fields = h.rest;
-        job.load_part(0, h.first, now, wall)?;
+        job.unknown_fields = header.rest;
+        job.load_part(0, header.first, now, wall)?;
         Some(job)
     }
 
--- a/src/sched/lifecycle.rs
+++ b/src/sched/lifecycle.rs
@@ -32,9 +32,12 @@
         id: &JobId,
         ask: &Request,
     ) -> bool {
-        if let Some(f) = self.finals.get(id) {
-            let a = Answer::new(409, job_view_json(id, f.state, f.done, 0));
-            self.answer(req, a);
+        if let Some(final_state) = self.finals.get(id) {
+            let response = Answer::new(
+                409,
+                job_view_json(id, final_state.state, final_state.done, 0),
+            );
+            self.answer(req, response);
         } else if !self.may_start(now) {
             self.answer_unconfirmed(req);
         } else if self.unreadable.contains_key(id) {
@@ -44,14 +47,17 @@
                 req,
                 Answer::later("the job's dependencies are being looked up", 1),
             );
-        } else if let Some(j) = self.jobs.get_mut(id) {
-            if j.closing_state.is_some() {
+        } else if let Some(job) = self.jobs.get_mut(id) {
+            if job.closing_state.is_some() {
                 // Answered with the final state once that is stored.
-                j.waiters.push((u64::MAX, req, ReplyKind::Hold(false)));
-            } else if j.cancelled && j.parts[0].stored_version >= j.cancel_version {
-                let a = Answer::new(409, job_view_json(id, JobState::Cancelled, j.done_count, 0));
-                self.answer(req, a);
-            } else if j.cancelled {
+                job.waiters.push((u64::MAX, req, ReplyKind::Hold(false)));
+            } else if job.cancelled && job.parts[0].stored_version >= job.cancel_version {
+                let response = Answer::new(
+                    409,
+                    job_view_json(id, JobState::Cancelled, job.done_count, 0),
+                );
+                self.answer(req, response);
+            } else if job.cancelled {
                 self.answer(req, Answer::later("the job is being cancelled", 1));
             } else {
                 return false;
@@ -88,12 +94,12 @@
     /// stopped.
     pub(super) fn put_hold(&mut self, now: Time, id: &JobId, hold: Hold, purpose: Purpose) {
         let wall = self.wall;
-        let Some(j) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if j.holds.put(hold) {
-            j.history.note(JobEvent::Held, wall.into());
-            j.holds_version = j.mark_changed(0, &mut self.write_queue, purpose);
+        if job.holds.put(hold) {
+            job.history.note(JobEvent::Held, wall.into());
+            job.holds_version = job.mark_changed(0, &mut self.write_queue, purpose);
         }
         self.stop_unstarted(now, id);
         self.replan = true;
@@ -102,21 +108,23 @@
     /// Stops attempts that have not begun. A command in flight may still start one, which is
     /// then stopped as soon as a heartbeat reports it.
     fn stop_unstarted(&mut self, now: Time, id: &JobId) {
-        let Some(j) = self.jobs.get(id) else { return };
-        let leeway = j.spec.save_s + 1.0;
-        let has_begun = |l: &ActiveAttempt| matches!(l.phase, Phase::Running | Phase::Saving);
-        if j.spec.kind == JobKind::Gang {
+        let Some(job) = self.jobs.get(id) else { return };
+        let leeway = job.spec.save_s + 1.0;
+        let has_begun =
+            |active: &ActiveAttempt| matches!(active.phase, Phase::Running | Phase::Saving);
+        if job.spec.kind == JobKind::Gang {
             // A gang begins as a whole or not at all.
-            if !j.gang_ran && !j.active.values().any(has_begun) {
+            if !job.gang_ran && !job.active.values().any(has_begun) {
                 self.stop_gang(now, id);
             }
             return;
         }
         // An attempt placed by an earlier leader may be running without having been reported
         // yet.
-        let not_begun =
-            |l: &ActiveAttempt| l.phase == Phase::Placed && l.stop.is_none() && !l.inherited;
-        let some = j.active.iter().filter(|(_, l)| not_begun(l));
+        let not_begun = |active: &ActiveAttempt| {
+            active.phase == Phase::Placed && active.stop.is_none() && !active.inherited
+        };
+        let some = job.active.iter().filter(|(_, active)| not_begun(active));
         let tasks: Vec<TaskIndex> = some.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop_attempt(now, id, t, leeway);
@@ -125,12 +133,15 @@
 
     /// Tells active attempts to save and end; a gang as a whole.
     fn stop_running(&mut self, now: Time, id: &JobId) {
-        let Some(j) = self.jobs.get(id) else { return };
-        if j.spec.kind == JobKind::Gang {
+        let Some(job) = self.jobs.get(id) else { return };
+        if job.spec.kind == JobKind::Gang {
             return self.stop_gang(now, id);
         }
-        let leeway = j.spec.save_s + 1.0;
-        let not_stopping = j.active.iter().filter(|(_, l)| l.stop.is_none());
+        let leeway = job.spec.save_s + 1.0;
+        let not_stopping = job
+            .active
+            .iter()
+            .filter(|(_, active)| active.stop.is_none());
         let tasks: Vec<TaskIndex> = not_stopping.map(|(t, _)| *t).collect();
         for t in tasks {
             self.stop_attempt(now, id, t, leeway);
@@ -147,13 +158,13 @@
         }
         if self.remove_hold(&id, r.kind, &r.by)
             && r.kind == HoldKind::System
-            && let Some(j) = self.jobs.get_mut(&id)
+            && let Some(job) = self.jobs.get_mut(&id)
         {
             // Releasing the system hold starts the retries anew.
-            for part in j.parts_with_failures() {
-                j.mark_changed(part, &mut self.write_queue, Purpose::Now);
+            for part in job.parts_with_failures() {
+                job.mark_changed(part, &mut self.write_queue, Purpose::Now);
             }
-            j.failure_counts.reset();
+            job.failure_counts.reset();
         }
         self.answer_when_stored(req, &id, false);
     }
@@ -161,24 +172,24 @@
     /// Answers once all changes of the job are stored, also if this request changed nothing,
     /// as an earlier one may not be stored yet.
     fn answer_when_stored(&mut self, req: RequestId, id: &JobId, held: bool) {
-        let Some(j) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let ver = j.parts[0].version;
-        if j.parts[0].stored_version < ver {
-            return j.waiters.push((ver, req, ReplyKind::Hold(held)));
+        let ver = job.parts[0].version;
+        if job.parts[0].stored_version < ver {
+            return job.waiters.push((ver, req, ReplyKind::Hold(held)));
         }
-        let a = self.hold_answer(id, held);
-        self.answer(req, a);
+        let response = self.hold_answer(id, held);
+        self.answer(req, response);
     }
 
     /// The response to a hold or release that is stored.
     pub(super) fn hold_answer(&self, id: &JobId, held: bool) -> Answer {
         match self.jobs.get(id) {
-            Some(j) if j.cancelled => Answer::later("the job is being cancelled", 1),
-            Some(j) => {
+            Some(job) if job.cancelled => Answer::later("the job is being cancelled", 1),
+            Some(job) => {
                 let v = HoldView {
-                    job: j.job_view(),
+                    job: job.job_view(),
                     held,
                 };
                 Answer::new(200, serde_json::to_string(&v).unwrap_or_default())
@@ -191,26 +202,35 @@
     /// otherwise a new leader could find the job held, with tasks that began all the same.
     fn remove_hold(&mut self, id: &JobId, kind: HoldKind, by: &str) -> bool {
         let wall = self.wall;
-        let Some(j) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return false;
         };
-        if j.holds.release(kind).is_none() {
+        if job.holds.release(kind).is_none() {
             return false;
         }
         tracing::info!(job = %id, ?kind, by, "job hold released");
-        j.history.note(JobEvent::Released, wall.into());
-        j.release_version = j.mark_changed(0, &mut self.write_queue, Purpose::Now);
-        j.holds_version = j.release_version;
+        job.history.note(JobEvent::Released, wall.into());
+        job.release_version = job.mark_changed(0, &mut self.write_queue, Purpose::Now);
+        job.holds_version = job.release_version;
         self.replan = true;
         true
     }
 
     /// Records that an attempt ended without success. The consequences for the job are
     /// stored with it.
-    pub(super) fn note_failure(&mut self, now: Time, t: &TaskId, l: &ActiveAttempt, why: Failure) {
+    pub(super) fn note_failure(
+        &mut self,
+        now: Time,
+        t: &TaskId,
+        active: &ActiveAttempt,
+        why: Failure,
+    ) {
         let wall = self.wall;
-        let host_quarantined = self.machines.get(&l.host).is_some_and(|m| m.quarantined);
-        let Some(j) = self.jobs.get_mut(&t.job) else {
+        let host_quarantined = self
+            .machines
+            .get(&active.host)
+            .is_some_and(|m| m.quarantined);
+        let Some(job) = self.jobs.get_mut(&t.job) else {
             return;
         };
         let what = match why {
@@ -219,27 +239,33 @@
             Failure::Lost => JobEvent::Lost,
             Failure::Stopped => JobEvent::Stopped,
         };
-        j.history.note(what, wall.into());
-        if why == Failure::Error && host_quarantined || j.cancelled {
+        job.history.note(what, wall.into());
+        if why == Failure::Error && host_quarantined || job.cancelled {
             return;
         }
         let rule = self
             .retry_policies
-            .get(&j.spec.class)
+            .get(&job.spec.class)
             .copied()
             .unwrap_or_default();
-        let of = (t.index.0, j.spec.tasks);
-        match j.failure_counts.failed(of, l.host.as_str(), why, &rule) {
+        let of = (t.index.0, job.spec.tasks);
+        match job
+            .failure_counts
+            .failed(of, active.host.as_str(), why, &rule)
+        {
             RetryDecision::NotCounted => {}
             RetryDecision::RetryAfter(pause) => {
                 let pause = Span(pause.as_micros() as u64);
-                j.backoff_until = j.backoff_until.max(now + pause);
+                job.backoff_until = job.backoff_until.max(now + pause);
             }
             RetryDecision::Exhausted(n) => {
                 let hold = Hold {
                     kind: HoldKind::System,
                     by: RETRY_LIMIT_AUTHOR.into(),
-                    why: format!("task {} failed {n} times, at last on {}", t.index, l.host),
+                    why: format!(
+                        "task {} failed {n} times, at last on {}",
+                        t.index, active.host
+                    ),
                     at: wall.into(),
                 };
                 tracing::info!(job = %t.job, why = %hold.why, "job held: retry limit reached");
@@ -254,21 +280,21 @@
     /// were held only because of them.
     pub(super) fn discard_failures_on(&mut self, host: &Host) {
         let mut releasable = vec![];
-        for j in self.jobs.values_mut() {
-            let parts = j.parts_with_failures();
-            if !j.failure_counts.forgive(host.as_str()) {
+        for job in self.jobs.values_mut() {
+            let parts = job.parts_with_failures();
+            if !job.failure_counts.forgive(host.as_str()) {
                 continue;
             }
             for p in parts {
-                j.mark_changed(p, &mut self.write_queue, Purpose::Progress);
+                job.mark_changed(p, &mut self.write_queue, Purpose::Progress);
             }
             let rule = self
                 .retry_policies
-                .get(&j.spec.class)
+                .get(&job.spec.class)
                 .copied()
                 .unwrap_or_default();
-            if j.failed_too_often() && !j.failure_counts.exhausted(&rule) {
-                releasable.push(j.id().clone());
+            if job.failed_too_often() && !job.failure_counts.exhausted(&rule) {
+                releasable.push(job.id().clone());
             }
         }
         for id in releasable {
@@ -290,11 +316,11 @@
             }
             match self.jobs.get(&id) {
                 // Only stored state is shown: any other could be lost.
-                Some(j) if j.parts[0].stored_version == 0 => {}
-                Some(j) if j.cancelled && !j.cancellation_stored() => {}
-                Some(j) => lines.push((id, Ok(j.detail().into_line()))),
+                Some(job) if job.parts[0].stored_version == 0 => {}
+                Some(job) if job.cancelled && !job.cancellation_stored() => {}
+                Some(job) => lines.push((id, Ok(job.detail().into_line()))),
                 None => {
-                    let state = self.finals.get(&id).map(|f| f.state);
+                    let state = self.finals.get(&id).map(|final_state| final_state.state);
                     lines.push((id, Err(state)));
                 }
             }
@@ -317,11 +343,11 @@
                 Answer::later("the job's dependencies are being looked up", 1),
             );
         }
-        let open = |j: &Job| j.closing_state.is_none() || j.cancelled_with.is_some();
-        let stored = |j: &Job| j.parts[0].stored_version > 0 && open(j);
+        let open = |job: &Job| job.closing_state.is_none() || job.cancelled_with.is_some();
+        let stored = |job: &Job| job.parts[0].stored_version > 0 && open(job);
         match self.jobs.get(&id) {
-            Some(j) if stored(j) && (!j.cancelled || j.cancellation_stored()) => {
-                let body = serde_json::to_string(&j.detail()).unwrap_or_default();
+            Some(job) if stored(job) && (!job.cancelled || job.cancellation_stored()) => {
+                let body = serde_json::to_string(&job.detail()).unwrap_or_default();
                 self.answer(req, Answer::new(200, body));
             }
             Some(_) => self.answer(req, Answer::later("the job is being stored", 1)),
@@ -353,7 +379,7 @@
         }
         self.record_reads_in_flight = self.record_reads_in_flight.saturating_sub(1);
         let detail = |v: Value| detail_of_record(&id, v);
-        let a = match r {
+        let response = match r {
             Err(()) => Answer::later("the state service does not answer", 1),
             Ok(Some(v)) => match detail(v) {
                 Some(d) => Answer::new(200, serde_json::to_string(&d).unwrap_or_default()),
@@ -366,14 +392,14 @@
             }
             Ok(None) => Answer::error(404, "no such job"),
         };
-        self.answer(req, a);
+        self.answer(req, response);
     }
 }
 
 impl Scheduler {
     /// Schedules the time limit of a task that has begun to run, if it has one.
     pub(super) fn track_time_limit(&mut self, t: &TaskId, since: Time) {
-        let limit = self.jobs.get(&t.job).and_then(|j| j.spec.limit_s);
+        let limit = self.jobs.get(&t.job).and_then(|job| job.spec.limit_s);
         if let Some(s) = limit {
             self.time_limits.insert((since + Span::secs(s), t.clone()));
         }
@@ -386,13 +412,13 @@
             && at <= now
         {
             self.time_limits.pop_first();
-            let Some(j) = self.jobs.get(&t.job) else {
+            let Some(job) = self.jobs.get(&t.job) else {
                 continue;
             };
-            let (Some(limit), Some(l)) = (j.spec.limit_s, j.active.get(&t.index)) else {
+            let (Some(limit), Some(active)) = (job.spec.limit_s, job.active.get(&t.index)) else {
                 continue;
             };
-            let Some(since) = l.running_since else {
+            let Some(since) = active.running_since else {
                 continue;
             };
             let over = since + Span::secs(limit);
@@ -401,20 +427,20 @@
                 self.time_limits.insert((over, t));
                 continue;
             }
-            let saves = j.spec.save_s + 1.0;
-            if l.timed_out {
+            let saves = job.spec.save_s + 1.0;
+            if active.timed_out {
                 self.stop_attempt(now, &t.job, t.index, 0.0);
                 continue;
             }
             tracing::info!(task = %t, limit, "task exceeded its time limit");
             let again = now + Span::secs(saves + self.config.workers.report_s);
-            if j.spec.kind == JobKind::Gang {
+            if job.spec.kind == JobKind::Gang {
                 self.stop_gang(now, &t.job);
             } else {
                 self.stop_attempt(now, &t.job, t.index, saves);
             }
-            if let Some(l) = self.active_attempt_mut(&t) {
-                l.timed_out = true;
+            if let Some(active) = self.active_attempt_mut(&t) {
+                active.timed_out = true;
                 self.time_limits.insert((again, t));
             }
         }
@@ -443,8 +469,16 @@
     }
 
     /// Records the useful and the lost time of an attempt that has ended.
-    pub(super) fn record_usage(&mut self, now: Time, l: &ActiveAttempt, done: bool, kept: bool) {
-        let Some(since) = l.running_since else { return };
+    pub(super) fn record_usage(
+        &mut self,
+        now: Time,
+        active: &ActiveAttempt,
+        done: bool,
+        kept: bool,
+    ) {
+        let Some(since) = active.running_since else {
+            return;
+        };
         let ran = (now - since).0 / 1000;
         let step = (self.spec.checkpoint_s * 1000.0) as u64;
         let useful = match self.spec.kind {
@@ -501,9 +535,12 @@
     }
 
     /// The final record of a finished job: its state and its summary.
-    pub fn final_record(&self, f: Final) -> Value {
+    pub fn final_record(&self, final_state: Final) -> Value {
         let facts = Some(self.summary());
-        let record = FinalRecord { end: f, facts };
+        let record = FinalRecord {
+            end: final_state,
+            facts,
+        };
         serde_json::to_value(record).unwrap_or_default()
     }
 }
@@ -567,7 +604,7 @@
             team: self.team.clone(),
             tasks: self.tasks,
             submitted_ms: self.submitted,
-            first_start_ms: h.first_start().map(|a| a.0),
+            first_start_ms: h.first_start().map(|response| response.0),
             ended_ms: self.ended,
             due_ms: self.due,
             held: holds.iter().cloned().collect(),
--- a/src/sched/overview.rs
+++ b/src/sched/overview.rs
@@ -31,26 +31,26 @@
         let (mut spot_used, mut starting) = (Resources::default(), Resources::default());
         let mut capacity = Resources::default();
         let (mut used, mut free, mut pending) = (capacity, capacity, capacity);
-        for m in self.machines.values() {
-            up += (m.state == MachineState::Up) as u32;
-            booting += (m.state == MachineState::Booting) as u32;
-            used += m.used;
-            if m.spot {
-                spot += (m.state == MachineState::Up) as u32;
-                spot_used += m.used;
+        for machine in self.machines.values() {
+            up += (machine.state == MachineState::Up) as u32;
+            booting += (machine.state == MachineState::Booting) as u32;
+            used += machine.used;
+            if machine.spot {
+                spot += (machine.state == MachineState::Up) as u32;
+                spot_used += machine.used;
             }
-            if m.state == MachineState::Up {
-                capacity += m.capacity;
+            if machine.state == MachineState::Up {
+                capacity += machine.capacity;
             }
-            if m.accepts_tasks(now, fresh) {
-                free += m.free();
+            if machine.accepts_tasks(now, fresh) {
+                free += machine.free();
             }
         }
-        for j in self.jobs.values() {
-            pending += j.need.scaled(j.pending() as i64);
+        for job in self.jobs.values() {
+            pending += job.need.scaled(job.pending() as i64);
             let is_starting = |l: &&job::ActiveAttempt| l.running_since.is_none();
-            let n = j.active.values().filter(is_starting).count();
-            starting += j.need.scaled(n as i64);
+            let n = job.active.values().filter(is_starting).count();
+            starting += job.need.scaled(n as i64);
         }
         tracing::info!(
             jobs = self.jobs.len(),
@@ -71,18 +71,18 @@
     /// The scheduler's part of the overview page, as JSON.
     pub fn overview(&self, now: Time) -> serde_json::Value {
         let mut by_class: BTreeMap<String, (u64, u64)> = BTreeMap::new();
-        for j in self.jobs.values() {
-            let e = by_class.entry(j.spec.class.to_string()).or_default();
-            e.0 += j.pending() as u64;
-            e.1 += j.active.len() as u64;
+        for job in self.jobs.values() {
+            let e = by_class.entry(job.spec.class.to_string()).or_default();
+            e.0 += job.pending() as u64;
+            e.1 += job.active.len() as u64;
         }
         let (mut capacity, mut used) = (Resources::default(), Resources::default());
         let mut machines_up = 0;
-        for m in self.machines.values() {
-            used += m.used;
-            if m.state == MachineState::Up {
+        for machine in self.machines.values() {
+            used += machine.used;
+            if machine.state == MachineState::Up {
                 machines_up += 1;
-                capacity += m.capacity;
+                capacity += machine.capacity;
             }
         }
         let writes = self.write_queue.lengths();
@@ -114,19 +114,22 @@
 
     /// Gangs that have not started, and what each waits for.
     fn gangs_waiting(&self) -> Vec<serde_json::Value> {
-        let waits = |j: &&Job| j.spec.kind == JobKind::Gang && j.pending() > 0;
-        let one = |j: &Job| {
-            let short = self.fleet.shortages.iter().find(|s| s.job == *j.id());
-            let left = self.teams.remaining(&j.spec.team).tasks_that_fit(&j.need);
+        let waits = |job: &&Job| job.spec.kind == JobKind::Gang && job.pending() > 0;
+        let one = |job: &Job| {
+            let short = self.fleet.shortages.iter().find(|s| s.job == *job.id());
+            let left = self
+                .teams
+                .remaining(&job.spec.team)
+                .tasks_that_fit(&job.need);
             let waits_for = match short {
-                _ if !j.active.is_empty() => "its members to be gone or replaced",
-                _ if left < j.pending() as i64 => "its team's limit",
+                _ if !job.active.is_empty() => "its members to be gone or replaced",
+                _ if left < job.pending() as i64 => "its team's limit",
                 Some(_) => "machines",
                 None => "the next pass",
             };
             serde_json::json!({
-                "job": j.id(),
-                "tasks": j.spec.tasks,
+                "job": job.id(),
+                "tasks": job.spec.tasks,
                 "waits_for": waits_for,
                 "lacks": short.map(|s| s.tasks),
                 "zone": short.and_then(|s| s.zone.clone()),
@@ -142,11 +145,11 @@
         let services = self
             .jobs
             .values()
-            .filter(|j| j.spec.kind == JobKind::Service);
-        for j in services.filter(|j| !j.cancelled && j.needs.is_empty()) {
-            let n = j.spec.tasks - j.running();
+            .filter(|job| job.spec.kind == JobKind::Service);
+        for job in services.filter(|job| !job.cancelled && job.needs.is_empty()) {
+            let n = job.spec.tasks - job.running();
             if n > 0 {
-                *missing.entry(j.spec.class.to_string()).or_default() += n;
+                *missing.entry(job.spec.class.to_string()).or_default() += n;
             }
         }
         missing
--- a/src/sched/records.rs
+++ b/src/sched/records.rs
@@ -73,10 +73,10 @@
         // Writes that a user or an urgent start waits for come before overdue ends: hundreds
         // of single-task jobs that ended within a minute once used up the whole write
         // budget.
-        if let Some(d) = self.queues[Purpose::Now as usize].pop_front() {
-            return Some(d);
+        if let Some(write) = self.queues[Purpose::Now as usize].pop_front() {
+            return Some(write);
         }
-        let is_overdue = |d: &PendingWrite| now - d.since > MAX_END_DELAY;
+        let is_overdue = |write: &PendingWrite| now - write.since > MAX_END_DELAY;
         let end = Purpose::End as usize;
         if self.queues[end].front().is_some_and(is_overdue) {
             return self.queues[end].pop_front();
@@ -89,8 +89,10 @@
         for p in ALL_PURPOSES {
             let q = &mut self.queues[p as usize];
             let is_batching =
-                |d: &PendingWrite| p == Purpose::Progress && now - d.since < batch_delay;
-            if left >= MIN_BUDGET_LEFT[p as usize] && q.front().is_some_and(|d| !is_batching(d)) {
+                |write: &PendingWrite| p == Purpose::Progress && now - write.since < batch_delay;
+            if left >= MIN_BUDGET_LEFT[p as usize]
+                && q.front().is_some_and(|write| !is_batching(write))
+            {
                 return q.pop_front();
             }
         }
@@ -103,8 +105,8 @@
     }
 
     /// Returns a record that could not be written now to the front of its queue.
-    pub fn push_front(&mut self, d: PendingWrite) {
-        self.queues[d.purpose as usize].push_front(d);
+    pub fn push_front(&mut self, write: PendingWrite) {
+        self.queues[write.purpose as usize].push_front(write);
     }
 
     pub fn len(&self) -> usize {
@@ -158,88 +160,88 @@
 impl Scheduler {
     /// Queues the progress of a task to be written.
     pub(super) fn note_progress(&mut self, id: &JobId, t: TaskIndex) {
-        if let Some(j) = self.jobs.get_mut(id) {
-            j.mark_changed(j.part_of(t), &mut self.write_queue, Purpose::Progress);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.mark_changed(job.part_of(t), &mut self.write_queue, Purpose::Progress);
         }
     }
 
     /// Queues the final state of a job once nothing of it is left to run.
     pub(super) fn finish_if_complete(&mut self, id: &JobId) {
-        let Some(j) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if j.closing_state.is_some() || !j.active.is_empty() {
+        if job.closing_state.is_some() || !job.active.is_empty() {
             return;
         }
-        if j.spec.kind == JobKind::Gang && j.done_count > 0 {
+        if job.spec.kind == JobKind::Gang && job.done_count > 0 {
             // If one task of a gang is done, all are.
-            for t in 0..j.spec.tasks {
-                j.set_done(TaskIndex(t));
+            for t in 0..job.spec.tasks {
+                job.set_done(TaskIndex(t));
             }
         }
-        if j.cancelled {
-            j.closing_state = Some(JobState::Cancelled);
-        } else if j.unfinished() == 0 {
-            j.closing_state = Some(JobState::Done);
+        if job.cancelled {
+            job.closing_state = Some(JobState::Cancelled);
+        } else if job.unfinished() == 0 {
+            job.closing_state = Some(JobState::Done);
         } else {
             return;
         }
-        j.ended = Some(self.wall);
+        job.ended = Some(self.wall);
         let has_dependents = !self.dependencies.children_of(id).is_empty();
-        let purpose = match j.closing_state {
+        let purpose = match job.closing_state {
             // The cancelled dependency's record already implies this cancellation.
-            _ if j.cancelled_with.is_some() => Purpose::Progress,
+            _ if job.cancelled_with.is_some() => Purpose::Progress,
             // Dependent jobs start once this is stored.
-            Some(JobState::Done) if has_dependents && j.priority() <= Priority::High => {
+            Some(JobState::Done) if has_dependents && job.priority() <= Priority::High => {
                 Purpose::Now
             }
             Some(JobState::Done) if has_dependents => Purpose::Start,
             _ => Purpose::End,
         };
-        j.mark_changed(0, &mut self.write_queue, purpose);
+        job.mark_changed(0, &mut self.write_queue, purpose);
     }
 
     pub fn final_of(&self, id: &JobId) -> Option<Final> {
-        let j = self.jobs.get(id)?;
+        let job = self.jobs.get(id)?;
         Some(Final {
-            state: j.closing_state?,
-            done: j.done_count,
+            state: job.closing_state?,
+            done: job.done_count,
         })
     }
 
     /// Counts a transaction with the job's final state that is being sent.
     pub fn final_write_sent(&mut self, id: &JobId) {
-        if let Some(j) = self.jobs.get_mut(id) {
-            j.unresolved_final_writes += 1;
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.unresolved_final_writes += 1;
         }
     }
 
     /// Counts such a transaction that was not and never will be carried out.
     pub fn final_write_failed(&mut self, id: &JobId) {
-        if let Some(j) = self.jobs.get_mut(id) {
-            j.unresolved_final_writes = j.unresolved_final_writes.saturating_sub(1);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.unresolved_final_writes = job.unresolved_final_writes.saturating_sub(1);
         }
     }
 
     pub(super) fn stored(&mut self, now: Time, key: Key, ver: u64) {
         match key {
             Key::Part(id, part) => {
-                let Some(j) = self.jobs.get_mut(&id) else {
+                let Some(job) = self.jobs.get_mut(&id) else {
                     return;
                 };
-                let cancelled_before = j.cancellation_stored();
-                let p = &mut j.parts[part];
+                let cancelled_before = job.cancellation_stored();
+                let p = &mut job.parts[part];
                 p.stored_version = p.stored_version.max(ver);
-                let cancelled_now = j.cancellation_stored() && !cancelled_before;
+                let cancelled_now = job.cancellation_stored() && !cancelled_before;
                 self.write_queue.changed.insert(id.clone());
                 if part == 0 {
-                    if ver >= j.holds_version {
-                        j.stored_holds = j.holds.clone();
+                    if ver >= job.holds_version {
+                        job.stored_holds = job.holds.clone();
                     }
-                    let (ready, waiting) = std::mem::take(&mut j.waiters)
+                    let (ready, waiting) = std::mem::take(&mut job.waiters)
                         .into_iter()
                         .partition(|w| w.0 <= ver);
-                    j.waiters = waiting;
+                    job.waiters = waiting;
                     self.answer_waiters(now, &id, ready);
                 }
                 if cancelled_now {
@@ -253,25 +255,25 @@
                 self.answer_fenced_heartbeats(now);
             }
             Key::Final(id) => {
-                let Some(f) = self.final_of(&id) else {
+                let Some(final_state) = self.final_of(&id) else {
                     return;
                 };
-                self.cache_final(&id, f);
+                self.cache_final(&id, final_state);
                 self.write_queue.changed.insert(id.clone());
-                let what = match f.state {
+                let what = match final_state.state {
                     JobState::Cancelled => JobEvent::Cancelled,
                     _ => JobEvent::Done,
                 };
                 // A job that still had unmet dependencies was never counted as arrived.
-                if self.jobs.get(&id).is_some_and(|j| j.needs.is_empty()) {
+                if self.jobs.get(&id).is_some_and(|job| job.needs.is_empty()) {
                     self.record_job_event(now, &id, what);
                 }
-                if let Some(j) = self.jobs.remove(&id) {
+                if let Some(job) = self.jobs.remove(&id) {
                     // Cancelled with a dependency before its own first write.
-                    let new = j.cancelled_with.is_some();
-                    self.answer_waiters_final(&id, j.waiters, f, new);
+                    let new = job.cancelled_with.is_some();
+                    self.answer_waiters_final(&id, job.waiters, final_state, new);
                 }
-                self.announce(&id, ParentOutcome::Over(f.state));
+                self.announce(&id, ParentOutcome::Over(final_state.state));
             }
         }
     }
@@ -279,7 +281,7 @@
     /// Answers users at once when the state service refuses writes: a retry is safe.
     pub(crate) fn not_stored(&mut self, id: &JobId) {
         let waiters = match self.jobs.get_mut(id) {
-            Some(j) => std::mem::take(&mut j.waiters),
+            Some(job) => std::mem::take(&mut job.waiters),
             None => return,
         };
         for (_, req, _) in waiters {
@@ -287,26 +289,26 @@
         }
     }
 
-    pub(super) fn already_final(&mut self, now: Time, id: JobId, f: Final) {
+    pub(super) fn already_final(&mut self, now: Time, id: JobId, final_state: Final) {
         let own_final = self.final_of(&id);
-        let Some(j) = self.jobs.get_mut(&id) else {
+        let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if own_final.is_some_and(|m| m.state == f.state) {
+        if own_final.is_some_and(|m| m.state == final_state.state) {
             // Our own write, whose response was lost.
             return self.stored(now, Key::Final(id), 0);
         }
         // A very late retry of a finished job: it never became active again.
-        let waiters = std::mem::take(&mut j.waiters);
+        let waiters = std::mem::take(&mut job.waiters);
         // Attempts placed meanwhile were never sent, as their record was not stored.
         self.stop_all(now, &id);
-        if self.jobs.get(&id).is_some_and(|j| j.active.is_empty()) {
+        if self.jobs.get(&id).is_some_and(|job| job.active.is_empty()) {
             self.jobs.remove(&id);
             self.write_queue.changed.insert(id.clone());
         }
-        self.cache_final(&id, f);
-        self.answer_waiters_final(&id, waiters, f, false);
-        self.announce(&id, ParentOutcome::Over(f.state));
+        self.cache_final(&id, final_state);
+        self.answer_waiters_final(&id, waiters, final_state, false);
+        self.announce(&id, ParentOutcome::Over(final_state.state));
     }
 
     pub(super) fn read_final(&mut self, id: &JobId) {
--- a/src/sched/referenced_jobs.rs
+++ b/src/sched/referenced_jobs.rs
@@ -60,9 +60,9 @@
 
     /// Reads that are in flight or will be sent regardless of the budget.
     fn reads(&self) -> usize {
-        let lookup_reads = |l: &Lookup| match l.is_large() {
-            true => l.reading.len(),
-            false => l.reading.len() + l.to_read.len(),
+        let lookup_reads = |lookup: &Lookup| match lookup.is_large() {
+            true => lookup.reading.len(),
+            false => lookup.reading.len() + lookup.to_read.len(),
         };
         self.in_flight.values().map(lookup_reads).sum()
     }
@@ -139,7 +139,7 @@
 
     fn unknown_names(&self, spec: &JobSpec) -> BTreeSet<JobId> {
         // Start conditions need the team of a finished job, which only its record contains.
-        let conditions = spec.start_conditions.iter().map(|a| &a.job);
+        let conditions = spec.start_conditions.iter().map(|condition| &condition.job);
         let conditions = conditions.filter(|id| !self.jobs.contains_key(id));
         let needs = spec.dependencies.iter().filter(|id| !self.is_known(id));
         conditions.chain(needs).cloned().collect()
@@ -155,22 +155,28 @@
     fn read_referenced(&mut self, now: Time, req: RequestId) {
         let all = &mut self.submission_lookups;
         let reads = all.reads();
-        let Some(l) = all.in_flight.get_mut(&req).filter(|l| !l.answered) else {
+        let Some(lookup) = all
+            .in_flight
+            .get_mut(&req)
+            .filter(|lookup| !lookup.answered)
+        else {
             return;
         };
-        let large = l.is_large();
+        let large = lookup.is_large();
         let max_reads = match large {
-            true => MAX_READS_PER_SUBMISSION.min(MAX_READS.saturating_sub(reads) + l.reading.len()),
+            true => {
+                MAX_READS_PER_SUBMISSION.min(MAX_READS.saturating_sub(reads) + lookup.reading.len())
+            }
             false => MAX_READS,
         };
-        while l.reading.len() < max_reads && (!large || all.budget.has(now, 1.0)) {
-            let Some(id) = l.to_read.pop_first() else {
+        while lookup.reading.len() < max_reads && (!large || all.budget.has(now, 1.0)) {
+            let Some(id) = lookup.to_read.pop_first() else {
                 return;
             };
             if large {
                 all.budget.take(now, 1.0);
             }
-            l.reading.insert(id.clone());
+            lookup.reading.insert(id.clone());
             self.effects.push(Effect::ReadRecord(req, id));
         }
     }
@@ -181,28 +187,28 @@
         now: Time,
         req: RequestId,
         id: &JobId,
-        r: &Result<Option<Value>, ()>,
+        result: &Result<Option<Value>, ()>,
     ) -> bool {
         let all = &mut self.submission_lookups;
-        let Some(l) = all.in_flight.get_mut(&req) else {
+        let Some(lookup) = all.in_flight.get_mut(&req) else {
             return false;
         };
-        l.reading.remove(id);
+        lookup.reading.remove(id);
         let mut absent = false;
-        match r {
-            Err(()) if !l.answered => {
-                l.answered = true;
+        match result {
+            Err(()) if !lookup.answered => {
+                lookup.answered = true;
                 self.answer(req, Answer::later("the state service does not answer", 1));
             }
             Err(()) => {}
-            Ok(Some(v)) => match serde_json::from_value::<Final>(v.clone()) {
-                Ok(f) => {
-                    let team = v["j"]["t"].as_str().map(str::to_string);
-                    l.found.insert(id.clone(), (f, team));
+            Ok(Some(record)) => match serde_json::from_value::<Final>(record.clone()) {
+                Ok(final_state) => {
+                    let team = record["j"]["t"].as_str().map(str::to_string);
+                    lookup.found.insert(id.clone(), (final_state, team));
                 }
                 Err(_) => tracing::error!(job = %id, "final record can't be decoded"),
             },
-            Ok(None) => absent = *id != l.spec.id,
+            Ok(None) => absent = *id != lookup.spec.id,
         }
         if absent {
             // This is enough to reject it; only its own record is read first.
@@ -210,47 +216,56 @@
         }
         self.read_referenced(now, req);
         let all = &mut self.submission_lookups.in_flight;
-        let over = |l: &Lookup| l.reading.is_empty() && (l.answered || l.to_read.is_empty());
+        let over = |lookup: &Lookup| {
+            lookup.reading.is_empty() && (lookup.answered || lookup.to_read.is_empty())
+        };
         if all.get(&req).is_some_and(over)
-            && let Some(l) = all.remove(&req)
+            && let Some(lookup) = all.remove(&req)
         {
-            self.finish_lookup(now, req, l);
+            self.finish_lookup(now, req, lookup);
         }
         true
     }
 
     fn stop_reading(&mut self, req: RequestId) {
         let all = &mut self.submission_lookups.in_flight;
-        if let Some(l) = all.get_mut(&req) {
-            let own = l.to_read.take(&l.spec.id);
-            l.to_read.clear();
-            l.to_read.extend(own);
+        if let Some(lookup) = all.get_mut(&req) {
+            let own = lookup.to_read.take(&lookup.spec.id);
+            lookup.to_read.clear();
+            lookup.to_read.extend(own);
         }
     }
 
     /// Continues or answers a submission whose reads have all finished.
-    fn finish_lookup(&mut self, now: Time, req: RequestId, l: Lookup) {
-        if l.answered {
-            return self.submission_lookups.cache(now, &l.spec.id, l.found);
+    fn finish_lookup(&mut self, now: Time, req: RequestId, lookup: Lookup) {
+        if lookup.answered {
+            return self
+                .submission_lookups
+                .cache(now, &lookup.spec.id, lookup.found);
         }
-        if let Some((f, _)) = l.found.get(&l.spec.id) {
+        if let Some((final_state, _)) = lookup.found.get(&lookup.spec.id) {
             // It finished long ago.
-            let f = *f;
-            self.cache_final(&l.spec.id, f);
-            self.handle_request(now, req, Request::Submit(l.body));
+            let final_state = *final_state;
+            self.cache_final(&lookup.spec.id, final_state);
+            self.handle_request(now, req, Request::Submit(lookup.body));
         } else if !self.may_start(now) {
             self.answer_unconfirmed(req);
-        } else if self.jobs.contains_key(&l.spec.id) {
+        } else if self.jobs.contains_key(&lookup.spec.id) {
             // Submitted meanwhile by another request.
-            self.handle_request(now, req, Request::Submit(l.body));
-        } else if !self.refuse_references(req, &l.spec, &l.found) {
-            for (id, (f, _)) in &l.found {
-                self.cache_final(id, *f);
+            self.handle_request(now, req, Request::Submit(lookup.body));
+        } else if !self.refuse_references(req, &lookup.spec, &lookup.found) {
+            for (id, (final_state, _)) in &lookup.found {
+                self.cache_final(id, *final_state);
             }
-            let mut spec = l.spec;
-            let done = |id: &JobId| l.found.get(id).is_some_and(|f| f.0.state == JobState::Done);
+            let mut spec = lookup.spec;
+            let done = |id: &JobId| {
+                lookup
+                    .found
+                    .get(id)
+                    .is_some_and(|final_state| final_state.0.state == JobState::Done)
+            };
             spec.dependencies.retain(|id| !done(id));
-            self.submit_resolved(now, req, spec, l.body);
+            self.submit_resolved(now, req, spec, lookup.body);
         }
     }
 
@@ -258,20 +273,22 @@
     pub(super) fn continue_lookups(&mut self, now: Time) {
         let all = &mut self.submission_lookups;
         all.cached.retain(|_, (since, _)| now - *since < CACHE_TTL);
-        let open = all.in_flight.iter().filter(|(_, l)| !l.answered);
+        let open = all.in_flight.iter().filter(|(_, lookup)| !lookup.answered);
         let requests: Vec<RequestId> = open.map(|(req, _)| *req).collect();
         for req in requests {
             self.read_referenced(now, req);
             let all = &mut self.submission_lookups.in_flight;
-            let Some(l) = all.get_mut(&req) else { continue };
-            if !l.is_large() || now - l.since < MAX_LOOKUP_TIME {
+            let Some(lookup) = all.get_mut(&req) else {
+                continue;
+            };
+            if !lookup.is_large() || now - lookup.since < MAX_LOOKUP_TIME {
                 continue;
             }
-            l.answered = true;
-            let over = l.reading.is_empty();
+            lookup.answered = true;
+            let over = lookup.reading.is_empty();
             self.answer(req, Answer::later("the jobs named are being looked up", 1));
-            if over && let Some(l) = self.submission_lookups.in_flight.remove(&req) {
-                self.finish_lookup(now, req, l);
+            if over && let Some(lookup) = self.submission_lookups.in_flight.remove(&req) {
+                self.finish_lookup(now, req, lookup);
             }
         }
     }
@@ -282,11 +299,11 @@
         let names = spec
             .start_conditions
             .iter()
-            .map(|a| &a.job)
+            .map(|condition| &condition.job)
             .chain(&spec.dependencies);
         let being_stored = |id: &JobId| {
-            let j = self.jobs.get(id);
-            j.is_some_and(|j| j.parts[0].stored_version == 0)
+            let job = self.jobs.get(id);
+            job.is_some_and(|job| job.parts[0].stored_version == 0)
         };
         for id in names {
             if being_stored(id) {
@@ -298,7 +315,7 @@
         let condition_error = spec
             .start_conditions
             .iter()
-            .find_map(|a| self.condition_error(spec, a, found));
+            .find_map(|condition| self.condition_error(spec, condition, found));
         let never = |id: &&JobId| !self.is_known(id) && !found.contains_key(*id);
         let unknown = spec.dependencies.iter().find(never);
         let unknown = unknown.map(|id| format!("Awaits: no job {id}"));
@@ -313,22 +330,28 @@
     fn condition_error(
         &self,
         spec: &JobSpec,
-        a: &StartCondition,
+        condition: &StartCondition,
         found: &FoundJobs,
     ) -> Option<String> {
-        let team = match (self.jobs.get(&a.job), found.get(&a.job)) {
-            (Some(j), _) => Some(j.spec.team.to_string()),
+        let team = match (self.jobs.get(&condition.job), found.get(&condition.job)) {
+            (Some(job), _) => Some(job.spec.team.to_string()),
             (None, Some((_, team))) => team.clone(),
-            (None, None) => return Some(format!("After: no job {}", a.job)),
+            (None, None) => return Some(format!("After: no job {}", condition.job)),
         };
-        let tasks = self.jobs.get(&a.job).map(|j| (j.spec.tasks, j.spec.kind));
-        if a.each && tasks.is_some_and(|t| t != (spec.tasks, JobKind::Array)) {
-            let text = format!("After.Each: {} is no array of {} tasks", a.job, spec.tasks);
+        let tasks = self
+            .jobs
+            .get(&condition.job)
+            .map(|job| (job.spec.tasks, job.spec.kind));
+        if condition.each && tasks.is_some_and(|t| t != (spec.tasks, JobKind::Array)) {
+            let text = format!(
+                "After.Each: {} is no array of {} tasks",
+                condition.job, spec.tasks
+            );
             return Some(text);
         }
         // Records written before histories were introduced don't contain the team.
         if team.is_some_and(|t| t != spec.team.as_str()) {
-            return Some(format!("After: {} is another team's", a.job));
+            return Some(format!("After: {} is another team's", condition.job));
         }
         None
     }
--- a/src/sched/requests.rs
+++ b/src/sched/requests.rs
@@ -30,22 +30,25 @@
 const MAX_FINAL_READS: usize = 64;
 
 pub(super) fn job_view_json(id: &JobId, state: JobState, done: u32, running: u32) -> String {
-    let v = JobView {
+    let view = JobView {
         id: id.clone(),
         state,
         done,
         running,
     };
-    serde_json::to_string(&v).unwrap_or_default()
+    serde_json::to_string(&view).unwrap_or_default()
 }
 
-fn final_response(id: &JobId, f: Final) -> Answer {
-    Answer::new(200, job_view_json(id, f.state, f.done, 0))
+fn final_response(id: &JobId, final_state: Final) -> Answer {
+    Answer::new(
+        200,
+        job_view_json(id, final_state.state, final_state.done, 0),
+    )
 }
 
 /// The response for a final state that was read from the store.
-pub fn answer_final(id: &JobId, f: Final) -> Answer {
-    final_response(id, f)
+pub fn answer_final(id: &JobId, final_state: Final) -> Answer {
+    final_response(id, final_state)
 }
 
 impl Scheduler {
@@ -75,22 +78,22 @@
 
     fn submit(&mut self, now: Time, req: RequestId, spec: JobSpec, body: Vec<u8>) {
         let id = spec.id.clone();
-        if let Some(f) = self.finals.get(&id) {
-            let f = *f;
-            return self.answer(req, final_response(&id, f));
+        if let Some(final_state) = self.finals.get(&id) {
+            let final_state = *final_state;
+            return self.answer(req, final_response(&id, final_state));
         }
-        if let Some(a) = self.cancelled_for_ever(&id) {
-            return self.answer(req, a);
+        if let Some(response) = self.cancelled_for_ever(&id) {
+            return self.answer(req, response);
         }
         if let Some(state) = self.unreadable.get(&id).filter(|_| self.may_start(now)) {
             // It was certainly accepted once.
-            let a = Answer::new(200, job_view_json(&id, *state, 0, 0));
-            return self.answer(req, a);
+            let response = Answer::new(200, job_view_json(&id, *state, 0, 0));
+            return self.answer(req, response);
         }
-        if let Some(j) = self.jobs.get_mut(&id) {
-            if j.parts[0].stored_version == 0 && j.parts[0].version > 0 {
-                let ver = j.parts[0].version;
-                j.waiters.push((ver, req, ReplyKind::Known));
+        if let Some(job) = self.jobs.get_mut(&id) {
+            if job.parts[0].stored_version == 0 && job.parts[0].version > 0 {
+                let ver = job.parts[0].version;
+                job.waiters.push((ver, req, ReplyKind::Known));
                 return;
             }
             if !self.may_start(now) {
@@ -162,30 +165,33 @@
                 Answer::later("the job's dependencies are being looked up", 1),
             );
         }
-        if let Some(j) = self.jobs.get_mut(id) {
+        if let Some(job) = self.jobs.get_mut(id) {
             // Readers of the state service may already have returned the final state, so any
             // other response could be older. The outcome is known shortly.
-            if j.unresolved_final_writes > 0 {
-                return j.waiters.push((u64::MAX, req, ReplyKind::Known));
+            if job.unresolved_final_writes > 0 {
+                return job.waiters.push((u64::MAX, req, ReplyKind::Known));
             }
             // Only stored state is returned: any other could be lost.
-            if j.cancelled && j.parts[0].stored_version < j.cancel_version {
+            if job.cancelled && job.parts[0].stored_version < job.cancel_version {
                 return self.answer(req, Answer::later("the job is being cancelled", 1));
             }
             // `done` is returned only once it is stored as the final state.
-            let a = Answer::new(200, job_view_json(id, j.state(), j.done_count, j.running()));
-            self.answer(req, a);
+            let response = Answer::new(
+                200,
+                job_view_json(id, job.state(), job.done_count, job.running()),
+            );
+            self.answer(req, response);
         }
     }
 
     /// Answers requests for final states, which needs no valid lease, and rejects others
     /// while the lease is not confirmed.
     fn answer_final_or_unconfirmed(&mut self, now: Time, req: RequestId, id: &JobId) -> bool {
-        if let Some(f) = self.finals.get(id) {
-            let f = *f;
-            self.answer(req, final_response(id, f));
-        } else if let Some(a) = self.cancelled_for_ever(id) {
-            self.answer(req, a);
+        if let Some(final_state) = self.finals.get(id) {
+            let final_state = *final_state;
+            self.answer(req, final_response(id, final_state));
+        } else if let Some(response) = self.cancelled_for_ever(id) {
+            self.answer(req, response);
         } else if !self.may_start(now) {
             self.answer_unconfirmed(req);
         } else {
@@ -200,11 +206,11 @@
         }
         if let Some(state) = self.unreadable.get(&id) {
             // Any other response would let users conclude that the job was lost.
-            let a = Answer::new(200, job_view_json(&id, *state, 0, 0));
-            return self.answer(req, a);
+            let response = Answer::new(200, job_view_json(&id, *state, 0, 0));
+            return self.answer(req, response);
         }
         match self.jobs.get(&id) {
-            Some(j) if j.parts[0].stored_version == 0 && j.parts[0].version > 0 => {
+            Some(job) if job.parts[0].stored_version == 0 && job.parts[0].version > 0 => {
                 self.answer(req, Answer::later("the job is being stored", 1));
             }
             Some(_) => self.answer_active(req, &id),
@@ -217,48 +223,48 @@
             return;
         }
         if let Some(state) = self.unreadable.get(&id) {
-            let a = match state {
+            let response = match state {
                 JobState::Cancelled => Answer::new(200, job_view_json(&id, *state, 0, 0)),
                 _ => Answer::later("the job's record can't be read", 30),
             };
-            return self.answer(req, a);
+            return self.answer(req, response);
         }
-        let Some(j) = self.jobs.get_mut(&id) else {
+        let Some(job) = self.jobs.get_mut(&id) else {
             return self.look_up_final(now, req, id.clone(), Request::Cancel(id.to_string()));
         };
-        if j.closing_state.is_some() {
-            j.waiters.push((u64::MAX, req, ReplyKind::Cancel));
+        if job.closing_state.is_some() {
+            job.waiters.push((u64::MAX, req, ReplyKind::Cancel));
             return;
         }
-        if !j.cancelled {
-            j.cancelled = true;
-            let ver = j.mark_changed(0, &mut self.write_queue, Purpose::Now);
-            j.cancel_version = ver;
-            j.waiters.push((ver, req, ReplyKind::Cancel));
+        if !job.cancelled {
+            job.cancelled = true;
+            let ver = job.mark_changed(0, &mut self.write_queue, Purpose::Now);
+            job.cancel_version = ver;
+            job.waiters.push((ver, req, ReplyKind::Cancel));
             self.stop_all(now, &id);
             self.finish_if_complete(&id);
             self.withdraw_from_parents(&id);
             self.replan = true;
-        } else if j.parts[0].stored_version >= j.cancel_version {
-            let a = Answer::new(
+        } else if job.parts[0].stored_version >= job.cancel_version {
+            let response = Answer::new(
                 200,
-                job_view_json(&id, JobState::Cancelled, j.done_count, 0),
+                job_view_json(&id, JobState::Cancelled, job.done_count, 0),
             );
-            self.answer(req, a);
+            self.answer(req, response);
         } else {
-            let ver = j.cancel_version;
-            j.waiters.push((ver, req, ReplyKind::Cancel));
+            let ver = job.cancel_version;
+            job.waiters.push((ver, req, ReplyKind::Cancel));
         }
     }
 
     /// Stops all attempts of the job; those whose `run` was never sent end at once.
     pub(super) fn stop_all(&mut self, now: Time, id: &JobId) {
         let tasks: Vec<_> = match self.jobs.get(id) {
-            Some(j) => j.active.keys().copied().collect(),
+            Some(job) => job.active.keys().copied().collect(),
             None => return,
         };
-        for t in tasks {
-            self.stop_attempt(now, id, t, 0.0);
+        for task in tasks {
+            self.stop_attempt(now, id, task, 0.0);
         }
     }
 
@@ -292,29 +298,30 @@
         }
     }
 
-    pub(super) fn final_read(&mut self, now: Time, id: JobId, r: Result<Option<Final>, ()>) {
+    pub(super) fn final_read(&mut self, now: Time, id: JobId, result: Result<Option<Final>, ()>) {
         let asked = self.pending_final_reads.remove(&id).unwrap_or_default();
-        self.lookup_counts.failed += r.is_err() as u64;
+        self.lookup_counts.failed += result.is_err() as u64;
         // A slow read says nothing about jobs that have finished since it was sent.
-        let r = match self.finals.get(&id) {
-            Some(f) => Ok(Some(*f)),
-            None => r,
+        let result = match self.finals.get(&id) {
+            Some(final_state) => Ok(Some(*final_state)),
+            None => result,
         };
-        match r {
-            Ok(Some(f)) => {
-                self.cache_final(&id, f);
-                self.announce(&id, ParentOutcome::Over(f.state));
+        match result {
+            Ok(Some(final_state)) => {
+                self.cache_final(&id, final_state);
+                self.announce(&id, ParentOutcome::Over(final_state.state));
             }
             Ok(None) => self.parent_is_absent(&id),
             Err(()) => {}
         }
         for (req, ask) in asked {
-            let a = match (&r, &ask) {
+            let response = match (&result, &ask) {
                 (Err(()), _) => Answer::later("the state service does not answer", 1),
-                (Ok(Some(f)), Request::Hold(..) | Request::Release(..)) => {
-                    Answer::new(409, job_view_json(&id, f.state, f.done, 0))
-                }
-                (Ok(Some(f)), _) => final_response(&id, *f),
+                (Ok(Some(final_state)), Request::Hold(..) | Request::Release(..)) => Answer::new(
+                    409,
+                    job_view_json(&id, final_state.state, final_state.done, 0),
+                ),
+                (Ok(Some(final_state)), _) => final_response(&id, *final_state),
                 (Ok(None), _) if !self.may_start(now) => {
                     self.answer_unconfirmed(req);
                     continue;
@@ -325,7 +332,7 @@
                 (Ok(None), Request::Submit(body)) => self.refusal_answer(now, body),
                 (Ok(None), _) => Answer::error(404, "no such job"),
             };
-            self.answer(req, a);
+            self.answer(req, response);
         }
     }
 
@@ -335,20 +342,20 @@
         id: &JobId,
         ready: Vec<(u64, RequestId, ReplyKind)>,
     ) {
-        for (_, req, what) in ready {
+        for (_, req, reply) in ready {
             // A cancellation is final. Any other stored state may be out of date: a leader
             // that had been paused once answered `queued` for a job that was done by then.
-            if what != ReplyKind::Cancel && !self.may_start(now) {
+            if reply != ReplyKind::Cancel && !self.may_start(now) {
                 self.answer_unconfirmed(req);
                 continue;
             }
-            let (status, state) = match what {
+            let (status, state) = match reply {
                 ReplyKind::Accept => (201, JobState::Queued),
                 ReplyKind::Known => (200, JobState::Queued),
                 ReplyKind::Cancel => (200, JobState::Cancelled),
                 ReplyKind::Hold(held) => {
-                    let a = self.hold_answer(id, held);
-                    self.answer(req, a);
+                    let response = self.hold_answer(id, held);
+                    self.answer(req, response);
                     continue;
                 }
             };
@@ -367,17 +374,17 @@
         &mut self,
         id: &JobId,
         waiters: Vec<(u64, RequestId, ReplyKind)>,
-        f: Final,
+        final_state: Final,
         new: bool,
     ) {
-        for (_, req, what) in waiters {
-            let mut a = final_response(id, f);
-            match what {
-                ReplyKind::Hold(_) => a.status = 409,
-                ReplyKind::Accept if new => a.status = 201,
+        for (_, req, reply) in waiters {
+            let mut response = final_response(id, final_state);
+            match reply {
+                ReplyKind::Hold(_) => response.status = 409,
+                ReplyKind::Accept if new => response.status = 201,
                 _ => {}
             }
-            self.answer(req, a);
+            self.answer(req, response);
         }
     }
 }
