--- a/src/sched/lifecycle.rs
+++ b/src/sched/lifecycle.rs
@@ -604,7 +604,7 @@
             team: self.team.clone(),
             tasks: self.tasks,
             submitted_ms: self.submitted,
-            first_start_ms: h.first_start().map(|response| response.0),
+            first_start_ms: h.first_start().map(|at| at.0),
             ended_ms: self.ended,
             due_ms: self.due,
             held: holds.iter().cloned().collect(),
