--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -132,7 +132,7 @@
                 job.id().clone(),
                 Rank {
                     tier,
-                    latest_start_s: latest_start_s,
+                    latest_start_s,
                     seq,
                 },
             )
@@ -149,9 +149,9 @@
         };
         let gang_is_waiting = self.fleet.shortages.iter().any(is_ordinary_gang);
         Order {
-            within_guarantee: within_guarantee,
-            ordinary_machines_wanted: ordinary_machines_wanted,
-            gang_is_waiting: gang_is_waiting,
+            within_guarantee,
+            ordinary_machines_wanted,
+            gang_is_waiting,
             ranks,
         }
     }
--- a/src/sched/place.rs
+++ b/src/sched/place.rs
@@ -258,7 +258,7 @@
             let candidate = Candidate {
                 machine,
                 free,
-                remaining: remaining,
+                remaining,
                 reserved: is_reserved,
             };
             let Some(score) = view.score(&candidate) else {
