--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -1,4 +1,4 @@
-//! A budget that refills with time.
+//! A token bucket: a budget that refills at a constant rate.
 
 use crate::time::Time;
 
@@ -41,18 +41,18 @@
         self.tokens
     }
 
-    /// The most that it ever holds.
+    /// Capacity of the bucket.
     pub fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// Nothing is left.
+    /// Removes all tokens; a negative balance stays.
     pub fn drain(&mut self, now: Time) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
     }
 
-    /// Refills as another one does from now on, with no more than is left.
+    /// Takes over the rate and the capacity of another budget; the balance doesn't grow.
     pub fn reconfigure(&mut self, now: Time, other: Budget) {
         self.refill(now);
         self.rate = other.rate;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service, one at a time for each caller.
+//! Blocking client of the state service.
 
 use crate::ids::Revision;
 use crate::wire::state::{Item, Lease, LeaseRequest, Page, Txn, TxnApplied, TxnFailed};
@@ -9,41 +9,40 @@
 use ureq::unversioned::resolver::{ResolvedSocketAddrs, Resolver};
 use ureq::unversioned::transport::{DefaultConnector, NextTimeout};
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TxnOutcome {
     Ok(Revision),
-    /// These keys did not have the expected stamps.
+    /// These keys did not have the expected revisions.
     Conflict(Vec<String>),
-    /// Certainly not carried out: an outage, or a reason that is not known.
+    /// Not applied: the service is unavailable, or gave no known reason.
     NotApplied,
-    /// Certainly not carried out: it, or one of its values, is larger than allowed.
+    /// Not applied: the transaction or one of its values exceeds a size limit.
     TooLarge,
-    /// Certainly not carried out: more requests or changes than allowed.
+    /// Not applied: the rate limit for requests or changes is exceeded.
     RateLimited,
-    /// No such lease.
+    /// Not applied: the lease does not exist.
     NoLease,
-    /// No answer: it may have been or may still be carried out.
+    /// No response: it may have been applied, or may still be.
     Unknown,
 }
 
-/// Why a read gave nothing.
+/// Why a read failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
     Failed,
 }
 
-/// What the election, the loader and the committer need of the service; the
-/// tests have one in memory.
+/// The operations of the state service. Tests implement it in memory.
 pub trait StateStore: Send {
     fn get(&self, key: &str) -> Result<Option<Item>, ReadError>;
     fn page(&self, prefix: &str, after: Option<&str>, limit: u32) -> Result<Page, ReadError>;
     fn txn(&self, t: &Txn) -> TxnOutcome;
     fn grant(&self, ttl_ms: u64) -> Result<u64, ReadError>;
-    /// `Ok(false)`: the lease has ended.
+    /// `Ok(false)`: the lease has expired.
     fn renew(&self, lease: u64) -> Result<bool, ReadError>;
-    /// Ends a lease at once, and with it its keys. An unclear outcome is no error:
-    /// whoever needs to know reads the key.
+    /// Revokes a lease, which deletes its keys. An unknown outcome is not reported:
+    /// a caller that depends on it reads the key.
     fn revoke(&self, lease: u64);
 }
 
@@ -53,8 +52,8 @@
     base_url: String,
 }
 
-/// Addresses are numbers here. The usual resolver starts a thread for each
-/// request, to look up what needs no looking up.
+/// Parses numeric addresses only. The default resolver would start a thread for each
+/// request.
 #[derive(Debug)]
 struct NumericResolver;
 
@@ -109,7 +108,7 @@
     }
 }
 
-/// The whole answer, or none if any of it failed to come.
+/// Reads status and body; none if the response is incomplete.
 pub(crate) fn read_response(
     r: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
 ) -> Option<(u16, Vec<u8>)> {
@@ -120,7 +119,7 @@
             body.ok().map(|b| (status, b))
         }
         Err(e) => {
-            tracing::debug!(error = %e, "no answer");
+            tracing::debug!(error = %e, "http request failed");
             None
         }
     }
@@ -167,8 +166,8 @@
                 if text.contains("no such lease") {
                     return TxnOutcome::NoLease;
                 }
-                tracing::error!(%text, "the state service refused a transaction");
-                // What we send is well formed, so that only its size is left.
+                tracing::error!(%text, "transaction rejected by the state service");
+                // Transactions are well formed, so only the size can be the reason.
                 TxnOutcome::TooLarge
             }
             _ => TxnOutcome::Unknown,
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -1,9 +1,8 @@
 //! Group commit: turns changed records into transactions that stay within the
-//! service's limits. No I/O: what to send comes out, what became of it goes in.
+//! service's limits. No I/O: it returns transactions and takes their outcomes.
 //!
-//! Every transaction is conditioned on the stamp of the leader's key and on
-//! that of each record it changes, so what arrives late or from a leader that
-//! is none any more fails.
+//! Every transaction is conditioned on the revision of the leader's key and on that of
+//! each record it changes, so late transactions and those of a deposed leader fail.
 
 mod counts;
 mod draft;
@@ -27,31 +26,31 @@
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
 
-/// Transactions under way at a time, and with those that somebody waits for:
-/// a slow state service once made submissions queue behind all else.
+/// Maximum number of transactions in flight, and the maximum while a caller waits for a
+/// write: a slow state service once made submissions queue behind all other writes.
 const MAX_TXNS_IN_FLIGHT: usize = 3;
 const MAX_TXNS_IN_FLIGHT_URGENT: usize = 6;
-/// Share of the write budget that must be left for litter to be swept.
+/// Garbage is deleted only while at least this share of the change budget is left.
 const GARBAGE_RESERVE_SHARE: f64 = 0.4;
-/// Shares of the service's limits: what is left is for elections, reads and the
-/// other controllers.
+/// Shares of the service's limits; the rest is left for elections, reads and the other
+/// controllers.
 const CHANGE_RATE_SHARE: f64 = 0.9;
 const CHANGE_BURST_SHARE: f64 = 0.8;
-/// A record in so many values must be written in one go, however few changes a second
-/// there are.
+/// A record of this many values must fit into one transaction, however low the rate
+/// limit is.
 const MIN_CHANGE_BURST: f64 = 4.0;
 const REQUEST_RATE_SHARE: f64 = 0.6;
 const REQUEST_BURST_SHARE: f64 = 0.3;
 
-/// What became of an entry of the queue.
+/// Result of adding an entry of the write queue to a transaction.
 enum AddOutcome {
-    /// It is in the transaction, or there is nothing to be written any more.
+    /// It was added, or there is nothing left to write.
     Handled,
-    /// Something else of the job is under way.
+    /// Another write of the job is in flight.
     Busy,
-    /// The transaction has no room left for it.
+    /// It does not fit into what is left of the transaction.
     Full,
-    /// No transaction has room for it.
+    /// It does not fit into any transaction.
     TooLarge,
 }
 
@@ -66,32 +65,32 @@
     format: RecordFormat,
     revisions: HashMap<String, Revision>,
     in_flight: HashMap<TxnId, InFlightTxn>,
-    /// Jobs in a transaction or being read back: nothing else of them is sent.
+    /// Jobs in a transaction or being read back; no other write of them is sent.
     busy: HashSet<JobId>,
-    /// Keys being read back, for the job that waits for them.
+    /// Keys being read back, with the job that waits for them.
     pending_reads: HashMap<String, JobId>,
-    /// Records left over from large jobs that are done, as they were last seen.
+    /// Records to delete, with the revisions at which they were last seen.
     garbage: Vec<(String, Revision)>,
-    /// Records that the limits don't hold, and when they are tried again.
+    /// Records that exceed the limits, and when they are retried.
     oversized: HashMap<(JobId, usize), OversizedRecord>,
-    /// So many transactions hold one record each: one of those in a transaction
-    /// was refused, and the others are not to be refused with it.
+    /// The next transactions, this many, hold one record each: after a rejection, only
+    /// the record that is too large is to be rejected again.
     single_record_txns: usize,
     change_budget: Budget,
     request_budget: Budget,
     backoff_until: Time,
-    /// Since when changes have been refused for their rate, without a break.
+    /// Since when every transaction has been rejected for its rate.
     refused_since: Option<Time>,
     changes_sent: ChangeCounts,
     last_logged: (Time, ChangeCounts),
     next_txn_id: u64,
 }
 
-/// What the committer asks of its surroundings.
+/// What the caller has to do for the committer.
 #[derive(Debug, PartialEq)]
 pub enum Step {
     Read(String),
-    /// The leader's key is no longer ours.
+    /// This controller no longer owns the leader's key.
     Deposed,
 }
 
@@ -120,8 +119,8 @@
         }
     }
 
-    /// The form in which records are written from now on. The compact one is never
-    /// given up again.
+    /// Sets the format in which records are written. Never returns from the compact to the
+    /// legacy format.
     pub fn set_format(&mut self, format: RecordFormat) {
         if format > self.format {
             self.format = format;
@@ -129,19 +128,19 @@
         }
     }
 
-    /// Records found when the leader loaded its state.
+    /// Records the revision of a key that was loaded at the start of the leadership.
     pub fn record_revision(&mut self, key: String, stamp: Revision) {
         self.revisions.insert(key, stamp);
     }
 
-    /// A record without its job: what a finished large job left behind, or a
-    /// submission that was never accepted. Its user may yet send that again, so it
-    /// is deleted only as it was found.
+    /// Adds a record without a job: left over from a finished large job, or a submission
+    /// that was never accepted. The user may still repeat the submission, so the record
+    /// is deleted only at this revision.
     pub fn add_garbage(&mut self, key: String, stamp: Revision) {
         self.garbage.push((key, stamp));
     }
 
-    /// Shares of the budgets of changes and of requests that are used up.
+    /// Used shares of the change budget and of the request budget.
     pub fn budgets_used(&mut self, now: Time) -> (f64, f64) {
         (
             1.0 - self.change_budget.available(now) / self.change_budget.burst(),
@@ -149,7 +148,7 @@
         )
     }
 
-    /// Numbers for operators.
+    /// Status for the overview.
     pub fn overview(&mut self, now: Time) -> Value {
         let (changes, requests) = self.budgets_used(now);
         serde_json::json!({
@@ -162,17 +161,17 @@
         })
     }
 
-    /// The limits that are in force, as far as is known.
+    /// The limits that are in force, as far as known.
     pub fn limits(&self) -> &EffectiveLimits {
         &self.limits
     }
 
-    /// Changes sent so far, by what they were for.
+    /// Number of changes sent so far, by purpose.
     pub fn changes_sent(&self) -> ChangeCounts {
         self.changes_sent
     }
 
-    /// Records that the limits don't hold at the moment.
+    /// Number of records that exceed the limits at present.
     pub fn oversized_records(&self) -> usize {
         self.oversized.len()
     }
@@ -229,7 +228,7 @@
             && self.request_budget.has(now, 1.0)
     }
 
-    /// The share of the budget of changes that the draft leaves.
+    /// Share of the change budget that is left after the draft.
     fn budget_share_left(&mut self, now: Time, draft: &Draft) -> f64 {
         let budget = self.change_budget.available(now) as usize;
         (budget as f64 - draft.changes() as f64) / self.change_budget.burst()
@@ -285,7 +284,7 @@
         };
         let aside = (d.job.clone(), d.part);
         if end.is_none() && self.oversized.get(&aside).is_some_and(|a| !a.queued) {
-            // It is queued again when its time has come.
+            // It is queued again when its backoff has elapsed.
             return AddOutcome::Handled;
         }
         let (what, keys, changes) = match end {
@@ -317,8 +316,8 @@
         AddOutcome::Handled
     }
 
-    /// A little at a time along with the rest, and never what others wait for:
-    /// the 300 records of one job once took all changes there were for 15 s.
+    /// Deletes one record along with other writes, more only if there are none: the 300
+    /// records of one job once used up the change budget for 15 s.
     fn delete_some_garbage(&mut self, now: Time, draft: &mut Draft) {
         let some = if draft.writes.is_empty() {
             draft.max_changes
@@ -367,8 +366,8 @@
         self.request_budget.reconfigure(now, requests);
     }
 
-    /// The record of fenced zones goes first: workers wait for it. It takes its
-    /// turns like a job's record, under a name that no job has.
+    /// Writes the record of fenced zones ahead of others, as workers wait for it. Like a
+    /// job it has one write in flight at a time, tracked under the empty job name.
     fn fences_txn(&mut self, now: Time, sched: &mut Scheduler) -> Option<(TxnId, Txn)> {
         let job = JobId::from("");
         if self.busy.contains(&job) {
--- a/src/store/commit/counts.rs
+++ b/src/store/commit/counts.rs
@@ -1,13 +1,13 @@
-//! What the changes that there are go to.
+//! Counts changes by purpose.
 
 use super::Committer;
 use crate::sched::Purpose;
 use crate::time::{Span, Time};
 
-/// How often the changes by purpose go to the log.
+/// Interval between log lines with the changes by purpose.
 const LOG_INTERVAL: Span = Span(10_000_000);
 
-/// Changes that were sent, by what they were for.
+/// Number of changes sent, by purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct ChangeCounts {
     pub now: u64,
@@ -48,7 +48,7 @@
                 fences = s.fences - before.fences,
                 write_rps = self.limits.values().write_rps,
                 set_aside = self.oversized.len(),
-                "changes by purpose"
+                "state service changes by purpose"
             );
         }
     }
--- a/src/store/commit/draft.rs
+++ b/src/store/commit/draft.rs
@@ -1,4 +1,4 @@
-//! A transaction that is being put together, and what it changes.
+//! A transaction under construction, and the records that it writes.
 
 use super::super::limits::TxnSize;
 use crate::ids::{JobId, Revision};
@@ -6,18 +6,18 @@
 use crate::wire::state::{Change, Condition, Txn};
 use serde_json::Value;
 
-/// Room left in a transaction of 64 KiB.
+/// Size limit of a transaction; the service allows 64 KiB.
 const MAX_TXN_BYTES: usize = 56 * 1024;
 
 pub(super) struct RecordWrite {
     pub(super) job: JobId,
     pub(super) purpose: Purpose,
-    /// The part and its version, or the end of the job.
+    /// The part and its version, or the final state of the job.
     pub(super) target: WriteTarget,
     pub(super) keys: Vec<KeyWrite>,
 }
 
-/// A key that a transaction changes, or only looks at.
+/// A key that a transaction changes, or only has a condition on.
 pub(super) struct KeyWrite {
     pub(super) key: String,
     pub(super) put: bool,
@@ -30,7 +30,7 @@
     Fences(u64),
 }
 
-/// A change, and the bytes that its value takes.
+/// A change and the size of its value in bytes.
 pub(super) struct SizedChange {
     pub(super) change: Change,
     pub(super) value_bytes: usize,
@@ -55,13 +55,13 @@
         }
     }
 
-    /// What it takes of a transaction, with its condition.
+    /// Bytes that it takes in a transaction, with its condition.
     pub(super) fn bytes(&self) -> usize {
         self.change.key().len() * 2 + 80 + self.value_bytes
     }
 }
 
-/// A transaction that is being put together.
+/// A transaction under construction.
 pub(super) struct Draft {
     pub(super) txn: Txn,
     pub(super) writes: Vec<RecordWrite>,
--- a/src/store/commit/outcomes.rs
+++ b/src/store/commit/outcomes.rs
@@ -1,4 +1,4 @@
-//! What became of a transaction, and what follows from it.
+//! Handles the outcomes of transactions.
 
 use super::super::client::ReadError;
 use super::super::pieces::piece_key;
@@ -12,10 +12,11 @@
 use crate::time::{Span, Time};
 use crate::wire::state::Item;
 
-/// After a refusal, and after one of the rate.
+/// Backoff after a rejection, and after a rejection for the rate.
 const REFUSAL_BACKOFF: Span = Span(250_000);
 const RATE_LIMIT_BACKOFF: Span = Span(100_000);
-/// Who waits for a write is told to come again once changes were refused for so long.
+/// Once changes were rate limited for this long, callers that wait for a write are told
+/// to retry.
 const MAX_RATE_LIMITED: Span = Span(1_000_000);
 impl Committer {
     fn requeue(&mut self, sched: &mut Scheduler, works: Vec<RecordWrite>) {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// A transaction with these has certainly not been carried out.
+    /// Marks final writes of a transaction that was certainly not applied.
     fn mark_not_applied(sched: &mut Scheduler, works: &[RecordWrite]) {
         for w in works
             .iter()
@@ -46,7 +47,7 @@
         }
     }
 
-    /// What became of a transaction.
+    /// Handles the outcome of a transaction.
     pub fn handle_outcome(
         &mut self,
         now: Time,
@@ -110,8 +111,8 @@
         events
     }
 
-    /// Ours alone may write here, so these are earlier writes of our own whose
-    /// answers were lost: read back, then go on from there.
+    /// Only this leader writes these keys, so a conflict comes from an earlier write of its
+    /// own whose response was lost: reads the keys back before the next write.
     fn handle_conflict(
         &mut self,
         works: Vec<RecordWrite>,
@@ -139,7 +140,7 @@
         steps
     }
 
-    /// Nothing is carried out at the moment.
+    /// The service applies no transactions at the moment.
     fn handle_refused(
         &mut self,
         now: Time,
@@ -148,14 +149,14 @@
     ) -> Vec<Event> {
         self.backoff_until = now + REFUSAL_BACKOFF;
         Self::mark_not_applied(sched, &works);
-        // Whoever waits for these is told at once to come again.
+        // Callers that wait for these are told at once to retry.
         let events = works.iter().map(|w| Event::NotStored(w.job.clone()));
         let events = events.collect();
         self.requeue(sched, works);
         events
     }
 
-    /// It is sent again in smaller transactions and values, if that may help.
+    /// Retries with smaller transactions and values, if that can help.
     fn handle_too_large(
         &mut self,
         now: Time,
@@ -169,7 +170,7 @@
             return vec![];
         }
         if sent.writes.len() > 1 {
-            // One of them is at fault.
+            // One of the records is too large: each gets a transaction of its own.
             self.single_record_txns = sent.writes.len();
             Self::mark_not_applied(sched, &sent.writes);
             self.requeue(sched, sent.writes);
@@ -192,7 +193,7 @@
         vec![]
     }
 
-    /// Who waits for these need not ask again: they are sent in a moment.
+    /// Callers keep waiting, as the writes are retried after a short backoff.
     fn handle_rate_limited(
         &mut self,
         now: Time,
@@ -213,7 +214,7 @@
         vec![]
     }
 
-    /// Parts of a finished job that did not fit into its last transaction.
+    /// Adds the remaining records of a finished job to the garbage.
     fn collect_garbage(&mut self, sched: &Scheduler, job: &JobId) {
         let parts = sched.jobs.get(job).map_or(0, |j| j.parts.len());
         for part in 0..parts {
@@ -228,7 +229,7 @@
         }
     }
 
-    /// A key that was read back; `Err` makes it be read again.
+    /// Handles a key that was read back; after `Err` it is read again.
     pub fn handle_read(
         &mut self,
         key: String,
--- a/src/store/commit/oversized.rs
+++ b/src/store/commit/oversized.rs
@@ -1,32 +1,32 @@
-//! Records that the limits in force don't hold: they wait, and hold up no others.
+//! Records that exceed the limits in force: they are retried later and do not block
+//! others.
 
 use super::Committer;
 use crate::ids::JobId;
 use crate::sched::{Purpose, Scheduler};
 use crate::time::{Span, Time};
 
-/// A record that the limits don't hold is tried again after so long at first, and at
-/// the most.
+/// Initial and maximum backoff before an oversized record is retried.
 const RETRY_INITIAL: Span = Span(5_000_000);
 const RETRY_MAX: Span = Span(60_000_000);
-/// A record that the limits don't hold, and when it is tried again.
+/// A record that exceeds the limits in force, and when it is retried.
 pub(super) struct OversizedRecord {
     pub(super) due: Time,
     pub(super) backoff: Span,
     pub(super) purpose: Purpose,
-    /// It is being tried.
+    /// It has been queued for a retry.
     pub(super) queued: bool,
 }
 
 impl Committer {
-    /// What was too large may fit now.
+    /// Retries all at once, as the records may fit now.
     pub(super) fn retry_oversized(&mut self) {
         for aside in self.oversized.values_mut() {
             aside.due = Time::default();
         }
     }
 
-    /// The limits don't hold this record: the others go on without it.
+    /// Defers a record that exceeds the limits; other records are written without it.
     pub(super) fn defer_oversized(
         &mut self,
         now: Time,
@@ -38,7 +38,7 @@
         if !self.oversized.contains_key(&of) {
             let (job, part) = &of;
             let format = self.format;
-            tracing::error!(%job, part, ?format, "a record is too large for the limits in force");
+            tracing::error!(%job, part, ?format, "record exceeds the state service limits; write deferred");
         }
         let aside = self.oversized.entry(of).or_insert(OversizedRecord {
             due: now,
@@ -52,7 +52,7 @@
         aside.queued = false;
     }
 
-    /// What was set aside is tried again.
+    /// Queues the deferred records whose backoff has elapsed.
     pub(super) fn requeue_oversized(&mut self, now: Time, sched: &mut Scheduler) {
         self.oversized.retain(|(job, part), aside| {
             let Some(j) = sched.jobs.get_mut(job) else {
--- a/src/store/commit/records.rs
+++ b/src/store/commit/records.rs
@@ -1,4 +1,4 @@
-//! What is written for an entry of the queue, and on which conditions.
+//! Keys, values and conditions that are written for an entry of the write queue.
 
 use super::super::pieces::{self, RecordLimits};
 use super::super::{final_key, part_key};
@@ -56,19 +56,20 @@
         let key = final_key(job.id());
         let mut change = SizedChange::put(key.clone(), job.final_record(end));
         if change.value_bytes > self.limits.value_bytes() {
-            // Its state must be kept, whatever its names are.
+            // The state must be stored even if long names make the record too large.
             let state = serde_json::to_value(end).unwrap_or_default();
             change = SizedChange::put(key.clone(), state);
         }
         let mut changes = vec![change];
         let first = part_key(job.id(), 0);
-        // The first record names the job; the others are litter without it.
+        // The first record identifies the job; without it the others are garbage.
         if self.revisions.contains_key(&first) {
             changes.push(SizedChange::delete(first.clone()));
         }
-        // As far as we know it was never stored, otherwise. Its first write may
-        // have been carried out all the same, without an answer: left there, the
-        // next leader would find the job as it was at first.
+        // Without a known revision the job was never stored, as far as is known. Its
+        // first write may still have been applied without a response: if left there,
+        // the next leader would load the job in its initial state. The condition on
+        // the key detects that.
         let keys = [(key, true), (first, false)];
         let keys = keys.map(|(key, put)| KeyWrite { key, put });
         (WriteTarget::End, keys.into(), changes)
@@ -87,7 +88,7 @@
         if let WriteTarget::Part(0, _) = what
             && self.revision(&keys[0].key) == Revision(0)
         {
-            // A new job: unless it is over already.
+            // A new job must not have a final state yet.
             draft.add_condition(final_key(job), Revision(0));
         }
     }
--- a/src/store/limits.rs
+++ b/src/store/limits.rs
@@ -1,29 +1,29 @@
 //! The limits of the state service that are in force.
 //!
-//! They may fall at any moment, to those that the settings announce or to others,
-//! and nobody tells when. So they are learnt from what the service refuses: too
-//! much in one value or transaction, or too many changes a second.
+//! They may be lowered at any time without notice, to those that the settings
+//! announce or to others. They are inferred from rejections: a value or transaction
+//! that is too large, or too many changes per second.
 
 use crate::settings::{LimitValues, StateLimits};
 use crate::time::{Span, Time};
 
-/// What no service has less of.
+/// Lower bounds: no service has smaller limits.
 const MIN_VALUE_BYTES: usize = 2048;
 const MIN_TXN_CHANGES: usize = 4;
-/// Left for what the service may count differently.
+/// Margin for differences in how the service counts bytes.
 pub const VALUE_MARGIN_BYTES: usize = 32;
-/// Limits on the rate that nobody announced fall by this at a time, once a spell
-/// however many refusals come.
+/// Factor by which the rate limit is reduced on rejections that no announced limit
+/// explains, at most once per interval.
 const RATE_DECREASE_FACTOR: f64 = 0.9;
 const DECREASE_INTERVAL: Span = Span(1_000_000);
-/// They don't fall below this share of those in the settings.
+/// Lowest rate limit, as a share of the configured one.
 const MIN_RATE_SHARE: f64 = 0.1;
-/// After so long without a refusal the rate rises again by this share of the
-/// settings' at a time.
+/// After this long without a rejection the rate limit is raised by this share of the
+/// configured one.
 const INCREASE_INTERVAL: Span = Span(20_000_000);
 const INCREASE_SHARE: f64 = 0.05;
 
-/// How much a transaction holds, for a refusal to be judged by.
+/// Size of a transaction, kept to evaluate a rejection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TxnSize {
     pub changes: usize,
@@ -36,14 +36,14 @@
     }
 }
 
-/// The limits that are in force, as far as is known.
+/// The limits that are in force, as far as known.
 #[derive(Clone, Debug)]
 pub struct EffectiveLimits {
     settings: LimitValues,
-    /// Those of later, as the settings announce them.
+    /// Future limits that the settings announce.
     announced: Option<LimitValues>,
     current: LimitValues,
-    /// What was refused proves that the announced ones have come.
+    /// A rejection has shown that the announced limits are in force.
     announced_in_force: bool,
     lowered_at: Option<Time>,
     raised_at: Time,
@@ -65,7 +65,7 @@
         &self.current
     }
 
-    /// The most bytes that a value is given.
+    /// Maximum size of a value in bytes.
     pub fn value_bytes(&self) -> usize {
         let bytes = self.current.value_bytes();
         match self.is_value_limit_lowered() {
@@ -78,11 +78,11 @@
         self.current.value_kb < self.settings.value_kb
     }
 
-    /// A transaction was refused for its size. False if nothing smaller may be
-    /// tried: it was refused for something else.
+    /// Handles a transaction that was rejected for its size. False if no smaller size is
+    /// left to try, so that the rejection has another reason.
     pub fn handle_size_refusal(&mut self, size: TxnSize) -> bool {
         if size.exceeds(&self.current) {
-            // It was sent before the limits were known to be lower.
+            // Sent before the limits were found to be lower.
             return true;
         }
         let before = self.current;
@@ -95,13 +95,13 @@
         }
         let changed = self.current != before;
         if changed {
-            self.log_change("a transaction was too large");
+            self.log_change("transaction too large");
         }
         changed
     }
 
-    /// Nothing announced accounts for the refusal. Whichever was closer to what is
-    /// allowed, the value or the number of changes, is taken to be too large.
+    /// No announced limit explains the rejection: halves the value size or the number of
+    /// changes, whichever was closer to its limit.
     fn halve(&mut self, size: TxnSize) {
         let value_bytes = (size.largest_value / 2).max(MIN_VALUE_BYTES);
         let changes = (size.changes / 2).max(MIN_TXN_CHANGES);
@@ -116,8 +116,8 @@
         }
     }
 
-    /// A transaction was refused since too many changes came. True if less is
-    /// allowed from now on.
+    /// Handles a transaction that was rejected for its rate. True if the limits were
+    /// lowered.
     pub fn handle_rate_refusal(&mut self, now: Time) -> bool {
         let before = self.current;
         let announced = self
@@ -135,13 +135,13 @@
         self.raised_at = now;
         let changed = self.current != before;
         if changed {
-            self.log_change("too many changes a second");
+            self.log_change("change rate too high");
         }
         changed
     }
 
-    /// Without refusals the rate slowly rises again, up to what is known to be
-    /// allowed. True if it did.
+    /// Raises the rate limit step by step after a time without rejections, up to the known
+    /// limit. True if it was raised.
     pub fn recover(&mut self, now: Time) -> bool {
         let most = match (self.announced_in_force, self.announced) {
             (true, Some(next)) => next.write_rps.min(self.settings.write_rps),
@@ -153,7 +153,7 @@
         self.raised_at = now;
         let raised = self.current.write_rps + self.settings.write_rps * INCREASE_SHARE;
         self.current.write_rps = raised.min(most);
-        self.log_change("no refusals for a while");
+        self.log_change("no recent rejections");
         true
     }
 
@@ -166,11 +166,11 @@
             changes_per_s = l.write_rps,
             requests_per_s = l.rps,
             announced = self.announced_in_force,
-            "limits of the state service"
+            "state service limits changed"
         );
     }
 
-    /// For operators.
+    /// Status for the overview.
     pub fn overview(&self) -> serde_json::Value {
         let l = &self.current;
         serde_json::json!({
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The state service: its client, the budget of requests and the group commit.
+//! Access to the state service: client, rate budgets and group commit.
 
 pub mod budget;
 pub mod client;
@@ -13,26 +13,28 @@
 
 use crate::ids::JobId;
 
-/// Holds who leads; attached to a lease, so that it goes when its owner does.
+/// Holds the current leader; attached to a lease, so that it is deleted when the
+/// leader stops renewing it.
 pub const LEADER_KEY: &str = "hookworks/leader";
-/// Counts the terms of leadership; only ever grows.
+/// Holds the latest leadership epoch; increases monotonically.
 pub const EPOCH_KEY: &str = "hookworks/epoch";
-/// Zones whose workers are not answered.
+/// Holds the fenced zones, whose workers get no response.
 pub const FENCES_KEY: &str = "hookworks/fences";
-/// Versions of controllers, until all can read compact records; each goes with a lease
-/// of its own.
+/// Versions of controllers, kept until all can read compact records; each key has a
+/// lease of its own.
 pub const VERSIONS_PREFIX: &str = "hookworks/versions/";
 /// Unfinished jobs.
 pub const UNFINISHED_PREFIX: &str = "hookworks/live/";
 /// Further tasks of large unfinished jobs.
 pub const PARTS_PREFIX: &str = "hookworks/part/";
-/// Further pieces of records that are larger than a value may be.
+/// Further pieces of records that exceed the size limit of a value.
 pub const PIECES_PREFIX: &str = "hookworks/piece/";
 
 /// Finished jobs.
 pub const FINALS_PREFIX: &str = "hookworks/final/";
 
-/// Final states are kept for ever, out of the way of what a new leader loads.
+/// Key of a job's final state. Final states are never deleted, and a new leader does
+/// not load them.
 pub fn final_key(id: &JobId) -> String {
     format!("{FINALS_PREFIX}{id}")
 }
--- a/src/store/pieces.rs
+++ b/src/store/pieces.rs
@@ -1,7 +1,7 @@
-//! Records that are larger than a value may be.
+//! Records that exceed the size limit of a value.
 //!
-//! The text of such a record is cut into pieces: the first stands under the record's
-//! own key and says how many there are, the others under keys of their own. All are
+//! The text of such a record is split into pieces: the first is stored under the
+//! record's own key with the number of pieces, the others under keys of their own. All are
 //! written in one transaction, and each carries the checksum of the whole text, so
 //! that pieces of different writes are never joined.
 
@@ -14,12 +14,12 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// What a piece takes besides its share of the text.
+/// Bytes of a piece besides its part of the text.
 const PIECE_OVERHEAD_BYTES: usize = 72;
-/// Most pieces of a record that are believed.
+/// Records that claim more pieces are rejected as corrupt.
 const MAX_PIECES: usize = 64;
 
-/// How many bytes a value may have, and how many values a record.
+/// Maximum bytes of a value, and maximum values of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLimits {
     pub max_value_bytes: usize,
@@ -27,13 +27,12 @@
 }
 
 impl RecordLimits {
-    /// The record fits, cut if need be.
+    /// Whether the record fits, split if necessary.
     pub fn fits(&self, record: &Value) -> bool {
         values_needed(&record.to_string(), self.max_value_bytes) <= self.max_values
     }
 
-    /// Bytes by which the record may grow without needing more values; those that
-    /// it may need, if it is more than one anyway.
+    /// Bytes by which the record may grow without taking more values than now.
     pub fn growth_bytes(&self, record: &Value) -> usize {
         let text = record.to_string();
         if text.len() <= self.max_value_bytes {
@@ -46,17 +45,18 @@
     }
 }
 
-/// Where the further pieces of a record stand.
+/// Key of a further piece of a record.
 pub fn piece_key(id: &JobId, part: usize, piece: usize) -> String {
     format!("{PIECES_PREFIX}{id}/{part:06}/{piece}")
 }
 
-/// The piece that stands under the record's own key.
+/// The piece stored under the record's own key.
 #[derive(Serialize, Deserialize)]
 struct FirstPiece {
     pieces: usize,
     sum: u32,
-    /// Whoever can't read the rest is still told that the job was cancelled.
+    /// Kept outside the text, so that a cancellation is known even if the rest can't be
+    /// read.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     cancelled: bool,
     #[serde(rename = "t")]
@@ -97,7 +97,7 @@
     text.chars().map(escaped_char_len).sum()
 }
 
-/// Cuts a text so that each share fits a value.
+/// Splits a text so that each part fits a value.
 fn split_text(text: &str, value_bytes: usize) -> Vec<&str> {
     let most = text_bytes_per_value(value_bytes);
     let mut shares = vec![];
@@ -114,7 +114,7 @@
     shares
 }
 
-/// How many values a record's text takes.
+/// Number of values that a record's text takes.
 pub fn values_needed(text: &str, value_bytes: usize) -> usize {
     match text.len() <= value_bytes {
         true => 1,
@@ -122,7 +122,7 @@
     }
 }
 
-/// The values of a record, the first for its own key.
+/// Splits a record into values, the first for its own key.
 pub fn split_record(record: Value, value_bytes: usize) -> Vec<Value> {
     let text = record.to_string();
     if text.len() <= value_bytes {
@@ -145,8 +145,7 @@
     values
 }
 
-/// The record, from the value under its own key and the further pieces that were
-/// found, by their keys.
+/// Joins the value under the record's own key with its further pieces, given by key.
 ///
 /// # Errors
 /// If a piece is missing or of another write.
@@ -185,10 +184,10 @@
     names.next().map(JobId::from)
 }
 
-/// Keys with their stamps.
+/// Keys with their revisions.
 type KeyRevisions = Vec<(String, Revision)>;
 
-/// The further pieces that a new leader found.
+/// The further pieces that a new leader has loaded.
 pub struct Pieces {
     values: BTreeMap<String, Value>,
     revisions: KeyRevisions,
@@ -207,13 +206,14 @@
     /// The whole record of a part, or none if it can't be read.
     pub fn join(&self, id: &JobId, part: usize, first: &Item) -> Option<Value> {
         let joined = join_record(id, part, &first.value, &self.values);
-        let told =
-            joined.inspect_err(|e| tracing::error!(key = %first.key, error = %e, "a record"));
+        let told = joined.inspect_err(
+            |e| tracing::error!(key = %first.key, error = %e, "record pieces can't be joined"),
+        );
         told.ok()
     }
 
-    /// What belongs to jobs that are known, and what is left of others. Pieces of
-    /// records that can't be read are neither: they are left alone.
+    /// Splits into pieces of known jobs and garbage of others. Pieces of unreadable records
+    /// are in neither list, so that they are kept.
     pub fn partition(
         self,
         known: impl Fn(&JobId) -> bool,
@@ -232,10 +232,10 @@
     }
 }
 
-/// Jobs whose records can't be read, and what they are told as.
+/// Jobs whose records can't be read, with the state that is reported for them.
 type UnreadableJobs = BTreeMap<JobId, JobState>;
 
-/// The keys of a record that takes so many values.
+/// The keys of a record that takes `values` values.
 pub fn record_keys(id: &JobId, part: usize, values: usize) -> impl Iterator<Item = String> {
     let first = part_key(id, part);
     std::iter::once(first).chain((1..values).map(move |n| piece_key(id, part, n)))
