--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -65,7 +65,7 @@
     Host);
 name!(/// A team with a guarantee and a limit.
     Team);
-name!(/// A class of jobs that objectives speak of.
+name!(/// A class of jobs, to which objectives apply.
     Class);
 name!(/// A zone of the cloud.
     Zone);
@@ -76,17 +76,17 @@
 name!(/// An image that a task needs on its machine.
     Image);
 
-number!(/// Tells a process from an earlier one under the same label.
+number!(/// Distinguishes a process from an earlier one with the same label.
     Instance, u64);
-number!(/// Who may command a worker: the larger token wins.
+number!(/// Fencing token of commands to a worker: the larger one wins.
     Token, u64);
-number!(/// What a controller understands: all that smaller ones do, and more.
+number!(/// Protocol version of a controller; includes all smaller versions.
     ControllerVersion, u32);
-number!(/// A term of leadership; each is new and larger.
+number!(/// Epoch of a leadership; increases with each new leader.
     Epoch, u64);
-number!(/// Tells one start of a task from another.
+number!(/// Number of one start of a task.
     Attempt, u64);
-number!(/// A worker's session; a new one begins when its lease runs out.
+number!(/// A worker's session; a new one begins when its lease expires.
     Session, u64);
 number!(/// Orders the reports of one session.
     Seq, u64);
@@ -94,15 +94,15 @@
     Revision, u64);
 number!(/// Number of a task within its job.
     TaskIndex, u32);
-number!(/// A request of a user or worker that awaits its answer.
+number!(/// A pending request of a user or worker.
     RequestId, u64);
-number!(/// A transaction under way.
+number!(/// A transaction in flight.
     TxnId, u64);
-number!(/// A direct call to a worker under way.
+number!(/// A direct call to a worker in flight.
     CallId, u64);
 
 impl JobId {
-    /// Users name jobs `job-` and digits, always.
+    /// Whether a name is `job-` followed by digits, as for all jobs of users.
     pub fn is_well_formed(s: &str) -> bool {
         s.len() <= 64
             && s.strip_prefix("job-")
@@ -110,11 +110,11 @@
     }
 }
 
-/// How many tokens and attempts one term of leadership may hand out.
+/// Number of tokens and attempts that one epoch may issue.
 const NUMBERS_PER_EPOCH: u64 = 1 << 24;
 
 impl Epoch {
-    /// The first number of this term; later terms only have larger ones.
+    /// The first number of this epoch; later epochs have only larger ones.
     pub fn base(self) -> u64 {
         self.0 * NUMBERS_PER_EPOCH
     }
@@ -155,7 +155,7 @@
             .and_then(|(j, n)| Some((JobId::from(j), TaskIndex(n.parse().ok()?))));
         match parsed {
             Some((job, ix)) => Ok(TaskId { job, index: ix }),
-            None => Err(serde::de::Error::custom("not a task name")),
+            None => Err(serde::de::Error::custom("not a task id, JOB/NUMBER")),
         }
     }
 }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
-/// Milliseconds of the time of day, for what must outlive a process.
+/// Wall-clock time in milliseconds, for times that must outlive a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WallTime(pub u64);
 
@@ -19,11 +19,11 @@
     /// No time at all.
     pub const ZERO: Span = Span(0);
 
-    /// So many seconds; never below zero.
+    /// A span in seconds; negative values become zero.
     pub fn secs(s: f64) -> Span {
         Span((s.max(0.0) * 1e6) as u64)
     }
-    /// So many milliseconds.
+    /// A span in milliseconds.
     pub fn millis(ms: u64) -> Span {
         Span(ms * 1000)
     }
@@ -31,16 +31,16 @@
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// What another machine's clock may make of this span at the most: steady
-    /// clocks drift apart by up to 0.05%, taken twice to be safe.
+    /// Longest measure of this span on another machine's clock: steady clocks differ by
+    /// up to 0.05%, doubled as a safety margin.
     pub fn stretched(self) -> Span {
         Span(self.0 + self.0 / 1000)
     }
-    /// What another machine's clock may make of this span at the least.
+    /// Shortest measure of this span on another machine's clock.
     pub fn shrunk(self) -> Span {
         Span(self.0 - self.0 / 1000)
     }
-    /// As the standard library has it.
+    /// Converts to the standard library's duration.
     pub fn std(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! hookworks: a cluster scheduler that balances the tasks of each machine in
-//! time, so that machines empty together and go back sooner.
+//! time, so that machines empty at the same time and are returned sooner.
 
 #![deny(missing_docs)]
 #![deny(clippy::many_single_char_names, clippy::too_many_lines)]
 
-// `allow` stands where public items without a doc comment are left; it goes with the last.
+// `allow` marks modules with public items that lack a doc comment.
 #[allow(missing_docs)]
 pub mod api;
 pub mod client;
--- a/src/versions/announce.rs
+++ b/src/versions/announce.rs
@@ -1,6 +1,6 @@
-//! A process tells its version by way of the state service, for a leader that it can't
-//! reach: a key of its own, attached to a lease, for as long as the switch to compact
-//! records is not on record.
+//! Publishes the version of this process in the state service, for a leader that it
+//! can't reach: a key of its own, attached to a lease, until the switch to compact
+//! records is stored.
 
 use super::{OWN_VERSION, VersionTable};
 use crate::ids::{ControllerId, ControllerVersion, Instance};
@@ -10,10 +10,10 @@
 use crate::wire::state::{Change, Item, Txn};
 use serde::{Deserialize, Serialize};
 
-/// The lease of the key, and how often it is renewed.
+/// Lifetime of the key's lease, and how often it is renewed.
 const LEASE_TTL: Span = Span(10_000_000);
 const RENEW_INTERVAL: Span = Span(3_000_000);
-/// After a request that failed: at first, and at the most.
+/// Initial and maximum backoff after a failed request.
 const RETRY_BACKOFF: (Span, Span) = (Span(300_000), Span(5_000_000));
 
 /// The value of a controller's key under [`VERSIONS`].
@@ -21,20 +21,20 @@
 pub struct VersionRecord {
     /// What the process understands.
     pub speaks: ControllerVersion,
-    /// Which process it is.
+    /// Identifies the process.
     pub instance: Instance,
 }
 
-/// The key under which a controller tells its version.
+/// The key under which a controller publishes its version.
 pub fn version_key(label: &ControllerId) -> String {
     format!("{VERSIONS_PREFIX}{label}")
 }
 
-/// Takes what a key under [`VERSIONS`] says.
+/// Records the version stored under a key of [`VERSIONS_PREFIX`].
 pub fn record_stored_version(now: Time, item: &Item, versions: &mut VersionTable) {
     let label = ControllerId::from(item.key.trim_start_matches(VERSIONS_PREFIX));
     let Ok(record) = VersionRecord::deserialize(&item.value) else {
-        tracing::warn!(key = %item.key, "the version of a controller can't be read");
+        tracing::warn!(key = %item.key, "stored version of a controller can't be parsed");
         return;
     };
     if let Some(version) = versions.record_stored(now, &label, record.instance, record.speaks) {
@@ -42,13 +42,12 @@
     }
 }
 
-/// Tells the version of this process, a step at a time; whoever drives it does the
-/// waiting.
+/// Publishes the version of this process step by step; the caller waits between steps.
 pub struct Announcer<S> {
     state: S,
     label: ControllerId,
     instance: Instance,
-    /// The lease of the key, once that is written.
+    /// The lease of the key, once it is written.
     lease: Option<u64>,
     /// The pause after the next failure.
     backoff: Span,
@@ -56,7 +55,7 @@
 }
 
 impl<S: StateStore> Announcer<S> {
-    /// Nothing is told yet.
+    /// Creates an announcer that has published nothing yet.
     pub fn new(state: S, label: ControllerId, instance: Instance) -> Announcer<S> {
         Announcer {
             state,
@@ -78,8 +77,8 @@
         &self.state
     }
 
-    /// Writes or renews the key. Returns the switch once it is on record; there is
-    /// nothing left to tell then.
+    /// Writes the key or renews its lease. Returns the format record once the switch is
+    /// stored; nothing has to be published after that.
     pub fn step(&mut self) -> Option<FormatRecord> {
         match self.state.get(FORMAT_KEY) {
             Ok(Some(item)) => {
@@ -98,7 +97,7 @@
         None
     }
 
-    /// The key stands, as far as is known.
+    /// Renews the lease, or writes the key if there is no lease. True if the key exists.
     fn ensure_written(&mut self) -> bool {
         match self.lease.map(|lease| self.state.renew(lease)) {
             Some(Ok(true)) => true,
@@ -131,14 +130,14 @@
                 true
             }
             _ => {
-                // Carried out late, it goes with this lease.
+                // If it is applied late, the key is deleted with the lease.
                 self.state.revoke(lease);
                 false
             }
         }
     }
 
-    /// The key goes with its lease.
+    /// Deletes the key by revoking its lease.
     fn withdraw(&mut self) {
         if let Some(lease) = self.lease.take() {
             self.state.revoke(lease);
--- a/src/versions/switch.rs
+++ b/src/versions/switch.rs
@@ -1,4 +1,4 @@
-//! The switch to compact records, as the leader decides and stores it.
+//! The switch to compact records, which the leader decides and stores.
 
 use super::{JOB_CHAINS, VersionTable, announce};
 use crate::ids::Revision;
@@ -7,16 +7,15 @@
 use crate::time::{Span, Time, WallTime};
 use crate::wire::state::{Change, Condition, Item, Txn};
 
-/// The versions that controllers have written to the state service are read so often
-/// while they are needed.
+/// Interval between reads of the controllers' stored versions while they are needed.
 const READ_INTERVAL: Span = Span(1_000_000);
-/// After a request that failed, the next one is made so much later.
+/// Delay after a failed request.
 const RETRY_DELAY: Span = Span(300_000);
 
 /// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Read what the controllers have written of their versions.
+    /// Read the stored versions of the controllers.
     ReadVersions,
     /// Store the switch.
     Store(Txn),
@@ -24,25 +23,25 @@
     ReadFormat,
 }
 
-/// What became of a [`Step`].
+/// Result of a [`Step`].
 #[derive(Clone, Debug)]
 pub enum StepResult {
-    /// The keys of the controllers that have written their versions.
+    /// The stored versions of the controllers.
     Versions(Result<Vec<Item>, ()>),
-    /// What became of the transaction.
+    /// Outcome of the transaction.
     Store(TxnOutcome),
     /// The key with the switch.
     Format(Result<Option<Item>, ()>),
 }
 
-/// What a reply has changed.
+/// What follows from a result.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Nothing that others need to know.
+    /// No action.
     Nothing,
-    /// Compact records are on record: they may be written from now on.
+    /// The switch is stored: compact records may be written from now on.
     Compact(FormatRecord),
-    /// The leader's key is no longer ours.
+    /// This controller no longer owns the leader's key.
     Deposed,
 }
 
@@ -50,17 +49,17 @@
 enum SwitchState {
     /// Until all controllers are known to read compact records.
     Waiting,
-    /// A read is under way.
+    /// A read is in flight.
     Reading,
-    /// The transaction that stores this is under way.
+    /// The transaction that stores this is in flight.
     Storing(FormatRecord),
-    /// The outcome of the transaction is unclear, or the key was found to exist.
+    /// The outcome of the transaction is unknown, or the key already exists.
     Unclear,
-    /// The switch is on record.
+    /// The switch is stored.
     Stored,
 }
 
-/// The switch, in one term of the leader.
+/// State of the switch during one leadership.
 #[derive(Clone, Debug)]
 pub struct FormatSwitch {
     leader_revision: Revision,
@@ -70,7 +69,8 @@
 }
 
 impl FormatSwitch {
-    /// The leader's key has this stamp; `format` is what it has read as it took over.
+    /// `leader` is the revision of the leader's key, `format` the record format that was
+    /// loaded at the start of the leadership.
     pub fn new(leader: Revision, format: RecordFormat) -> FormatSwitch {
         FormatSwitch {
             leader_revision: leader,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The next request, if one is due. The leadership must be proven.
+    /// The next request, if one is due. The leadership must be confirmed.
     pub fn next_step(&mut self, now: Time, day: WallTime, versions: &VersionTable) -> Option<Step> {
         if now < self.not_before {
             return None;
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Takes what became of the request under way.
+    /// Handles the result of the request in flight.
     pub fn handle_result(
         &mut self,
         now: Time,
--- a/src/versions/table.rs
+++ b/src/versions/table.rs
@@ -1,4 +1,4 @@
-//! Which version each controller runs, from what its processes have said.
+//! The version that each controller runs, from its pings and stored versions.
 
 use super::{OWN_VERSION, newest_readable_format};
 use crate::ids::{ControllerId, ControllerVersion, Instance};
@@ -7,8 +7,8 @@
 use hookworks_membership::ReportedVersion;
 use std::collections::BTreeMap;
 
-/// A controller that was heard by a ping within this time is not looked up in the
-/// state service: pings come twice a second, and are newer.
+/// The stored version of a controller with a ping this recent is not read: pings come
+/// twice a second and are newer.
 const RECENT_PING: Span = Span(2_000_000);
 
 /// How the version of a controller is known.
@@ -19,7 +19,7 @@
     Ping,
     /// What its process wrote to the state service.
     Record,
-    /// All controllers were found to run at least this version, which is on record.
+    /// The stored record format shows that all controllers run at least this version.
     Format,
 }
 
@@ -33,7 +33,7 @@
     since: Time,
 }
 
-/// What is known of one controller.
+/// Evidence of the version of one controller.
 #[derive(Clone, Debug, Default)]
 struct Evidence {
     ping: Option<ReportedVersion>,
@@ -41,8 +41,8 @@
 }
 
 impl Evidence {
-    /// The version of the latest process that is known of. A ping that was heard after
-    /// the record was first read is of a later process, unless it is of the same one.
+    /// The version of the latest known process. A ping received after the stored version
+    /// was first read comes from the same or a later process.
     fn version(&self) -> Option<(ControllerVersion, VersionSource)> {
         let by_ping = |p: ReportedVersion| (p.version, VersionSource::Ping);
         let by_record = |r: StoredEvidence| (r.version, r.source);
@@ -65,7 +65,7 @@
 }
 
 impl VersionTable {
-    /// Nothing is known of the others yet.
+    /// Creates a table in which the versions of the others are unknown.
     pub fn new(me: ControllerId, others: impl IntoIterator<Item = ControllerId>) -> VersionTable {
         let unknown = |label| (label, Evidence::default());
         VersionTable {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes the version that the latest process of a controller reports in its pings.
+    /// Records the version that the latest process of a controller reports in its pings.
     /// Returns the controller's version if that was not known before.
     pub fn record_ping(
         &mut self,
@@ -84,7 +84,7 @@
         self.update(label, |evidence| evidence.ping = Some(reported))
     }
 
-    /// Takes what the state service holds of a controller's process. Returns the
+    /// Records the stored version of a controller's process. Returns the
     /// controller's version if that was not known before.
     pub fn record_stored(
         &mut self,
@@ -106,8 +106,8 @@
         })
     }
 
-    /// Takes that this form of records is on record, which says that all controllers
-    /// were found to read it.
+    /// Records that the switch to a record format is stored, which shows that every
+    /// controller runs at least this version.
     pub fn record_format(&mut self, now: Time, version: ControllerVersion) {
         for evidence in self.others.values_mut() {
             if evidence.version().is_none_or(|(v, _)| v < version) {
@@ -126,7 +126,7 @@
         label: &ControllerId,
         change: impl FnOnce(&mut Evidence),
     ) -> Option<ControllerVersion> {
-        // Controllers that the settings don't name don't count.
+        // Controllers that are not in the settings are ignored.
         let evidence = self.others.get_mut(label)?;
         let before = evidence.version().map(|(version, _)| version);
         change(evidence);
@@ -144,15 +144,15 @@
         needs == super::EARLIEST || self.version(label).is_some_and(|(v, _)| v >= needs)
     }
 
-    /// Every controller of the settings is known to read this form of records.
+    /// Whether every controller of the settings is known to read this record format.
     pub fn all_read(&self, format: RecordFormat) -> bool {
         let versions = self.others.values().map(|e| e.version().map(|(v, _)| v));
         let mut all = versions.chain([Some(self.own.1)]);
         all.all(|version| version.is_some_and(|v| newest_readable_format(v) >= format))
     }
 
-    /// Some controller is neither known to read this form nor in touch: what its
-    /// process may have written to the state service can tell.
+    /// Whether some controller is neither known to read this format nor has sent a recent
+    /// ping, so that its stored version has to be read.
     pub fn needs_stored_versions(&self, now: Time, format: RecordFormat) -> bool {
         self.others.values().any(|evidence| {
             let known = evidence
@@ -168,7 +168,7 @@
         &self,
     ) -> impl Iterator<Item = (&ControllerId, Option<(ControllerVersion, VersionSource)>)> {
         let others = self.others.iter().map(|(l, e)| (l, e.version()));
-        // What a process says of itself needs no proof.
+        // The own version is always known.
         others.chain([(&self.own.0, Some((self.own.1, VersionSource::Ping)))])
     }
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,9 +1,9 @@
-//! Talk with the cloud.
+//! Messages of the cloud API.
 
 use crate::ids::{Host, MachineTypeId, Zone};
 use serde::{Deserialize, Serialize};
 
-/// The answer to the question for machine types.
+/// Response with the available machine types.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineTypes {
     /// All machine types.
@@ -17,28 +17,28 @@
     /// Its name.
     #[serde(rename = "Label")]
     pub build: MachineTypeId,
-    /// CPUs of a node.
+    /// CPUs of a machine.
     #[serde(rename = "Vcpus")]
     pub cpus: f64,
-    /// Accelerators of a node.
+    /// Accelerators of a machine.
     #[serde(rename = "Accelerators", default)]
     pub gpus: f64,
-    /// Memory of a node, in GB.
+    /// Memory of a machine, in GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
-    /// Room for images on a node, in GB.
+    /// Image cache of a machine, in GB.
     #[serde(rename = "LocalGb", default)]
     pub cache_gb: f64,
-    /// Rate at which a node fetches images, in GB/s.
+    /// Rate at which a machine fetches images, in GB/s.
     #[serde(rename = "FetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary node by the hour.
+    /// Price of an on-demand machine per hour.
     #[serde(rename = "Hourly", default)]
     pub price: f64,
-    /// Price of a spot instance by the hour; none if there are none.
+    /// Price of a spot instance per hour; none if not offered.
     #[serde(rename = "SpotPrice", default)]
     pub spot_price: Option<f64>,
-    /// Seconds that a node usually takes to boot.
+    /// Typical boot time in seconds.
     #[serde(rename = "BootS", default)]
     pub boot_s: f64,
     /// Zones where it can be rented.
@@ -46,7 +46,7 @@
     pub zones: Vec<Zone>,
 }
 
-/// A request to rent nodes; sent again under the same name it rents nothing more.
+/// A request to rent machines; idempotent by its name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentalRequest {
     /// Name of the request, by which the cloud knows a repetition.
@@ -61,12 +61,12 @@
     /// Whether spot instances are wanted.
     #[serde(rename = "Lendable")]
     pub spot: bool,
-    /// How many nodes at the most.
+    /// Maximum number of machines.
     #[serde(rename = "HowMany")]
     pub count: u32,
 }
 
-/// Nodes by name: those that were rented, or are to be returned.
+/// Names of machines that were rented, or are to be returned.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hosts {
     /// Their names.
@@ -74,10 +74,10 @@
     pub hosts: Vec<Host>,
 }
 
-/// A page of the nodes that are rented.
+/// A page of the rented machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostList {
-    /// The nodes of this page.
+    /// The machines of this page.
     #[serde(rename = "Hosts")]
     pub hosts: Vec<ListedHost>,
     /// Whether another page follows.
@@ -85,13 +85,13 @@
     pub more: bool,
 }
 
-/// A node as the cloud lists it.
+/// A machine as listed by the cloud.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedHost {
     /// Its name.
     #[serde(rename = "Id")]
     pub host: Host,
-    /// Where its worker takes direct calls, once that is known.
+    /// Address of its worker for direct calls, once known.
     #[serde(rename = "Endpoint", default)]
     pub addr: Option<String>,
     /// Its machine type.
@@ -106,7 +106,7 @@
     /// `booting`, `running`, or `failed` if it stopped on its own.
     #[serde(rename = "Status")]
     pub status: String,
-    /// Seconds since it was asked for.
+    /// Seconds since it was requested.
     #[serde(rename = "HeldS", default)]
     pub age_s: f64,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! What goes over the wire, a file for each counterpart. The names that others
-//! use live only here.
+//! Wire formats, one module for each peer. The names of external protocols occur only
+//! here.
 
 pub mod cloud;
 #[allow(missing_docs)]
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -1,31 +1,31 @@
-//! Talk among controllers: length-prefixed `bincode` frames.
+//! Messages between controllers, encoded with `bincode` in length-prefixed frames.
 
 use crate::ids::ControllerVersion;
 use crate::versions::{EARLIEST, JOB_CHAINS, JOB_LIFECYCLE};
 use crate::wire::user;
 use bincode::{Decode, Encode};
-/// A finished answer, ready to be written to the asker.
+/// A complete response to a caller.
 pub use hookworks_http_server::Answer;
 
-/// What a controller passes on to the leader.
+/// A request that a controller forwards to the leader.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Request {
     Submit(Vec<u8>),
     Poll(String),
     Cancel(String),
     Report(Vec<u8>),
-    /// Understood from [`JOB_LIFECYCLE`] on; so are all that follow.
+    /// Supported since [`JOB_LIFECYCLE`], as are all variants below.
     Hold(String, Vec<u8>),
     Release(String, Vec<u8>),
     Show(String),
-    /// A page of jobs; what stands behind `?` in the URL.
+    /// A page of jobs; holds the query string of the URL.
     List(String),
-    /// What has changed, likewise.
+    /// Events; holds the query string of the URL.
     Events(String),
 }
 
 impl Request {
-    /// The version from which on a controller understands this.
+    /// The first controller version that supports this request.
     pub fn min_version(&self) -> ControllerVersion {
         match self {
             Request::Submit(body) if user::has_dependencies(body) => JOB_CHAINS,
@@ -43,8 +43,8 @@
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
-    /// Sent twice a second: who leads, whom the sender hears, and how many
-    /// workers report to it.
+    /// Sent twice a second: the leader that the sender knows, the controllers that it
+    /// hears, and the number of workers that report to it.
     Ping {
         from: String,
         leader: Option<(String, u64)>,
@@ -64,19 +64,19 @@
     },
 }
 
-/// Follows a ping in its frame. Earlier versions neither send nor read it, and
-/// ignore what stands behind a message.
+/// Extension after a ping in the same frame. Earlier versions don't send it, and ignore
+/// trailing bytes after a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct PingExtension {
-    /// How many workers the sender can hold.
+    /// Maximum number of workers that the sender can serve.
     pub max_workers: Option<u32>,
-    /// Its version, see [`crate::versions`].
+    /// Version of the sender, see [`crate::versions`].
     pub version: u32,
 }
 
-/// Follows that in turn; the release before ignores it as well.
+/// Second extension, after [`PingExtension`]; the previous release ignores it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PingIdentity {
-    /// Tells the sending process from an earlier one under the same label.
+    /// Distinguishes the sending process from an earlier one with the same label.
     pub instance: u64,
 }
--- a/src/wire/peer_frame.rs
+++ b/src/wire/peer_frame.rs
@@ -1,19 +1,19 @@
-//! Frames between controllers: four bytes of length, a message, and behind a ping what
-//! earlier versions neither send nor read.
+//! Frames between controllers: four bytes of length, a message, and after a ping its
+//! extensions, which earlier versions neither send nor read.
 
 use super::peer::{PeerMessage, PingExtension, PingIdentity};
 use std::io::{Error, Read, Result};
 
-/// Bytes of a message at the most; a longer one is refused.
+/// Maximum size of a message in bytes; a longer one is rejected.
 pub const MAX_FRAME_BYTES: usize = 128 * 1024;
 
-/// What follows a ping; the latter is not sent by earlier versions.
+/// Extensions of a ping; earlier versions don't send the second one.
 pub type PingTail = (PingExtension, Option<PingIdentity>);
 
 /// Appends the frame of a message to `out`.
 ///
 /// # Errors
-/// When the message can't be encoded.
+/// If the message can't be encoded.
 pub fn encode(
     message: &PeerMessage,
     tail: (PingExtension, PingIdentity),
@@ -34,7 +34,7 @@
 /// Reads the next message.
 ///
 /// # Errors
-/// When the connection has ended, or the frame is too long or no message.
+/// If the connection has ended, or the frame is too long or malformed.
 pub fn read(from: &mut impl Read) -> Result<(PeerMessage, PingTail)> {
     let mut length = [0; 4];
     from.read_exact(&mut length)?;
@@ -47,7 +47,7 @@
     let config = bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
     let (message, taken) =
         bincode::decode_from_slice(&body, config).map_err(|e| Error::other(e.to_string()))?;
-    // Earlier versions send nothing more.
+    // Earlier versions send no extension.
     let Ok((more, n)) = bincode::decode_from_slice(&body[taken..], config) else {
         return Ok((message, Default::default()));
     };
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,4 +1,4 @@
-//! Talk with the state service.
+//! Messages of the state service.
 
 use crate::ids::Revision;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     /// The revision of its latest change.
     #[serde(rename = "Stamp")]
     pub revision: Revision,
-    /// The lease that the key goes with, if any.
+    /// The lease that the key is attached to, if any.
     #[serde(rename = "Permit", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
@@ -55,7 +55,7 @@
         /// Its new value.
         #[serde(rename = "V")]
         value: Value,
-        /// The lease with which the key ends, if any.
+        /// The lease that the key is attached to, if any.
         #[serde(rename = "Permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -67,13 +67,14 @@
     },
 }
 
-/// A compare-and-swap: all changes are made if all conditions hold, else none.
+/// A compare-and-swap transaction: applies all changes if all conditions hold, else
+/// none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// What must hold.
+    /// Conditions on key revisions.
     #[serde(rename = "When", default)]
     pub conditions: Vec<Condition>,
-    /// What is changed then.
+    /// Changes to apply.
     #[serde(rename = "Apply", default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
 }
@@ -87,15 +88,15 @@
     }
 }
 
-/// The answer to a compare-and-swap that was carried out.
+/// Response to a transaction that was applied.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TxnApplied {
-    /// The revision of all that it changed.
+    /// The new revision of all changed keys.
     #[serde(rename = "Ledger")]
     pub revision: Revision,
 }
 
-/// The answer to a compare-and-swap whose conditions did not hold.
+/// Response to a transaction whose conditions did not hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TxnFailed {
     /// Keys whose conditions failed.
@@ -105,7 +106,7 @@
 /// Asks for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Milliseconds for which it lives without a renewal.
+    /// Time to live without a renewal, in milliseconds.
     #[serde(rename = "LifeMs")]
     pub ttl_ms: u64,
 }
@@ -113,7 +114,7 @@
 /// A lease that was granted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its number.
+    /// Id of the lease.
     #[serde(rename = "Permit")]
     pub lease: u64,
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,4 +1,4 @@
-//! Talk with users.
+//! Messages of the user API.
 
 use crate::ids::{Class, Image, JobId, MachineTypeId, Team, Zone};
 use hookworks_job_lifecycle::{HistoryEntry, Hold, JobEvent};
@@ -57,14 +57,16 @@
     pub save_s: f64,
     #[serde(rename = "DueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// A task that runs for longer is told to save and end; ours.
+    /// A task that runs longer is told to save its progress and end; extension of this
+    /// project.
     #[serde(rename = "LimitS", default, skip_serializing_if = "Option::is_none")]
     pub limit_s: Option<f64>,
-    /// What must come about before the job starts anything; ours.
+    /// Conditions on other jobs that must be met before any task starts; extension of
+    /// this project.
     #[serde(rename = "After", default, skip_serializing_if = "Vec::is_empty")]
     pub start_conditions: Vec<StartCondition>,
     /// Jobs of any team that must be done before any task of this one starts
-    /// (DAG dependency). Empty in records: what is not met is kept beside the spec.
+    /// (DAG dependency). Empty in records: unmet dependencies are stored beside the spec.
     #[serde(
         rename = "Awaits",
         default,
@@ -196,7 +198,7 @@
     pub held: bool,
 }
 
-/// Run time times what a task takes of its machine.
+/// Run time multiplied by the resources of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResourceSeconds {
     #[serde(rename = "CpuS")]
@@ -309,7 +311,7 @@
     match serde_json::from_slice::<Submission>(body).map(|s| s.awaits) {
         Ok(serde_json::Value::Null) => false,
         Ok(serde_json::Value::Array(jobs)) => !jobs.is_empty(),
-        // What is malformed is told so by whoever knows the field.
+        // A version that knows the field reports the malformed value.
         Ok(_) => true,
         Err(_) => named,
     }
@@ -336,7 +338,7 @@
         if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err(format!("Pieces: must be 1 to {MAX_TASKS}"));
         }
-        // However much a task takes: that no machine has it is another answer.
+        // No upper bound: a task that fits no machine gets an error of its own.
         let taken = [
             ("Vcpus", self.cpus),
             ("Accelerators", self.gpus),
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,24 +1,24 @@
-//! Talk with workers.
+//! Messages between controllers and workers.
 
 use crate::ids::{Attempt, ControllerId, Host, MachineTypeId, Seq, Session, TaskId, Token, Zone};
 use serde::{Deserialize, Serialize};
 
-/// A worker's heartbeat with all that runs on its node.
+/// A worker's heartbeat with all attempts on its machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// The node that it runs on.
+    /// The machine that it runs on.
     #[serde(rename = "Host")]
     pub host: Host,
-    /// Where it takes direct calls, `HOST:PORT`.
+    /// Address for direct calls, `HOST:PORT`.
     #[serde(rename = "Endpoint", default)]
     pub addr: Option<String>,
-    /// The node's machine type.
+    /// The machine's type.
     #[serde(rename = "Build")]
     pub build: MachineTypeId,
-    /// The node's zone.
+    /// The machine's zone.
     #[serde(rename = "Yard")]
     pub zone: Zone,
-    /// Whether the node is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "Lendable", default)]
     pub spot: bool,
     /// The worker's session: a new one begins when it has lost its lease.
@@ -27,13 +27,13 @@
     /// Grows with each message; the one with the larger session and number is newer.
     #[serde(rename = "Tally")]
     pub seq: Seq,
-    /// The largest fencing token that the worker has heard.
+    /// The largest fencing token that the worker has received.
     #[serde(rename = "Baton", default)]
     pub token: Token,
-    /// Seconds until the cloud takes the node back, once that is announced.
+    /// Seconds until the cloud reclaims the spot instance, once announced.
     #[serde(rename = "WarningS", default)]
     pub notice_s: Option<f64>,
-    /// Every attempt that is on the node, or has ended there and was not cleared.
+    /// Every attempt on the machine, including ended ones that were not cleared.
     #[serde(rename = "Pieces", default)]
     pub tasks: Vec<TaskReport>,
 }
@@ -90,9 +90,9 @@
     Alone,
     /// It failed.
     Error,
-    /// Start refused: too little is free on the node.
+    /// Start refused: not enough resources on the machine.
     NoRoom,
-    /// Start refused: another attempt of the task is on the node.
+    /// Start refused: another attempt of the task is on the machine.
     InUse,
     /// A cause that this version does not know.
     #[serde(other)]
@@ -138,7 +138,7 @@
     },
 }
 
-/// The answer to a report.
+/// Response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportResponse {
     /// The leader's fencing token for this worker.
@@ -149,13 +149,13 @@
     pub commands: Vec<Command>,
 }
 
-/// Commands that go straight to a worker.
+/// Commands sent directly to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commands {
-    /// The leader's fencing token: the worker refuses a smaller one than it has heard.
+    /// The leader's fencing token: the worker rejects one smaller than the largest received.
     #[serde(rename = "Baton")]
     pub token: Token,
-    /// The session that they are meant for; refused in any other.
+    /// The session that they are addressed to; rejected in any other.
     #[serde(rename = "Shift")]
     pub session: Session,
     /// What the worker is to do.
@@ -163,7 +163,7 @@
     pub commands: Vec<Command>,
 }
 
-/// Sends a worker to the leader.
+/// Redirects a worker to the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Redirect {
     /// The controller to report to.
