--- a/src/settings/capacity.rs
+++ b/src/settings/capacity.rs
@@ -1,56 +1,57 @@
-//! How much of everything a controller holds, by its memory, sockets and processor.
+//! Capacity limits of a controller, derived from its memory, sockets and processor.
 
 use super::{Settings, SettingsError, field_error};
 use hookworks_http_server::{BYTES_PER_CONNECTION, Bounds, LimitedBy, RequestClass};
 
-/// What an unfinished job takes, with its line in lists, measured (docs/sizes.md).
+/// Memory of an unfinished job with its line in lists, measured (docs/sizes.md).
 const JOB_BYTES: f64 = 2_400.0;
-/// What the final state of a job takes at hand.
+/// Memory of the cached final state of a job.
 const FINAL_STATE_BYTES: f64 = 250.0;
-/// What a machine takes with some tasks on it.
+/// Memory of a machine with some tasks on it.
 const MACHINE_BYTES: f64 = 2_500.0;
-/// Shares of the memory. Connections have up to half of it, and the program, its
-/// own threads and what is on its way the rest.
+/// Shares of the memory. Connections get up to half of it; the rest is for the program,
+/// its threads and messages in flight.
 const JOBS_SHARE: f64 = 0.3;
 const FINALS_SHARE: f64 = 0.05;
 const MACHINES_SHARE: f64 = 0.08;
 const MAX_JOBS: usize = 20_000;
 const MAX_FINALS: usize = 50_000;
-/// Messages on their way that are no requests: results of calls, ticks.
+/// Queued messages that are no requests: results of calls, ticks.
 const INTERNAL_MESSAGES: usize = 1024;
-/// From this share of the workers' connections on, answers end their connections.
+/// Above this share of the workers' connections, responses close their connections.
 const KEEP_ALIVE_SHARE: f64 = 0.95;
-/// A connection that is opened for a single report holds its slot for so long.
+/// Seconds for which a connection opened for a single heartbeat occupies its slot.
 const REPORT_SLOT_S: f64 = 0.2;
-/// Processor time of a controller that serves everything by itself, for each report:
-/// the slopes of leader and follower in docs/CAPACITY.md, at a report each 3 s.
+/// Processor time per heartbeat of a controller that serves everything by itself: the
+/// slopes of leader and follower in docs/CAPACITY.md, with a heartbeat every 3 s.
 const CORE_S_PER_REPORT: f64 = 3.0 * (0.031 + 0.018) / 1000.0;
 
-/// Bounds in force; all worked out, none set.
+/// Limits in force; all are derived, none is a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityLimits {
-    /// Workers that can keep a connection open here, with no other controller left.
+    /// Workers that can keep a connection open to this controller when it is the only one
+    /// left.
     pub worker_connections: usize,
-    /// Machines whose workers can all report here with no other controller left, some
-    /// of them with a connection for each report.
+    /// Machines whose workers can all report to this controller when it is the only one
+    /// left, some of them with a new connection for each heartbeat.
     pub single_controller: SingleControllerLimit,
-    /// Unfinished jobs; more are turned away.
+    /// Unfinished jobs; further submissions are rejected.
     pub jobs: usize,
-    /// Final states kept at hand; others are read from the state service.
+    /// Cached final states; others are read from the state service.
     pub finals: usize,
-    /// Requests without an answer, of callers and of other controllers.
+    /// Pending requests of callers and of other controllers.
     pub requests: usize,
-    /// Messages that wait for the main loop; who sends more waits.
+    /// Capacity of the main loop's inbox; senders block when it is full.
     pub inbox: usize,
-    /// Bytes that connections, jobs, final states and machines take at the most.
+    /// Maximum bytes of connections, jobs, final states and machines.
     pub bytes: [u64; 4],
 }
 
-/// How many machines a lone controller can look after.
+/// Number of machines that a single remaining controller can serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SingleControllerLimit {
     pub max_machines: usize,
-    /// The setting that keeps it from being more.
+    /// The setting that limits it.
     pub limited_by: &'static str,
 }
 
@@ -92,8 +93,8 @@
         let jobs = part(JOBS_SHARE, JOB_BYTES).min(MAX_JOBS);
         let finals = part(FINALS_SHARE, FINAL_STATE_BYTES).min(MAX_FINALS);
         let alone = SingleControllerLimit::plan(s, b);
-        // A caller has one request at a time, and each of the other controllers
-        // passes on what its callers ask.
+        // A caller has one request at a time, and each of the other controllers forwards
+        // the requests of its callers.
         let requests = b.connections * (1 + s.platform.seeds.len());
         let bytes = [
             b.connections as u64 * BYTES_PER_CONNECTION,
@@ -114,10 +115,10 @@
 }
 
 impl Settings {
-    /// The sizes in force under these settings.
+    /// The capacity limits under these settings.
     ///
     /// # Errors
-    /// When next to nothing could be served.
+    /// If the machine is too small to serve requests.
     pub fn capacity_limits(&self) -> Result<CapacityLimits, SettingsError> {
         let bounds = crate::api::bounds(self);
         let bounds =
@@ -125,8 +126,8 @@
         Ok(CapacityLimits::plan(self, &bounds))
     }
 
-    /// Whether a controller that is left alone can hold the machines that operators
-    /// say there are (`<connections><machines>`).
+    /// Checks that a single remaining controller can serve the number of machines that
+    /// operators set (`<connections><machines>`).
     ///
     /// # Errors
     /// Names the setting that is too low, and how many machines would be held.
--- a/src/settings/classes.rs
+++ b/src/settings/classes.rs
@@ -1,4 +1,4 @@
-//! What operators allow each class of jobs.
+//! Retry rules of job classes.
 
 use super::{SettingsError, field_error};
 use crate::ids::Class;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Counts are stored as one digit each.
+/// Failure counts are stored as one hexadecimal digit each.
 const MAX_ATTEMPTS: u8 = 15;
 
 /// `<classes><class name="…"><attempts>3</attempts>…</class></classes>`.
@@ -29,7 +29,7 @@
     /// Which failures count, by their names with spaces between.
     #[serde(default)]
     counts: Option<String>,
-    /// A job waits so long after its first failure, then twice as long each.
+    /// Backoff in seconds after the first failure; doubles with each further one.
     #[serde(default)]
     backoff_s: f64,
     #[serde(default)]
@@ -94,7 +94,7 @@
                 ))
             };
             if self.rules[..n].iter().any(|o| o.name == c.name) {
-                return wrong("name", "stands there twice");
+                return wrong("name", "is listed twice");
             }
             if c.attempts > MAX_ATTEMPTS {
                 return wrong("attempts", &format!("must be 0 to {MAX_ATTEMPTS}"));
--- a/src/settings/connections.rs
+++ b/src/settings/connections.rs
@@ -1,4 +1,4 @@
-//! How many connections may be held, for whom and how long.
+//! Limits of connections: number, shares of request classes and timeouts.
 
 use super::{SettingsError, check_ranges};
 use hookworks_http_server::BoundsSettings;
@@ -10,8 +10,8 @@
 pub struct Connections {
     /// Most threads that serve requests.
     pub threads: usize,
-    /// Machines that one controller has to hold with no other left; `hookworks check`
-    /// ends if it can't. 0: not told.
+    /// Machines that a single remaining controller has to serve; `hookworks check` fails
+    /// if it can't. 0: not set.
     pub machines: usize,
     /// Share of the machine's memory that connections may take.
     pub memory_share: f64,
@@ -23,13 +23,14 @@
     pub users_share: f64,
     /// Guaranteed share of health checks and operators.
     pub watch_share: f64,
-    /// Share of connections without a request yet, and the most they get.
+    /// Guaranteed and maximum share of connections without a request yet.
     pub fresh_share: f64,
-    /// From a connection's opening, or the first byte, to a whole head.
+    /// Timeout in seconds from a connection's opening, or the first byte, to a complete
+    /// head.
     pub head_s: f64,
-    /// From the end of the head to the end of the body.
+    /// Timeout in seconds from the end of the head to the end of the body.
     pub body_s: f64,
-    /// Between two requests.
+    /// Timeout in seconds between two requests.
     pub idle_s: f64,
 }
 
@@ -53,7 +54,7 @@
 }
 
 impl Connections {
-    /// What the connection layer is asked for.
+    /// The settings of the connection layer.
     pub fn bounds_settings(&self) -> BoundsSettings {
         BoundsSettings {
             threads: self.threads,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -23,7 +23,7 @@
 
 use thiserror::Error;
 
-/// Why settings are refused.
+/// Why settings are rejected.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read, or is malformed.
@@ -34,29 +34,29 @@
         /// What is wrong.
         why: String,
     },
-    /// A value can't be served.
+    /// A value is invalid or can't be served.
     #[error("{file}: {field}: {why}")]
     Field {
         /// The file.
         file: String,
-        /// The field, with the elements that it stands in.
+        /// The field, with its enclosing elements.
         field: String,
         /// What is wrong.
         why: String,
     },
 }
 
-/// Everything a controller is told.
+/// All settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the platform hands over.
+    /// Provided by the platform.
     pub platform: Platform,
-    /// What the operators set.
+    /// Set by the operators.
     pub tuning: Tuning,
 }
 
 impl Settings {
-    /// Reads both files; without an XML file the defaults hold.
+    /// Reads both files; without an XML file the defaults apply.
     pub fn load(platform: &str, tuning_file: Option<&str>) -> Result<Settings, SettingsError> {
         let platform = Platform::parse(platform, &read(platform)?)?;
         let tuning = match tuning_file {
@@ -64,7 +64,7 @@
             None => Tuning::default(),
         };
         let settings = Settings { platform, tuning };
-        // What can't be served is refused now, not when the first caller comes.
+        // Limits that can't be served are rejected at the start, not at the first request.
         let file = tuning_file.unwrap_or("connections");
         crate::api::bounds(&settings)
             .map_err(|e| field_error(file, "connections", &e.to_string()))?;
@@ -79,8 +79,8 @@
     })
 }
 
-/// Numbers that must lie in a range each: name, value, least, most. `of` is the
-/// element that they stand in, with a slash; empty at the top.
+/// Checks that numbers are in range: name, value, minimum, maximum. `of` is the
+/// enclosing element with a slash; empty at the top level.
 fn check_ranges(
     file: &str,
     of: &str,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands over.
+//! The settings file that the platform provides.
 
 use super::{SettingsError, field_error};
 use crate::ids::{Class, ControllerId, Team, Zone};
@@ -47,8 +47,7 @@
     pub clock_error_ms: f64,
 }
 
-/// What a team is guaranteed and what it may use at the most; 0 means that
-/// there is no such guarantee or limit.
+/// Guarantee and quota of a team; 0 means that there is no such guarantee or limit.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TeamLimit {
     pub name: Team,
@@ -90,12 +89,12 @@
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
-    /// What will hold from some later moment on, without further notice.
+    /// Limits that take effect later, without further notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Limits of the state service from some later moment on; what is absent stays.
+/// Future limits of the state service; absent fields don't change.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct NextLimits {
     #[serde(default)]
@@ -108,7 +107,7 @@
     pub txn_ops: Option<usize>,
 }
 
-/// Limits of the state service that hold at some time.
+/// Limits of the state service at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitValues {
     pub rps: f64,
@@ -122,7 +121,7 @@
         (self.value_kb * 1024.0) as usize
     }
 
-    /// The smaller of each.
+    /// The minimum of each field.
     pub fn min(&self, other: &LimitValues) -> LimitValues {
         LimitValues {
             rps: self.rps.min(other.rps),
@@ -143,7 +142,7 @@
         }
     }
 
-    /// The limits of later, if any are announced.
+    /// The future limits, if any are announced.
     pub fn announced(&self) -> Option<LimitValues> {
         let next = self.next.as_ref()?;
         Some(LimitValues {
@@ -154,13 +153,13 @@
         })
     }
 
-    /// The smallest limits that are known to come.
+    /// The minimum of the current and the announced limits.
     pub fn smallest(&self) -> LimitValues {
         let now = self.current();
         self.announced().map_or(now, |next| now.min(&next))
     }
 
-    /// The first field that no controller can work with, and what it must be.
+    /// The first field with an unusable value, and the requirement.
     fn first_invalid_field(&self) -> Option<(String, String)> {
         let sets = [("", Some(self.current())), ("next.", self.announced())];
         for (of, limits) in sets {
@@ -203,17 +202,19 @@
 }
 
 impl WorkerParams {
-    /// By then a worker's lease has run out by any clock, with a second to spare.
+    /// Time after which a worker's lease has expired by any clock, plus a margin of one
+    /// second.
     pub fn lease_bound(&self) -> Span {
         Span::secs(self.lease_s).stretched() + Span::secs(1.0)
     }
 }
 
-/// Sockets without which a controller can't talk to anyone.
+/// Minimum number of sockets that a controller needs to communicate.
 const MIN_CONNECTIONS: usize = 64;
-/// A job's description with a few tasks takes this much.
+/// Size of a job record with a few tasks.
 const MIN_VALUE_KB: f64 = 2.0;
-/// The end of a large job changes two records, and a large record takes four values.
+/// The final write of a large job changes two records, and a large record takes four
+/// values.
 const MIN_TXN_OPS: usize = 4;
 
 impl Platform {
--- a/src/settings/starvation.rs
+++ b/src/settings/starvation.rs
@@ -1,4 +1,4 @@
-//! When a class or team counts as hardly served, and what it is given then.
+//! Protection of classes and teams against starvation.
 
 use super::{SettingsError, check_ranges};
 use crate::time::Span;
@@ -9,15 +9,15 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct StarvationLimits {
-    /// Share of the fleet that goes to all classes and teams below the floor
-    /// together, ahead of others; 0 only shows them.
+    /// Share of the fleet reserved for all classes and teams below the floor together;
+    /// with 0 they are only reported.
     pub room: f64,
-    /// Below the floor is a class or team with overdue jobs of which a smaller
-    /// share began within the last five minutes.
+    /// A class or team with overdue jobs is below the floor if a smaller share of them
+    /// started within the last five minutes.
     pub below: f64,
-    /// A job of which nothing has begun for so many seconds has a tenth of its tasks
-    /// begun ahead of others, as far as its team's limit goes; a gang, a service or a
-    /// job of one zone goes first as a whole. 0: never.
+    /// After this many seconds without a started task, a tenth of a job's tasks is placed
+    /// ahead of others, within its team's limit; a gang, a service or a job of one zone
+    /// is placed ahead as a whole. 0: never.
     pub overtaken_s: f64,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl StarvationLimits {
-    /// What the scheduler is told.
+    /// The policy for the scheduler.
     pub fn fairness_policy(&self) -> FairnessPolicy {
         FairnessPolicy {
             reserved_share: self.room,
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -12,32 +12,33 @@
 pub struct Tuning {
     /// Share of a task's estimate that makes δ.
     pub delta_factor: f64,
-    /// δ is never less than this.
+    /// Lower bound of δ, in seconds.
     pub delta_floor_s: f64,
-    /// How long the key of the leader lives without a renewal.
+    /// Duration of the leader's lease in seconds.
     pub leader_lease_s: f64,
-    /// A silent machine is released after this share of the workers' lease.
+    /// A machine without heartbeats is released after this share of the workers' lease.
     pub silent_share: f64,
-    /// An ordinary machine is given back after idling this long.
+    /// An on-demand machine is returned after being idle for this many seconds.
     pub idle_s: f64,
-    /// A spot machine is given back after idling this long.
+    /// A spot machine is returned after being idle for this many seconds.
     pub idle_spot_s: f64,
-    /// How much of the seen arrivals is kept free for classes that want quick starts.
+    /// Headroom for classes with start-time objectives, as a multiple of the observed
+    /// arrivals.
     pub headroom: f64,
-    /// Pending tasks are placed at most once in so many milliseconds.
+    /// Minimum interval between placement passes in milliseconds.
     pub pass_ms: f64,
-    /// An answer to a report waits up to so many milliseconds for commands
-    /// that are about to be stored.
+    /// Maximum time in milliseconds that the response to a heartbeat is held back for
+    /// commands whose records are being stored.
     pub hold_ms: f64,
-    /// Room that tasks leave within this share of a boot time is waited for.
+    /// Placement waits for resources that become free within this share of a boot time.
     pub wait_share: f64,
-    /// What callers may take of this controller.
+    /// Connection limits.
     pub connections: Connections,
-    /// What classes of jobs may do.
+    /// Retry rules of classes.
     pub classes: Classes,
-    /// When a zone counts as lost, and how it comes back.
+    /// Detection and recovery of lost zones.
     pub zones: ZoneLimits,
-    /// When a class or team counts as hardly served.
+    /// Protection against starvation.
     pub served: StarvationLimits,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl Tuning {
-    /// How often tasks may fail, by class.
+    /// Retry policies by class.
     pub fn retry_policies(&self) -> BTreeMap<Class, RetryPolicy> {
         self.classes.retry_policies()
     }
--- a/src/settings/zones.rs
+++ b/src/settings/zones.rs
@@ -1,4 +1,4 @@
-//! When a zone counts as lost, and how it comes back.
+//! Detection and recovery of lost zones.
 
 use super::{SettingsError, check_ranges};
 use hookworks_base::time::Span;
@@ -9,26 +9,26 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct ZoneLimits {
-    /// Verdicts on zones are acted on; otherwise they are only shown.
+    /// Whether the scheduler acts on the state of zones; otherwise it is only reported.
     pub act: bool,
-    /// Nothing at all heard from a zone for so long, in seconds, is the first sign.
+    /// First condition of doubt: no heartbeat from the whole zone for this many seconds.
     pub quiet_s: f64,
-    /// The second: this share of its machines has missed a report.
+    /// Second condition: this share of its machines has missed a heartbeat.
     pub overdue_share: f64,
-    /// The share that makes a zone doubtful though some of it is heard.
+    /// Share of missed heartbeats that puts a zone in doubt even if others still arrive.
     pub most_share: f64,
-    /// A zone with fewer machines is not judged.
+    /// A zone with fewer machines is not evaluated.
     pub least_machines: u32,
-    /// In doubt for so many seconds, it is lost.
+    /// A zone is lost after being in doubt for this many seconds.
     pub lost_after_s: f64,
-    /// A zone that comes back is used in full after so many seconds; twice as
-    /// many for each trouble that is still remembered.
+    /// A recovered zone is used in full after this many seconds; doubled for each
+    /// remembered outage.
     pub settle_s: f64,
-    /// And never more than so many.
+    /// Upper bound of that time in seconds.
     pub settle_most_s: f64,
-    /// Troubles are remembered for so many seconds.
+    /// Outages are remembered for this many seconds.
     pub memory_s: f64,
-    /// Machines of a lost zone are kept for so many seconds.
+    /// Machines of a lost zone are kept for this many seconds.
     pub keep_s: f64,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl ZoneLimits {
-    /// The limits in effect, for workers that report so often.
+    /// The limits for workers that send a heartbeat every `report_s` seconds.
     pub fn limits(&self, report_s: f64) -> Limits {
         Limits {
             report: Span::secs(report_s),
--- a/tests/cut_off.rs
+++ b/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! Zones cut off and controllers away for longer than a lease, and arrays bound to one
-//! zone whose machines are lost, each while jobs are cancelled and leaders change.
+//! Network partitions of zones and controller outages longer than a lease, and arrays
+//! bound to one zone that lose machines, with cancellations and failovers meanwhile.
 
 mod world;
 
@@ -10,7 +10,7 @@
 use world::links::Link;
 use world::{Ev, World, job};
 
-/// Seconds; the lease that the tests' world gives to workers.
+/// Lease of workers in the simulated cluster, in seconds.
 const LEASE_S: f64 = 20.0;
 const CONTROLLERS: usize = 3;
 
@@ -18,7 +18,7 @@
     format!("job-{n:06}")
 }
 
-/// Three zones, in each a controller and some machines at work on these jobs.
+/// Three zones, each with a controller and some machines that run these jobs.
 fn at_work(seed: u64, jobs: u64, change: impl Fn(u64, &mut JobSpec)) -> World {
     let mut w = World::wide(seed, &["a", "b", "c"], 4);
     w.run_s = 35.0;
@@ -33,7 +33,7 @@
     w
 }
 
-/// A user cancels until somebody confirms.
+/// A user repeats a cancellation until it is confirmed.
 fn cancel(w: &mut World, n: u64, in_s: f64) {
     for k in 0..10 {
         let ask = Request::Cancel(id(n));
@@ -41,7 +41,7 @@
     }
 }
 
-/// All troubles are over: the rules held, and every job comes to its end.
+/// After all faults: no invariant was violated, and every job ends.
 fn ends_well(mut w: World, jobs: u64) {
     w.all_quiet();
     for n in 1..=jobs {
@@ -56,16 +56,16 @@
     assert!(left.is_empty(), "left: {left:?}");
 }
 
-/// Every worker ends its tasks, and goes on with the next session.
+/// The leases expire: every worker ends its tasks and begins a new session.
 #[test]
-fn rules_hold_when_all_controllers_are_away_for_longer_than_a_lease() {
+fn invariants_hold_when_all_controllers_are_down_for_longer_than_a_lease() {
     for (seed, away_s) in [LEASE_S - 1.0, LEASE_S + 1.0, 30.0, 43.0, 90.0]
         .into_iter()
         .enumerate()
     {
         let mut w = at_work(seed as u64, 4, |_, _| {});
         cancel(&mut w, 1, 0.0);
-        // One is asked for in vain until somebody is back.
+        // The second one fails until a controller has restarted.
         cancel(&mut w, 2, 1.5);
         for i in 0..CONTROLLERS {
             w.at(1.0, Ev::Kill(i));
@@ -78,9 +78,9 @@
     }
 }
 
-/// The leader, or another controller, is cut off along with the zone's workers.
+/// The leader or a follower is partitioned together with the workers of its zone.
 #[test]
-fn rules_hold_when_a_zone_with_a_controller_is_cut_off_for_longer_than_a_lease() {
+fn invariants_hold_when_a_zone_with_a_controller_is_partitioned_for_longer_than_a_lease() {
     let mut seed = 0;
     for link in [Link::Cut, Link::Held, Link::Reset] {
         for leads in [true, false] {
@@ -109,7 +109,7 @@
     }
 }
 
-/// What is lost starts again in the zone of the rest, or, with none left, in any one.
+/// Lost tasks restart in the zone of the remaining ones, or in any zone if none remain.
 #[test]
 fn arrays_bound_to_one_zone_that_lose_machines_stay_in_one_zone() {
     for seed in 0..12 {
--- a/tests/peer_frames.rs
+++ b/tests/peer_frames.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// The release before sends no limit with an answer, and reads none.
+/// The previous release neither sends nor reads a validity limit with a response.
 #[test]
 fn answers_are_readable_across_versions() {
     let config = bincode::config::standard();
@@ -23,7 +23,7 @@
     let bytes = bincode::encode_to_vec(&new, config).unwrap();
     let (read, _): (PeerMessage, _) = bincode::decode_from_slice(&bytes, config).unwrap();
     assert_eq!(read, new);
-    // The third kind of message; its fields, as they were.
+    // The third variant of the message, with the fields of the previous release.
     let before = (2u32, 5u64, "b", 503u16, r#"{"error":"x"}"#, Some(3u32));
     let before = bincode::encode_to_vec(before, config).unwrap();
     assert_eq!(bytes[..before.len()], before);
@@ -37,7 +37,7 @@
     );
 }
 
-/// Controllers are restarted one after the other, so two versions talk.
+/// During a rolling restart controllers of two versions exchange pings.
 #[test]
 fn pings_are_readable_across_versions() {
     let more = PingExtension {
@@ -48,13 +48,13 @@
     let mut new = vec![];
     encode(&ping(), (more, own), &mut new).unwrap();
     assert_eq!(read(&mut &new[..]).unwrap(), (ping(), (more, Some(own))));
-    // The release before says no more than what it can hold and understand.
+    // The previous release sends only its capacity and version.
     let before = bincode::encode_to_vec((ping(), more), bincode::config::standard()).unwrap();
     let mut framed = (before.len() as u32).to_be_bytes().to_vec();
     framed.extend_from_slice(&before);
     assert_eq!(read(&mut &framed[..]).unwrap(), (ping(), (more, None)));
     assert_eq!(new[4..4 + before.len()], before);
-    // An earlier version sends no more than the message, and reads no more.
+    // An earlier version sends and reads only the message.
     let old = bincode::encode_to_vec(ping(), bincode::config::standard()).unwrap();
     let mut framed = (old.len() as u32).to_be_bytes().to_vec();
     framed.extend_from_slice(&old);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Both settings files: what they set, and how mistakes are reported.
+//! Both settings files: derived limits, and how invalid values are reported.
 
 use hookworks::settings::{CapacityLimits, Platform, Settings, Tuning};
 
@@ -27,10 +27,10 @@
     }
 }
 
-/// A thread for each connection was the bound at 1,650 machines, whatever the
-/// settings. Now it is what the platform gives, and `check` names it.
+/// Guards against a fixed bound: a thread per connection once limited a controller to
+/// 1,650 machines whatever the settings. `check` names the setting that limits it.
 #[test]
-fn machines_that_a_lone_controller_holds_follow_the_settings() {
+fn machine_limit_of_a_single_controller_follows_the_settings() {
     let cases = [
         (400.0, 3046, 0.24, "params.machine_limits.max_connections"),
         (158.0, 1000, 0.24, "params.machine_limits.max_connections"),
@@ -51,7 +51,7 @@
             "{e}"
         );
     }
-    // The largest deployment that there is, three times over.
+    // Three times the largest deployment.
     assert!(
         settings(158.0, 3046, 0.24)
             .capacity_limits()
@@ -62,10 +62,9 @@
     );
 }
 
-/// Whatever the machine, the bounds together fit its memory with a part left
-/// for the program itself.
+/// On any machine all limits together fit its memory, with a part left for the program.
 #[test]
-fn sizes_together_fit_the_memory() {
+fn capacity_limits_together_fit_the_memory() {
     for ram_mb in [32.0, 56.0, 104.0, 158.0, 188.0, 400.0, 2000.0] {
         for sockets in [300, 560, 1800, 3000, 20_000] {
             let s = sizes(ram_mb, sockets);
@@ -75,15 +74,15 @@
     }
 }
 
-/// 4,000 jobs were the bound everywhere, and 1,500 open requests: with held
-/// answers of 1,982 machines users would have been refused.
+/// Guards against fixed limits of 4,000 jobs and 1,500 open requests: with held responses
+/// for 1,982 machines, requests of users would have been rejected.
 #[test]
-fn sizes_follow_the_machine() {
+fn capacity_limits_follow_the_machine() {
     let (small, large) = (sizes(56.0, 560), sizes(158.0, 3000));
     assert!(small.jobs >= 4000 && large.jobs > 19_000);
     assert!(large.requests >= 1982 + 1000, "{large:?}");
-    // Alone it holds almost as many workers as the largest fleets have; one
-    // that small can't, and turns the others away.
+    // A single large controller holds almost as many workers as the largest fleets have;
+    // a small one can't, and rejects the others.
     assert!(large.worker_connections >= 2400, "{large:?}");
     assert!(small.worker_connections >= 350, "{small:?}");
     assert!(large.finals > small.finals);
