--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -9,18 +9,11 @@
 mod threads;
 mod upgrade;
 use crate::election::{BoundAddress, Candidate, ElectionOutcome, LeaderRecord};
-use crate::ids::{ControllerId, Epoch, Instance, JobId, RequestId, TxnId};
 use crate::sched::job::Final;
 use crate::sched::{Effect, Event, Scheduler};
-use crate::settings::{CapacityLimits, Settings};
 use crate::store::budget::Budget;
 use crate::store::client::ReadError;
 use crate::store::commit::{Committer, Step};
-use crate::store::{TxnOutcome, final_key};
-use crate::time::{Clock, Span, Time, wall_time_now};
-use crate::versions::FormatSwitch;
-use crate::wire::cloud::MachineType;
-use crate::wire::peer::{Answer, PeerMessage, Request};
 use crate::wire::state::Item;
 use balance::WorkerBalance;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, select_biased};
@@ -48,7 +41,14 @@
 pub use requests::{is_expired, leader_restarted};
 
 use crate::api::{self, ApiRequest, PublishedJobs, SharedStatus};
+use crate::ids::{ControllerId, Epoch, Instance, JobId, RequestId, TxnId};
 use crate::peer::{LocalController, PeerEvent, Peers};
+use crate::settings::{CapacityLimits, Settings};
+use crate::store::{TxnOutcome, final_key};
+use crate::time::{Clock, Span, Time, wall_time_now};
+use crate::versions::FormatSwitch;
+use crate::wire::cloud::MachineType;
+use crate::wire::peer::{Answer, PeerMessage, Request};
 use state_loading::LoadedState;
 
 /// Stack size of each thread: memory is scarce, and nothing here recurses deeply.
--- a/src/sched/admission.rs
+++ b/src/sched/admission.rs
@@ -3,15 +3,15 @@
 use super::job::{Job, LATER_GROWTH_BYTES, MIN_PART_TASKS, compact_part_size, part_size};
 use crate::ids::Zone;
 use crate::store::RecordFormat;
-use crate::store::limits::VALUE_MARGIN_BYTES;
 use crate::time::Time;
-use crate::wire::cloud::MachineType;
 use crate::wire::peer::Answer;
-use crate::wire::user::{JobKind, JobSpec};
 
 use super::Resources;
 use super::Scheduler;
 use super::dependency_ids::DependencyIds;
+use crate::store::limits::VALUE_MARGIN_BYTES;
+use crate::wire::cloud::MachineType;
+use crate::wire::user::{JobKind, JobSpec};
 
 /// The response to a submission that names more unfinished jobs than its record can hold.
 pub(super) fn too_many_dependencies() -> Answer {
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -3,20 +3,20 @@
 pub mod compact;
 mod record;
 
+pub use record::{LATER_GROWTH_BYTES, MIN_PART_TASKS, compact_part_size, part_size};
+
 use super::inheritance::Inherited;
 use super::records::Purpose;
-use crate::ids::{Attempt, Host, JobId, RequestId, Seq, TaskIndex};
-use crate::time::{Time, WallTime};
-use crate::wire::user::{JobKind, JobSpec, JobState};
+use hookworks_job_lifecycle::{FailureCounts, History, Holds, WallMillis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-use hookworks_job_lifecycle::{FailureCounts, History, Holds, WallMillis};
-pub use record::{LATER_GROWTH_BYTES, MIN_PART_TASKS, compact_part_size, part_size};
-
 use super::attempt_places::AttemptPlace;
 use super::dependency_ids::DependencyIds;
 use super::resources::Resources;
+use crate::ids::{Attempt, Host, JobId, RequestId, Seq, TaskIndex};
+use crate::time::{Time, WallTime};
+use crate::wire::user::{JobKind, JobSpec, JobState};
 
 /// Progress of an attempt, as last reported by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -3,59 +3,59 @@
 
 mod admission;
 mod allowed_zones;
+pub mod attempt_places;
+mod consistency;
 mod dependencies;
+pub mod dependency_ids;
+mod direct_calls;
 mod estimate;
+mod fair_share;
 mod fences;
 mod fleet;
 mod gang;
+mod headroom;
+mod heartbeats;
 mod inheritance;
 pub mod job;
+mod lifecycle;
 pub mod machine;
 mod order;
 mod overview;
 mod place;
 mod preempt;
+mod reachability;
 mod records;
+mod recovery;
+mod referenced_jobs;
+mod report_reconciliation;
+mod requests;
+mod resources;
 mod team;
+mod wait_limits;
 mod zones;
 
+use crate::store::RecordFormat;
+use crate::store::budget::Budget;
+use crate::wire::user::JobState;
 pub use fences::FenceRecord;
+use hookworks_job_lifecycle::RetryPolicy;
+use job::{Final, Job};
+pub use lifecycle::detail_of_record;
+use machine::{Allocation, Machine, MachineState};
+pub use records::{Key, PendingWrite, Purpose, WriteQueue};
+pub use requests::{LookUpCounts, answer_final};
+pub use resources::Resources;
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use crate::ids::{
     Attempt, CallId, Class, ControllerId, Epoch, Host, JobId, MachineTypeId, RequestId, TaskId,
     Token, Zone,
 };
 use crate::settings::{Settings, Tuning, WorkerParams};
-use crate::store::RecordFormat;
-use crate::store::budget::Budget;
 use crate::time::{Span, Time, WallTime};
 use crate::wire::cloud::{ListedHost, MachineType, RentalRequest};
 use crate::wire::peer::{Answer, Request};
-use crate::wire::user::JobState;
 use crate::wire::worker::{Commands, Report};
-use job::{Final, Job};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-pub mod attempt_places;
-pub mod dependency_ids;
-mod fair_share;
-mod headroom;
-mod lifecycle;
-mod referenced_jobs;
-mod requests;
-mod resources;
-mod wait_limits;
-use hookworks_job_lifecycle::RetryPolicy;
-pub use lifecycle::detail_of_record;
-pub use records::{Key, PendingWrite, Purpose, WriteQueue};
-pub use requests::{LookUpCounts, answer_final};
-pub use resources::Resources;
-mod consistency;
-mod direct_calls;
-mod heartbeats;
-mod reachability;
-mod recovery;
-mod report_reconciliation;
-use machine::{Allocation, Machine, MachineState};
 
 /// An input of the scheduler.
 #[derive(Debug)]
--- a/src/store/commit.rs
+++ b/src/store/commit.rs
@@ -7,24 +7,24 @@
 mod counts;
 mod draft;
 mod outcomes;
-mod oversized;
 mod records;
 
 pub use counts::ChangeCounts;
 
 use super::budget::Budget;
 use super::format::RecordFormat;
-use super::limits::{EffectiveLimits, TxnSize};
-use super::{FENCES_KEY, LEADER_KEY};
-use crate::ids::{JobId, Revision, TxnId};
 use crate::sched::{PendingWrite, Purpose, Scheduler};
 use crate::settings::{LimitValues, StateLimits};
 use crate::time::Time;
 use crate::wire::state::Txn;
-use draft::{Draft, KeyWrite, RecordWrite, SizedChange, WriteTarget};
-use oversized::OversizedRecord;
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
+mod oversized;
+use super::limits::{EffectiveLimits, TxnSize};
+use super::{FENCES_KEY, LEADER_KEY};
+use crate::ids::{JobId, Revision, TxnId};
+use draft::{Draft, KeyWrite, RecordWrite, SizedChange, WriteTarget};
+use oversized::OversizedRecord;
 
 /// Maximum number of transactions in flight, and the maximum while a caller waits for a
 /// write: a slow state service once made submissions queue behind all other writes.
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,7 +1,10 @@
 //! Lists of jobs: what readers are shown, and what they are not.
 
 mod world;
+
+use hookworks::api::{PublishedJobs, SharedStatus};
 use hookworks::ids::*;
+use hookworks::node::job_lists::finished_page;
 use hookworks::sched::job::Final;
 use hookworks::store::budget::Budget;
 use hookworks::store::final_key;
@@ -15,9 +18,6 @@
 use world::job;
 use world::store::Handle;
 
-use hookworks::api::{PublishedJobs, SharedStatus};
-use hookworks::node::job_lists::finished_page;
-
 fn query(text: &str) -> Query {
     Query::parse(text).unwrap()
 }
