--- a/src/store/format.rs
+++ b/src/store/format.rs
@@ -20,7 +20,7 @@
     Compact,
 }
 
-/// The value stored under [`FORMAT`].
+/// The value stored under [`FORMAT_KEY`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRecord {
     /// The format in which the leader writes records.
@@ -31,7 +31,7 @@
 }
 
 impl FormatRecord {
-    /// Reads the value under [`FORMAT`]. If the key exists, every
+    /// Reads the value under [`FORMAT_KEY`]. If the key exists, every
     /// controller reads compact records, even if a later version has stored a format of
     /// its own.
     pub fn read(value: &serde_json::Value) -> FormatRecord {
--- a/src/versions/announce.rs
+++ b/src/versions/announce.rs
@@ -16,7 +16,7 @@
 /// Initial and maximum backoff after a failed request.
 const RETRY_BACKOFF: (Span, Span) = (Span(300_000), Span(5_000_000));
 
-/// The value of a controller's key under [`VERSIONS`].
+/// The value of a controller's key under [`VERSIONS_PREFIX`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
     /// What the process understands.
